--- a/larkcrank/core/interface.py
+++ b/larkcrank/core/interface.py
@@ -1,8 +1,8 @@
-"""Everything that passes between a transport and the balancer: settings, events and actions.
+"""The interface between a transport and the balancer: settings, events and actions.
 
-A transport feeds events to `Balancer.handle` with the time and carries out the actions it returns.
-All times are milliseconds on one clock that never runs backwards. A server's address is an opaque
-byte string that the transport understands; the balancer only compares it.
+A transport passes each event with the current time to `Balancer.handle` and carries out the actions that it
+returns. All times are milliseconds on one monotonic clock. A server's address is an opaque byte string that
+the transport interprets; the balancer only compares it and logs it.
 """
 
 import math
@@ -14,15 +14,15 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request does."""
+    """Whether a request may be executed more than once."""
 
-    SAFE = "safe"  # may be repeated at will
-    KEYED = "keyed"  # a repeat is dropped inside a group of servers, for a while
-    UNSAFE = "unsafe"  # must never run twice
+    SAFE = "safe"  # idempotent: may be repeated without limit
+    KEYED = "keyed"  # a group of servers deduplicates repeats by key, for `RequestClass.window_ms`
+    UNSAFE = "unsafe"  # not idempotent: must never be executed twice
 
 
 class Group(Enum):
-    """The servers that drop repeats of a keyed request."""
+    """The servers that share the deduplication of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -30,7 +30,7 @@
 
 
 class State(IntEnum):
-    """What discovery says of a server."""
+    """The state of a server as discovery reports it."""
 
     GONE = 0
     READY = 1
@@ -41,13 +41,13 @@
     """How an attempt ended."""
 
     OK = "ok"
-    ERROR = "error"  # answered with an error; may have run
-    REJECTED = "rejected"  # turned away unseen; never ran
-    TIMEOUT = "timeout"  # may have run, or be running
-    CONNECT_FAILED = "connect failed"  # never ran
-    RESET = "reset"  # the connection broke; may have run
-    CANCELLED = "cancelled"  # called off by the balancer; may have run
-    NOT_SENT = "not sent"  # never left; says nothing of the server
+    ERROR = "error"  # answered with an error; may have been executed
+    REJECTED = "rejected"  # rejected before execution
+    TIMEOUT = "timeout"  # may have been executed, or still be executing
+    CONNECT_FAILED = "connect failed"  # never executed
+    RESET = "reset"  # the connection broke; may have been executed
+    CANCELLED = "cancelled"  # cancelled by the balancer; may have been executed
+    NOT_SENT = "not sent"  # not sent, for a reason that says nothing about the server
 
     @property
     def never_ran(self) -> bool:
@@ -59,19 +59,21 @@
     name: str
     effect: Effect
     group: Group
-    aim_ms: float  # an answer within this earns its worth
+    aim_ms: float  # target response time: an answer within it earns the full worth
     deadline_ms: float
-    window_ms: float  # how long a keyed repeat is dropped
-    worth: float
-    late_worth: float = 0.0  # share of the worth that a late answer still earns
+    window_ms: float  # how long the servers deduplicate a keyed request
+    worth: float  # points earned by an answer within the target response time
+    late_worth: float = (
+        0.0  # share of the worth earned by an answer after the target, but before the deadline
+    )
     streaming: bool = False
-    in_turn: bool = False  # requests of one key run one at a time, in the order in which they came
+    in_turn: bool = False  # requests with the same key run one at a time, in order of arrival
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
     name: str
-    portion: float  # its share of the service
+    portion: float  # share of the service that the tenant is entitled to
 
 
 @dataclass(slots=True, frozen=True)
@@ -79,40 +81,43 @@
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
     zone: int = 0
-    ordinal: int = 0
+    ordinal: int = 0  # position of this instance among all instances, from 0
     instances: int = 1
-    most: int = 0  # instances that may send to the same servers, where they count themselves (`FleetSize`)
-    must_ask: bool = False  # discovery tells changes only to those who asked
+    most: int = 0  # upper bound on the instances that send to the same servers, if known (see `FleetSize`)
+    must_ask: bool = False  # discovery reports changes only to instances that subscribe with `Watch`
     may_cancel: bool = False
     may_probe: bool = False
-    second_copies: bool = False
-    retry_after: bool = False
+    second_copies: bool = False  # a second attempt may start while the first is in flight (hedging)
+    retry_after: bool = False  # refusals carry a Retry-After hint
     max_retry_after_ms: float = 0.0
     max_attempts: int = 1
-    listed_sizes: bool = True  # sizes in the list are nominal ones, not a load of some time ago
-    tick_ms: float = 1.0  # events come no oftener than this
-    cold_from: float = 1.0  # a server starts at this share of its capacity or more
-    warm_after_ms: float = 0.0
-    fall_multiple: float = 1.0  # more than this multiple of its present capacity ...
-    fall_ms: float = 1000.0  # ... for this long and a cold server falls over
-    key_quiet_ms: float = 0.0  # how long a key rests after a time-out, a reset or a cancel
-    warm_keys: bool = False  # a server that met a key lately does less work for it
-    only_draining_binds: bool = False  # one that is gone or left out may be sent to, unless it drained
-    nines_part: float = 0.0  # weight of the nines in what users judge by ...
-    nines_full: float = 3.0  # ... and so many earn it in full
+    listed_sizes: bool = True  # sizes in the server list are nominal capacities, not an outdated load
+    tick_ms: float = 1.0  # clock resolution: the minimum interval between events
+    cold_from: float = 1.0  # a server starts with at least this share of its capacity
+    warm_after_ms: float = 0.0  # time from a server's start to its full capacity
+    # A cold server fails if its load exceeds this multiple of its present capacity ...
+    fall_multiple: float = 1.0
+    fall_ms: float = 1000.0  # ... for this long.
+    key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
+    warm_keys: bool = False  # a server does less work for a key that it has served recently
+    only_draining_binds: bool = (
+        False  # only draining servers must be avoided; gone or unlisted ones need not be
+    )
+    nines_part: float = 0.0  # weight of availability, as a number of nines, in the users' objective
+    nines_full: float = 3.0  # number of nines that earns this weight in full
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """A line of the server list."""
+    """One entry of the server list."""
 
     address: Address
     state: State = State.READY
     zone: int = 0
     cell: int = 0
-    kind: int = 0
-    size: float = 1.0  # nominal, against the others'; above 0; 1 where the list tells none
-    started_at: float = 0.0  # 0: long ago
+    kind: int = 0  # machine type
+    size: float = 1.0  # nominal capacity relative to the other servers; positive; 1 if not listed
+    started_at: float = 0.0  # 0: unknown or long ago
 
 
 # Events
@@ -121,19 +126,20 @@
 @dataclass(slots=True, frozen=True)
 class Request:
     id: int
-    cls: int
-    time_left_ms: float
-    tenant: int = 0
-    key: int = 0  # its subject; 0: none
+    class_index: int  # index in `Settings.classes`
+    time_left_ms: float  # until the client's deadline
+    tenant_index: int = 0  # index in `Settings.tenants`
+    key: int = 0  # identifies the object that the request concerns; 0: none
     cost_ms: float | None = None
     is_retry: bool = False
     is_write: bool = False
-    uploading: bool = False  # its body still comes, and passes through: its time runs from `Uploaded` on
+    # The body is still arriving and is streamed through; the request's time starts with `Uploaded`.
+    uploading: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Uploaded:
-    """The last byte of a request's body has come: its time, and what its server owes, begin now."""
+    """The last byte of a request's body has arrived: response time and deadline count from now."""
 
     id: int
     time_left_ms: float
@@ -141,29 +147,31 @@
 
 @dataclass(slots=True, frozen=True)
 class StreamStarted:
-    """A long answer's first part has come and goes on to the client: the attempt has answered the request."""
+    """The first part of a streamed answer has arrived and is being forwarded; this counts as the answer."""
 
     id: int
-    attempt: int
+    attempt: int  # index of the attempt within the request, from 0
     address: Address
     elapsed_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
+    """How one attempt ended."""
+
     id: int
-    attempt: int
+    attempt: int  # index of the attempt within the request, from 0
     address: Address
     result: Result
     elapsed_ms: float
-    closed: bool  # the request has its final answer
+    request_answered: bool  # the client has its final answer
     load: tuple[float, ...] = ()
-    again: bool = True  # the request is still held whole, and could be sent once more
+    can_resend: bool = True  # the whole request is still buffered, so that it can be sent again
 
 
 @dataclass(slots=True, frozen=True)
 class ClientGone:
-    """The client no longer waits; nothing more is owed."""
+    """The client has disconnected and needs no answer any more."""
 
     id: int
 
@@ -171,14 +179,14 @@
 @dataclass(slots=True, frozen=True)
 class ServerList:
     endpoints: tuple[Endpoint, ...]
-    complete: bool  # whole list, or changed lines only
-    cached: bool = False  # the list held before a restart, perhaps old
+    complete: bool  # True: the whole list; False: only changed entries
+    cached: bool = False  # saved before a restart, possibly outdated
     revision: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryFailed:
-    """A call to discovery failed or the watch broke; the list held stands."""
+    """A discovery call failed or the watch connection broke; the current server list stays in force."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -196,7 +204,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """From another instance, where a deployment lets them talk. The balancer does not use it."""
+    """A message from another instance, in deployments that allow these. The balancer ignores it."""
 
     sender: int
     body: bytes
@@ -204,11 +212,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """How many instances there are, as they count themselves, and which place is this one's, from 0."""
+    """Number of instances, as they count themselves, and the position of this one among them."""
 
     count: int
-    ordinal: int
-    most: int  # as many as may send to the same servers, also where the view is in doubt; at least the count
+    ordinal: int  # from 0
+    # Upper bound on the instances that may send to the same servers, also while the count is in doubt.
+    max_instances: int
 
 
 Event: TypeAlias = (
@@ -230,8 +239,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt. `stop_at_ms` 0 means when the client gives up. From `begin_by_ms` on it may not
-    begin any more, however long its connection took to come up."""
+    """Start an attempt. `stop_at_ms` is when to abandon it; 0 means at the client's deadline. It must not
+    begin at or after `begin_by_ms`, however long its connection took to open."""
 
     id: int
     address: Address
@@ -241,7 +250,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: a retry will do no harm."""
+    """Final answer to the client: not served, and safe to retry."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -249,17 +258,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: nothing is promised."""
+    """Final answer to the client: failed; the request may have been executed."""
 
     id: int
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for one attempt. Its outcome still comes."""
+    """Cancel one attempt. Its `Outcome` event still follows."""
 
     id: int
-    attempt: int
+    attempt: int  # index of the attempt within the request, from 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -275,28 +284,28 @@
 
 @dataclass(slots=True, frozen=True)
 class Watch:
-    """Subscribe to changes of the server list."""
+    """Subscribe to changes of the server list, or unsubscribe."""
 
-    on: bool = True
+    subscribe: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the whole server list once."""
+    """Request the whole server list once."""
 
 
 @dataclass(slots=True, frozen=True)
 class CloseIdle:
-    """Close the connections to a server on which nothing is under way."""
+    """Close the idle connections to a server."""
 
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
 class Tell:
-    """A message to one other instance, or to all of them (None)."""
+    """Send a message to one other instance, or to all of them."""
 
-    to: int | None
+    recipient: int | None  # None: all other instances
     body: bytes
 
 
--- a/larkcrank/core/state.py
+++ b/larkcrank/core/state.py
@@ -1,6 +1,7 @@
-"""What the balancer remembers: types, and the arithmetic of fading counts. All decisions are in balancer.py.
+"""The state of the balancer: data types and exponentially decaying counters. balancer.py makes the decisions.
 
-All times are milliseconds on the caller's clock, all rates sends a millisecond.
+All times are milliseconds on the caller's clock; all rates are sends per millisecond. `HandoverState` and the
+objects in it are encoded under their field names for the next process, so these names are fixed.
 """
 
 import math
@@ -11,133 +12,140 @@
 
 
 @dataclass(slots=True)
-class Meter:
-    """A count that fades with a time constant; as a rate, corrected for its youth."""
+class DecayingCounter:
+    """A count that decays exponentially; as a rate, corrected for the short history of a new counter."""
 
-    born: float
-    at: float = -math.inf
-    count: float = 0.0
+    born: float  # start of the history
+    at: float = -math.inf  # time of the last event
+    count: float = 0.0  # decayed count at that time
 
-    def add(self, now: float, span: float) -> None:
-        # Young from its first count on: clients come long after a start, and all at once.
+    def add(self, now: float, time_constant: float) -> None:
+        # The history begins with the first event: clients arrive long after a start, and all at once.
         self.born = now if self.at == -math.inf else self.born
-        self.count, self.at = self.faded(now, span) + 1.0, now
+        self.count, self.at = self.decayed(now, time_constant) + 1.0, now
 
-    def faded(self, now: float, span: float) -> float:
-        return self.count * math.exp((self.at - now) / span)
+    def decayed(self, now: float, time_constant: float) -> float:
+        return self.count * math.exp((self.at - now) / time_constant)
 
-    def rate(self, now: float, span: float) -> float:
-        return self.faded(now, span) / (span * (1.0 - math.exp(-max(now - self.born, span / 4) / span)))
+    def rate(self, now: float, time_constant: float) -> float:
+        return self.decayed(now, time_constant) / (
+            time_constant * (1.0 - math.exp(-max(now - self.born, time_constant / 4) / time_constant))
+        )
 
 
 @dataclass(slots=True, eq=False)
-class Brake:
-    """CARD's limit on sends: cut when they outrun answers, regrown along a cubic."""
+class RateLimiter:
+    """The adaptive send limit of CARD: cut when sends exceed answers, then raised along a cubic curve."""
 
-    window_at: float  # the window under way began
-    sends: Meter
-    settled: Meter  # sends that were answered in time or missed, since the last event
-    missed: Meter  # of these: failed, or overdue
-    share: float  # of the sends settled that may be missed by chance
-    credit: float = 0.0  # sends left of the quota
-    limit: float = math.inf  # sends a millisecond; infinite: no event yet, nothing binds
-    saturated: float = 0.0  # M
-    event_at: float = -math.inf
-    rose_at: float = -math.inf
+    window_at: float  # start of the current window
+    sends: DecayingCounter
+    settled: DecayingCounter  # sends answered in time or missed, since the limit was last cut
+    missed: DecayingCounter  # of these, the sends that failed or became overdue
+    share: float  # share of the settled sends that may be missed by chance
+    credit: float = 0.0  # sends left in the quota
+    limit: float = math.inf  # sends per millisecond; infinite until the first cut
+    saturated: float = 0.0  # send rate at which the limit was last cut (M in CARD)
+    event_at: float = -math.inf  # when the limit was last cut
+    rose_at: float = -math.inf  # when the limit last rose or was cut
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """A server as this instance knows it by its own traffic."""
+    """A server as this instance knows it from its own traffic."""
 
     endpoint: Endpoint
-    brake: Brake
-    place: float  # in the ring, from 0 to 1
-    passed: float  # times the turn came by, as its size counts them
-    owes: list["Attempt"] = field(default_factory=list)  # attempts out that may still be answered
-    fails: int = 0  # failures, halved by each answer
-    benched_until: float = -math.inf  # no turns
-    answers: int = -1  # class of its last answer; below 0: none since its last failure
-    spared: dict[int, tuple[int, float]] = field(
-        default_factory=dict
-    )  # failures of one class, wary of it until
-    size: float = 1.0  # as listed, 1: the mean
-    wary_until: float = -math.inf  # turns only where no other server has quota
-    cold_credit: float = 1.0  # sends left of what it surely can do while it is cold ...
-    cold_at: float = 0.0  # ... counted up to here
-    warmth: float = 0.0  # the part of its even share that its answers show it to bear
-    ahead: int = 0  # turns taken before they came
-    mark: int = 0  # a checksum of its address
-    listed: bool = True  # or kept though the list leaves it out or calls it gone
-
-    def earn(self, now: float, rate: float) -> float:
-        """Sends left of its cold quota, at most one, after it has grown at this rate up to now."""
+    brake: RateLimiter
+    place: float  # position in the ring, from 0 to 1
+    passed: float  # turns that have come by, each counted as the relative size; 1 or more allows a send
+    owes: list["Attempt"] = field(default_factory=list)  # attempts in flight that may still be answered
+    fails: int = 0  # failures, halved by each successful answer
+    benched_until: float = -math.inf  # receives no requests before this time
+    answers: int = -1  # class index of its last answer; -1: none since its last failure
+    # By class index: failures of that class alone, and until when the server is avoided for it.
+    spared: dict[int, tuple[int, float]] = field(default_factory=dict)
+    size: float = 1.0  # capacity relative to the mean of the ring
+    wary_until: float = -math.inf  # until this time, used only if no other server has quota
+    cold_credit: float = 1.0  # sends left in the quota that applies while the server is cold ...
+    cold_at: float = 0.0  # ... as of this time
+    warmth: float = 0.0  # share of its even load that its answers have shown it to sustain
+    ahead: int = 0  # turns used in advance
+    mark: int = 0  # CRC-32 of the address
+    listed: bool = True  # False: kept although the server list omits it or reports it as gone
+
+    def refill_cold_credit(self, now: float, rate: float) -> float:
+        """Add the credit earned at this rate since the last call, up to one send; return the credit."""
         self.cold_credit = min(self.cold_credit + rate * (now - self.cold_at), 1.0)
         self.cold_at = now
         return self.cold_credit
 
-    def draw(self, subject: int, by_size: bool) -> float:
-        """Weighted rendezvous hashing (Schindelhauer and Schomaker, 2005): the largest are a key's homes."""
-        share = (hash((self.mark, subject)) % 65521 + 1) / 65522
-        return math.log(share) / (self.size if by_size else 1.0)
+    def affinity_score(self, key: int, by_size: bool) -> float:
+        """Weighted rendezvous hashing (Schindelhauer and Schomaker, 2005); a key prefers high scores."""
+        uniform = (hash((self.mark, key)) % 65521 + 1) / 65522
+        return math.log(uniform) / (self.size if by_size else 1.0)
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
     server: Server
     sent_at: float
-    index: int  # of its class
-    missed: bool = False
+    index: int  # class index of its request
+    missed: bool = False  # already counted as missed
 
 
 @dataclass(slots=True, eq=False)
-class Job:
-    """A request taken and not yet answered."""
+class PendingRequest:
+    """A request that has been accepted and not yet answered."""
 
     id: int
-    index: int  # of its class
-    cls: RequestClass
-    tenant: int
-    came_at: float
-    aim_at: float
-    ends_at: float = 0.0  # the backstop
-    last_call: float = 0.0  # held longer than this, its answer would miss the aim
-    rank: tuple[bool, float, float] = (False, 0.0, 0.0)  # in the held queue
-    uploading: bool = False  # its body still comes
-    key: int = 0  # of a class that takes turns by key; 0: free
-    subject: int = 0  # its key, where servers do less work for those that they met lately
-    waits: bool = False  # for its turn
-    rests_until: float = -math.inf  # those behind it wait so long for what it may have left running
-    sends: int = 0
-    out: dict[int, Attempt] = field(default_factory=dict)
-    ran: Attempt | None = None  # the first attempt that may have run
-    tried: list[Server] = field(default_factory=list)
+    class_index: int
+    request_class: RequestClass
+    tenant_index: int
+    arrived_at: float
+    aim_at: float  # target time for the answer
+    give_up_at: float = 0.0  # refused or failed at this time, shortly before the client's deadline
+    latest_send_at: float = 0.0  # if sent later than this, its answer would probably miss the target
+    priority: tuple[bool, float, float] = (False, 0.0, 0.0)  # in the queue; the lowest goes first
+    uploading: bool = False  # its body is still arriving
+    ordering_key: int = 0  # requests with the same key run one at a time; 0: no ordering
+    affinity_key: int = 0  # servers do less work for a key that they have served recently; 0: no affinity
+    waits_for_turn: bool = False  # an earlier request with the same ordering key is not finished
+    # After it is closed, later requests of its key wait until then: one of its attempts may still be running.
+    key_quiet_until: float = -math.inf
+    attempts_sent: int = 0
+    in_flight: dict[int, Attempt] = field(default_factory=dict)  # by attempt index
+    first_possible_run: Attempt | None = None  # the first attempt that may have been executed
+    tried_servers: list[Server] = field(default_factory=list)
 
     @property
-    def repeat_by(self) -> float:
-        """Before when another attempt may begin (rule 2): what may have run is repeated only where that is
-        harmless, a keyed one within its window."""
-        if self.ran is None or self.cls.effect is Effect.SAFE:
+    def latest_repeat_at(self) -> float:
+        """Time before which another attempt may begin (rule 2). After an attempt that may have been executed,
+        a safe request may be repeated at any time, a keyed one within its deduplication window, and an unsafe
+        one never."""
+        if self.first_possible_run is None or self.request_class.effect is Effect.SAFE:
             return math.inf
-        return -math.inf if self.cls.effect is Effect.UNSAFE else self.ran.sent_at + self.cls.window_ms
+        return (
+            -math.inf
+            if self.request_class.effect is Effect.UNSAFE
+            else self.first_possible_run.sent_at + self.request_class.window_ms
+        )
 
 
 @dataclass(slots=True, eq=False)
-class Line:
-    """Requests of one key that run one at a time."""
+class KeyQueue:
+    """Requests with the same ordering key, which run one at a time."""
 
-    jobs: deque[Job] = field(default_factory=deque)  # open ones, as they came; the first has its turn
-    strays: int = 0  # attempts without an outcome whose requests are over
-    rests_until: float = -math.inf
+    requests: deque[PendingRequest] = field(default_factory=deque)  # in order of arrival; the first may run
+    orphaned_attempts: int = 0  # attempts still in flight whose requests are closed
+    quiet_until: float = -math.inf  # no request of the key is sent before this time
 
 
 @dataclass(slots=True)
-class Learnt:
-    """What the next process of this instance needs to go on from here; owed attempts stay with this one."""
-
-    usual: list[float]
-    recent: list[float]
-    rates: list[Meter]  # of arrivals, sends, answers in time, then the tenants'
-    known: tuple[float, int, float, int]  # mean worth, requests taken, repeats saved, the turn
-    cells: dict[int, Brake]
+class HandoverState:
+    """What the next process of this instance needs to continue; attempts in flight stay with this process."""
+
+    usual: list[float]  # usual answer time of each class, in ms
+    recent: list[float]  # recent answer time of each class, in ms
+    rates: list[DecayingCounter]  # of arrivals, sends and timely answers, then the sends of each tenant
+    known: tuple[float, int, float, int]  # mean worth, requests accepted, retry budget, next ring index
+    cells: dict[int, RateLimiter]
     servers: list[Server]
