--- a/larkcrank/fleet/ranks.py
+++ b/larkcrank/fleet/ranks.py
@@ -92,7 +92,7 @@
         most = len(self._since.keys() | reckoned)
         if self.doubt is not Doubt.NONE:
             # The safer of all: the largest count that might be so; places stand.
-            most = max(most, self._configured, self._told.most)
+            most = max(most, self._configured, self._told.max_instances)
             return self._tell(FleetSize(self._told.count, self._told.ordinal, most))
         counted = frozenset(
             name for name, since in self._since.items() if now >= since + JOIN_MS or name == self._name
--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -106,7 +106,7 @@
             return "live 0 digest none []"
         membership, told, doubt = self.membership, self.ranks.told, self.ranks.doubt
         doubted = doubt.value.replace(" ", "-")
-        uses = f"place {told.ordinal} of {told.count} most {told.most} doubt {doubted}"
+        uses = f"place {told.ordinal} of {told.count} most {told.max_instances} doubt {doubted}"
         members = [
             {"name": one.name, "place": one.place, "zone": one.zone, "standing": one.standing.name.lower()}
             | {"incarnation": one.incarnation, "life": f"{one.life:x}"}
@@ -160,7 +160,9 @@
         self.counters.size, self.counters.place = ranks.told.count, ranks.told.ordinal
         if told is not None:
             doubt = ranks.doubt.value
-            self._log.event("fleet_size", count=told.count, place=told.ordinal, most=told.most, doubt=doubt)
+            self._log.event(
+                "fleet_size", count=told.count, place=told.ordinal, most=told.max_instances, doubt=doubt
+            )
             self._on_size(told)
 
     def _send(self, outs: list[Out]) -> None:
--- a/larkcrank/program/handover.py
+++ b/larkcrank/program/handover.py
@@ -17,7 +17,7 @@
 import msgspec
 
 from larkcrank.core.interface import Address
-from larkcrank.core.state import Learnt
+from larkcrank.core.state import HandoverState
 
 VERSION = 1
 MOST_BYTES = 8 << 20
@@ -35,7 +35,7 @@
     zones: list[str]
     kinds: list[str]
     places: dict[Address, tuple[str, int]]
-    learnt: Learnt
+    learnt: HandoverState
 
 
 class HandoverError(Exception):
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING, Any
 
 from larkcrank.config.sidecar import Config, ConfigError
-from larkcrank.core.balancer import ASK_EACH_MS, Balancer
+from larkcrank.core.balancer import DISCOVERY_SPREAD_PER_INSTANCE_MS, Balancer
 from larkcrank.program import handover, kept
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
@@ -78,7 +78,9 @@
             Random(self._rng.getrandbits(64)),
             self.counters,
             log.failure,
-            ASK_EACH_MS * site.decisions.instances / 1000.0 if site.decisions.must_ask else 0.0,
+            DISCOVERY_SPREAD_PER_INSTANCE_MS * site.decisions.instances / 1000.0
+            if site.decisions.must_ask
+            else 0.0,
             config.elsewhere,
             config.watch_ms,
         )
@@ -178,7 +180,7 @@
             self._names.zones,
             self._names.kinds,
             self._servers.places(),
-            self._balancer.hand_over(),
+            self._balancer.export_state(),
         )
         return handover.encode(handed)
 
@@ -232,7 +234,7 @@
         if self._together is not None and self._predecessor is None:  # beside one it asks for itself
             self._together.attach(self._discovery)
         if handed is not None:
-            self._balancer.take_over(handed.learnt)
+            self._balancer.import_state(handed.learnt)
             self._names.zones[:], self._names.kinds[:] = handed.zones, handed.kinds
             endpoints = tuple(server.endpoint for server in handed.learnt.servers)
             known = Listing(handed.generation or 0, True, endpoints, handed.places)
@@ -290,14 +292,14 @@
         except kept.KeptError as error:
             self.log.event("kept_unusable", message=str(error))
             return
-        self._balancer.start_from(usual)
+        self._balancer.restore_answer_times(usual)
         self.log.event("kept_taken", classes=len(usual))
 
     def keep(self) -> None:
         """Write what was learnt, where the configuration names a file."""
         if not self._config.kept:
             return
-        classes, usual = self._config.site.decisions.classes, self._balancer.usual_times()
+        classes, usual = self._config.site.decisions.classes, self._balancer.usual_answer_times()
         try:
             kept.write(Path(self._config.kept), self._clock(), classes, usual)
         except OSError as error:
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -122,9 +122,9 @@
         self.feed(
             Request(
                 id=exchange.id,
-                cls=exchange.cls,
+                class_index=exchange.cls,
                 time_left_ms=left,
-                tenant=exchange.tenant,
+                tenant_index=exchange.tenant,
                 key=exchange.key,
                 is_retry=exchange.call.is_retry,
                 uploading=uploading,
@@ -195,7 +195,7 @@
                 elapsed,
                 exchange.closed,
                 load,
-                again=exchange.upload is None or exchange.upload.again,
+                can_resend=exchange.upload is None or exchange.upload.again,
             )
         )
 
@@ -264,7 +264,7 @@
             case Probe():
                 self._servers.probe(action.address)
             case Watch():
-                self._discovery.watch(action.on)
+                self._discovery.watch(action.subscribe)
             case FetchList():
                 self._discovery.fetch()
             case CloseIdle():
--- a/larkcrank/simwire/codec.py
+++ b/larkcrank/simwire/codec.py
@@ -199,9 +199,9 @@
                 known = int(bits) & _COST_KNOWN
                 return Request(
                     id=number,
-                    cls=cls,
+                    class_index=cls,
                     time_left_ms=left,
-                    tenant=tenant,
+                    tenant_index=tenant,
                     key=key,
                     cost_ms=cost if known else None,
                     is_retry=bool(int(bits) & _IS_RETRY),
@@ -269,12 +269,12 @@
         case CloseIdle():
             return _ADDRESS.pack(7, action.address)
         case Tell():
-            to = EVERY_PEER if action.to is None else action.to
+            to = EVERY_PEER if action.recipient is None else action.recipient
             return _TELL.pack(8, to, len(action.body)) + action.body
         case Log():
             return _text(9, action.text)
         case Watch():
-            return _WATCH.pack(11, action.on)
+            return _WATCH.pack(11, action.subscribe)
         case FetchList():
             return _U8.pack(12)
 
--- a/tests/gone_play.py
+++ b/tests/gone_play.py
@@ -167,7 +167,7 @@
                     return [api.Send(event.id, b"s-1")]
             case api.ClientGone():
                 self.gone.add(event.id)
-            case api.Outcome() if event.result is api.Result.REJECTED and not event.closed:
+            case api.Outcome() if event.result is api.Result.REJECTED and not event.request_answered:
                 return [api.Send(event.id, b"s-1")]
         said, self._say = self._say, []
         return said
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -13,7 +13,14 @@
 import pytest
 
 from larkcrank.core import balancer as module
-from larkcrank.core.balancer import CHANCE_SHARE, RATE_MS, Balancer, has_quota, review, settle
+from larkcrank.core.balancer import (
+    ALLOWED_MISS_SHARE,
+    RATE_TIME_CONSTANT_MS,
+    Balancer,
+    has_quota,
+    record_send_result,
+    update_limit,
+)
 from larkcrank.core.interface import (
     Action,
     Cancel,
@@ -42,7 +49,7 @@
     Uploaded,
     Watch,
 )
-from larkcrank.core.state import Brake, Meter, Server
+from larkcrank.core.state import DecayingCounter, RateLimiter, Server
 
 VIEW, TAKE, BOOK, FILE = range(4)
 CLASSES = (
@@ -141,8 +148,10 @@
     return [action for action in actions if isinstance(action, (Refuse, Fail))]
 
 
-def brake(now: float = 0.0) -> Brake:
-    return Brake(now, Meter(now), Meter(now), Meter(now), CHANCE_SHARE)
+def brake(now: float = 0.0) -> RateLimiter:
+    return RateLimiter(
+        now, DecayingCounter(now), DecayingCounter(now), DecayingCounter(now), ALLOWED_MISS_SHARE
+    )
 
 
 # The limit
@@ -159,10 +168,10 @@
 def test_an_event_cuts_a_fifth_off_the_current_rate() -> None:
     one = brake()
     for t in range(0, 10_000, 10):  # 0.1 a millisecond
-        one.sends.add(float(t), RATE_MS)
-    settle(one, 10_000.0, 100.0, 1000.0, 9_000.0, True)
+        one.sends.add(float(t), RATE_TIME_CONSTANT_MS)
+    record_send_result(one, 10_000.0, 100.0, 1000.0, 9_000.0, True)
     assert one.limit == math.inf  # one miss is chance
-    settle(one, 10_001.0, 100.0, 1000.0, 9_000.0, True)
+    record_send_result(one, 10_001.0, 100.0, 1000.0, 9_000.0, True)
     assert one.saturated == pytest.approx(0.1, rel=0.03)
     assert one.limit == pytest.approx(0.8 * one.saturated)
 
@@ -174,19 +183,19 @@
     # K = 10 windows; 0.2 * ((t - K) / K) ** 3 + 1 worked by hand
     one = brake()
     one.saturated, one.limit, one.event_at, one.rose_at = 0.5, 0.4, 1000.0, 1000.0
-    review(one, 1000.0 + windows * 50.0, 50.0, 1000.0)
+    update_limit(one, 1000.0 + windows * 50.0, 50.0, 1000.0)
     assert one.limit == pytest.approx(0.5 * share)
 
 
 def test_no_event_within_the_hysteresis_after_a_rise() -> None:
     one = brake()
     one.saturated, one.limit, one.event_at = 0.5, 0.4, 0.0
-    review(one, 1000.0, 50.0, 1000.0)
+    update_limit(one, 1000.0, 50.0, 1000.0)
     risen = one.limit
     for _ in range(4):
-        settle(one, 1050.0, 50.0, 1000.0, 900.0, True)
+        record_send_result(one, 1050.0, 50.0, 1000.0, 900.0, True)
     assert one.limit >= risen  # behind, but too soon
-    review(one, 1151.0, 50.0, 1000.0)
+    update_limit(one, 1151.0, 50.0, 1000.0)
     assert one.limit < risen
 
 
@@ -196,11 +205,11 @@
     for t in range(0, 1000, 10):
         one.sends.add(float(t), 500.0)
     for _ in range(2):
-        settle(one, 1000.0, 50.0, 500.0, 900.0, True)
+        record_send_result(one, 1000.0, 50.0, 500.0, 900.0, True)
     limit = one.limit
     assert limit < math.inf
     for t in range(1000, 3000, 100):
-        settle(one, float(t), 50.0, 500.0, 990.0, True)
+        record_send_result(one, float(t), 50.0, 500.0, 990.0, True)
     assert one.event_at == 1000.0 and one.limit == limit
 
 
@@ -209,9 +218,9 @@
     # limits of paused servers stood at a tenth of their share for seconds.
     one = brake()
     for t in range(0, 3000, 20):  # 0.05 a millisecond
-        one.sends.add(float(t), RATE_MS)
+        one.sends.add(float(t), RATE_TIME_CONSTANT_MS)
     for _ in range(2):
-        settle(one, 3500.0, 30.0, 150.0, 2990.0, True)
+        record_send_result(one, 3500.0, 30.0, 150.0, 2990.0, True)
     assert one.saturated == pytest.approx(0.05, rel=0.35)
 
 
@@ -226,7 +235,7 @@
 def test_the_floor_is_one_send_a_span() -> None:
     one = brake()
     for t in (10_000.0, 10_001.0):
-        settle(one, t, 100.0, 2000.0, 9_000.0, True)  # nothing sent of late
+        record_send_result(one, t, 100.0, 2000.0, 9_000.0, True)  # nothing sent of late
     assert one.saturated == pytest.approx(1 / 2000.0)
 
 
@@ -357,7 +366,7 @@
         desk.wait(50.0)
         for number in numbers:
             desk.end(number, elapsed=50.0)
-    most = int(desk.balancer._owe_all)
+    most = int(desk.balancer._max_in_flight)
     assert most >= 10
     for _ in range(most // 2):
         desk.take(TAKE, left=4000.0)
@@ -376,11 +385,11 @@
     # It once followed arrivals: in a burst every instance let every server owe more, and all servers choked.
     desk = Desk(servers=4)
     desk.warm(100, gap=20.0)
-    before = desk.balancer._owe_each
+    before = desk.balancer._usual_in_flight_per_server
     for _ in range(100):
         desk.take(TAKE, left=4000.0)
         desk.wait(4.0)
-    assert desk.balancer._owe_each <= before
+    assert desk.balancer._usual_in_flight_per_server <= before
 
 
 def test_an_answer_that_never_comes_does_not_shut_its_server() -> None:
@@ -441,7 +450,7 @@
             ends[key] = desk.now + rng.choice([8.0, 8.0, 8.0, 30.0, 50.0]), desk.now
         for key in sorted(key for key, (end, _) in ends.items() if end <= desk.now):
             desk.end(key[0], attempt=key[1], elapsed=desk.now - ends.pop(key)[1])
-    assert desk.balancer._owe_each * 10 > 0.8 * sum(out[-2000:]) / 2000
+    assert desk.balancer._usual_in_flight_per_server * 10 > 0.8 * sum(out[-2000:]) / 2000
 
 
 def test_all_servers_together_owe_only_so_much() -> None:
@@ -521,7 +530,7 @@
             desk.end(number, Result.ERROR, attempt, elapsed=2.0)
         desk.wait(100.0)
     further = sum(desk.sent.values()) - len(desk.sent)
-    assert 0 < further <= module.RETRY_SAVED + module.RETRY_SHARE * total
+    assert 0 < further <= module.MAX_RETRY_BUDGET + module.RETRY_BUDGET_SHARE * total
 
 
 def test_every_request_gets_one_final_answer_before_its_deadline() -> None:
@@ -581,7 +590,7 @@
     desk.end(number, Result.CANCELLED)
     server = desk.balancer._servers[sends(actions)[0]]
     assert server.fails == 0
-    assert server.benched_until <= desk.now + module.OVERDUE_TIMES * desk.balancer._window
+    assert server.benched_until <= desk.now + module.OVERDUE_FACTOR * desk.balancer._window_ms
 
 
 def test_on_thin_traffic_a_late_answer_costs_the_next_turn() -> None:
@@ -617,13 +626,13 @@
 def test_waiting_in_a_crowd_does_not_become_the_usual_answer_time() -> None:
     desk = Desk(servers=3)
     desk.warm(60, gap=40.0)
-    usual = desk.balancer._usual[VIEW]
+    usual = desk.balancer._usual_ms[VIEW]
     for _ in range(20):
         number, _ = desk.take(left=2500.0)
         desk.wait(90.0)
         if (number, 0) in desk.out:
             desk.end(number, elapsed=90.0)
-    assert desk.balancer._usual[VIEW] < usual + 12.0
+    assert desk.balancer._usual_ms[VIEW] < usual + 12.0
 
 
 # Discovery, drains, cold servers
@@ -658,7 +667,7 @@
 
 def test_discovery_is_asked_soon_and_again_after_failures_with_jittered_waits() -> None:
     times = calls(instances=6, until=30_000.0, seeds=6)
-    assert sum(time <= 6 * module.ASK_EACH_MS + 5.0 for time in times) >= 6
+    assert sum(time <= 6 * module.DISCOVERY_SPREAD_PER_INSTANCE_MS + 5.0 for time in times) >= 6
     assert 6 * 4 <= len(times) <= 6 * 40
 
 
@@ -792,9 +801,9 @@
     found = parts(instances, servers)
     shares = Counter(address for part in found for address in part)
     each = sum(shares.values()) / servers
-    assert len(shares) == servers and each >= module.PART_SHARERS[1] * 0.9
+    assert len(shares) == servers and each >= module.MIN_INSTANCES_PER_SERVER[1] * 0.9
     assert 0.5 * each <= min(shares.values()) and max(shares.values()) <= 1.6 * each
-    assert len({len(part) for part in found}) == 1 and len(found[0]) >= module.PART_LEAST
+    assert len({len(part) for part in found}) == 1 and len(found[0]) >= module.MIN_SUBSET_SERVERS
 
 
 def test_a_part_hardly_changes_when_one_server_goes() -> None:
@@ -836,7 +845,7 @@
         desk = Desk(servers=0, instances=100, ordinal=ordinal, warm_after_ms=9000.0, cold_from=0.2)
         desk.do(ServerList(lines, complete=True))
         warm = sum(not server.endpoint.started_at for server in desk.balancer._ring)
-        assert module.PART_LEAST <= warm < 20
+        assert module.MIN_SUBSET_SERVERS <= warm < 20
 
 
 def test_a_part_that_loses_its_servers_takes_the_next_ones() -> None:
@@ -846,7 +855,7 @@
     desk.do(ServerList(tuple(lines), complete=True))
     own = [server.endpoint.address for server in desk.balancer._ring]
     desk.do(ServerList(tuple(Endpoint(address, State.DRAINING) for address in own[1:]), complete=False))
-    assert len(desk.balancer._ring) >= module.PART_LEAST
+    assert len(desk.balancer._ring) >= module.MIN_SUBSET_SERVERS
     assert own[0] in {server.endpoint.address for server in desk.balancer._ring}
 
 
@@ -858,9 +867,9 @@
         desk = Desk(servers=0, seed=ordinal, instances=40, ordinal=ordinal)
         desk.do(ServerList(lines, complete=True))
         desk.wait(1000.0)
-        desk.balancer._measure()
-        fleet += desk.balancer._owe_all  # nothing has been answered: the shared places alone
-    assert fleet == pytest.approx(module.OWED_SHARED * 60, rel=0.1)
+        desk.balancer._update_estimates()
+        fleet += desk.balancer._max_in_flight  # nothing has been answered: the shared places alone
+    assert fleet == pytest.approx(module.SHARED_IN_FLIGHT_PER_SERVER * 60, rel=0.1)
 
 
 def test_work_for_one_event_does_not_grow_with_the_number_of_servers() -> None:
@@ -870,14 +879,14 @@
         desk.do(ServerList(lines, complete=True))
         for server in desk.balancer._ring:
             server.benched_until = 1e9
-        count, there = 0, desk.balancer._open
+        count, there = 0, desk.balancer._can_accept
 
         def counted(server: Server) -> bool:
             nonlocal count
             count += 1
             return there(server)
 
-        desk.balancer._open = counted  # type: ignore[method-assign]
+        desk.balancer._can_accept = counted  # type: ignore[method-assign]
         desk.take()
         return count
 
@@ -967,7 +976,7 @@
     desk.do(TimerFired(0))
     for _ in range(6):
         desk.take()
-    armed = desk.balancer._armed
+    armed = desk.balancer._timer_at
     desk.now = armed + 300.0
     for _ in range(50):
         desk.take()
@@ -989,7 +998,7 @@
         for key in list(desk.out):
             desk.end(key[0], attempt=key[1], elapsed=900.0 if slow else 20.0)
         desk.wait(600.0)
-    cells, own = desk.balancer._cells, [server.brake for server in desk.balancer._ring]
+    cells, own = desk.balancer._cell_limiters, [server.brake for server in desk.balancer._ring]
     assert cells[sick].event_at > 0.0 and cells[1].limit == math.inf
     assert all(brake.limit == math.inf for brake in own)  # one miss cuts one limit
 
@@ -1088,7 +1097,7 @@
         desk.end(number, elapsed=400.0)
         desk.wait(100.0)
     number, _ = desk.take(0, left=3000.0)
-    attempt = desk.balancer._attempts[number, 0]
+    attempt = desk.balancer._owed_attempts[number, 0]
     desk.wait(due - 20.0)
     assert not attempt.missed
     desk.wait(40.0)
@@ -1138,7 +1147,7 @@
     desk.warm()
     number, actions = upload(desk)
     where = sends(actions)[0]
-    actions = desk.do(Outcome(number, 0, where, Result.CONNECT_FAILED, 5.0, False, again=again))
+    actions = desk.do(Outcome(number, 0, where, Result.CONNECT_FAILED, 5.0, False, can_resend=again))
     if again:
         assert sends(actions) and sends(actions) != [where]
     else:
@@ -1152,7 +1161,7 @@
     desk.wait(40.0)
     desk.do(StreamStarted(number, 0, sends(actions)[0], 40.0))
     server = desk.balancer._servers[address(0)]
-    assert (server.owes, desk.balancer._attempts) == ([], {})
+    assert (server.owes, desk.balancer._owed_attempts) == ([], {})
     desk.wait(20_000.0)  # a slow reader
     desk.do(Outcome(number, 0, sends(actions)[0], Result.CANCELLED, 20_040.0, True))
     assert (server.fails, server.brake.limit, server.benched_until) == (0, math.inf, -math.inf)
@@ -1166,7 +1175,7 @@
     for _ in range(150):
         desk.take()
         desk.wait(4.0)
-    assert desk.balancer._arrivals.rate(desk.now, RATE_MS) == pytest.approx(0.25, rel=0.1)
+    assert desk.balancer._arrivals.rate(desk.now, RATE_TIME_CONSTANT_MS) == pytest.approx(0.25, rel=0.1)
 
 
 def failing(desk: Desk, bad: set[bytes], duration: float) -> int:
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from larkcrank.core.balancer import COLD_CLAIM, Balancer
+from larkcrank.core.balancer import MAX_COLD_LOAD_SHARE, Balancer
 from larkcrank.core.interface import Endpoint, Outcome, Request, Result, Send, ServerList, Settings
 from larkcrank.lab.cold import Case, Scenario, play
 from larkcrank.lab.endpoints import Endpoint as BenchEndpoint
@@ -63,7 +63,7 @@
                 to_cold += action.address == address(1)
                 done = Outcome(number, 0, action.address, Result.OK, 1.0, True)
         balancer.handle(now + 1.0, done)
-    claim = COLD_CLAIM * multiple * cold_from
+    claim = MAX_COLD_LOAD_SHARE * multiple * cold_from
     assert 0.9 * claim * 500 < to_cold < 1.15 * claim * 500
 
 
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -156,7 +156,9 @@
                 assert (await client.call("view")).status == 200
             before = len(two.requests)
             waiting = x.Waiting(bed)
-            waiting.on_outcome = lambda outcome: [] if outcome.closed else [api.Send(outcome.id, b"s-2")]
+            waiting.on_outcome = lambda outcome: (
+                [] if outcome.request_answered else [api.Send(outcome.id, b"s-2")]
+            )
             one.serve = leave_and_decline
             x.ask(client, shape)
             waiting.say(api.Send(await waiting.request(), b"s-1"))
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -130,7 +130,7 @@
         assert logged_before == ["decision"]  # the first event's actions were all carried out
         (outcome,) = stand.decisions.seen(api.Outcome)
         assert isinstance(outcome, api.Outcome)
-        assert (outcome.result, outcome.closed) == (api.Result.NOT_SENT, False)
+        assert (outcome.result, outcome.request_answered) == (api.Result.NOT_SENT, False)
         assert exchange.closed and stand.logged() == ["decision"]
 
     b.run(work())
@@ -211,7 +211,7 @@
         stand = Stand(decide, one)
         exchange = stand.take()
         outcome = await stand.outcome()
-        assert (outcome.result, outcome.closed) == (api.Result.NOT_SENT, True)
+        assert (outcome.result, outcome.request_answered) == (api.Result.NOT_SENT, True)
         assert not one.requests and exchange.attempts == 1
         await one.stop()
 
@@ -256,7 +256,7 @@
         stand = Stand(send_for(20.0), one)
         stand.take()
         outcome = await stand.outcome()
-        assert (outcome.result, outcome.closed) == (api.Result.TIMEOUT, False)
+        assert (outcome.result, outcome.request_answered) == (api.Result.TIMEOUT, False)
         await one.stop()
 
     b.run(work())
--- a/tests/test_fleet_ranks.py
+++ b/tests/test_fleet_ranks.py
@@ -80,9 +80,9 @@
     assert one.run(HOLD_MS - 2000) == []
     one.run(60_000)
     assert one.ranks.told.count == 19
-    assert one.ranks.told.most == 20  # it may live on where we can't see it
+    assert one.ranks.told.max_instances == 20  # it may live on where we can't see it
     one.run(RECKON_MS)
-    assert one.ranks.told.most == 19
+    assert one.ranks.told.max_instances == 19
 
 
 def test_a_member_that_flaps_shifts_the_others_ever_more_seldom() -> None:
@@ -147,7 +147,9 @@
     world.cut = lambda a, b: a % 2 != b % 2
     world.run(120_000)
     told = [world.ranks[number].told for number in world.members]
-    assert all(one.count < 10 <= one.most for one in told)  # each side keeps to all servers by itself
+    assert all(
+        one.count < 10 <= one.max_instances for one in told
+    )  # each side keeps to all servers by itself
     world.cut = lambda a, b: False
     world.run(120_000)
     assert world.is_settled() and world.are_placed()
@@ -200,7 +202,7 @@
         balancer.handle(0.0, ServerList(endpoints, complete=True))
         balancer.handle(1.0, size)
         balancer.handle(2.0, size)
-        return balancer._owe_all
+        return balancer._max_in_flight
 
     assert owed(FleetSize(2, 0, 20)) == owed(FleetSize(20, 0, 20)) < owed(FleetSize(2, 0, 2))
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -135,8 +135,8 @@
     while history.out:
         history.step("outcome", 0, RESULTS.index(api.Result.ERROR))
         history.wait(100.0)
-    kept = {*history.balancer._jobs, *(job.id for job in history.balancer._held)}
-    kept |= {job.id for line in history.balancer._lines.values() for job in line.jobs}
+    kept = {*history.balancer._requests, *(job.id for job in history.balancer._queue)}
+    kept |= {job.id for line in history.balancer._key_queues.values() for job in line.requests}
     assert not kept & history.gone, "kept for a client that has gone"
 
 
@@ -161,24 +161,24 @@
 
 
 def _still_held(balancer: Balancer, number: int) -> None:
-    held = list(balancer._held)
+    held = list(balancer._queue)
     _CLOSE(balancer, number)
-    balancer._held = held
+    balancer._queue = held
 
 
 def _still_in_line(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
-    job = balancer._jobs.get(event.id) if isinstance(event, api.ClientGone) else None
+    job = balancer._requests.get(event.id) if isinstance(event, api.ClientGone) else None
     actions = _HANDLE(balancer, now, event)
-    if job is not None and (line := balancer._lines.get(job.key)) is not None:
-        line.jobs.append(job)
+    if job is not None and (line := balancer._key_queues.get(job.ordering_key)) is not None:
+        line.requests.append(job)
     return actions
 
 
-_HANDLE, _CLOSE = Balancer.handle, Balancer._close
+_HANDLE, _CLOSE = Balancer.handle, Balancer._remove_request
 
 
 @pytest.mark.parametrize(
-    ("name", "planted"), [("handle", _unheard), ("_close", _still_held), ("handle", _still_in_line)]
+    ("name", "planted"), [("handle", _unheard), ("_remove_request", _still_held), ("handle", _still_in_line)]
 )
 def test_the_histories_find_a_planted_fault(name: str, planted: Callable[..., Any]) -> None:
     find = settings(max_examples=300, phases=[Phase.generate], report_multiple_bugs=False)(
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -82,7 +82,7 @@
                 bed.sidecar._take_up(str(path))
                 assert "kept_taken" in bed.events()
                 aims = [cls.aim_ms for cls in classes]
-                times = bed.sidecar._balancer.usual_times()
+                times = bed.sidecar._balancer.usual_answer_times()
                 assert all(0.01 * aim <= one <= aim for one, aim in zip(times, aims, strict=True))
             clients = [await bed.client() for _ in range(4)]
             for _ in range(8):
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -199,7 +199,7 @@
         async with b.bed(b.Endpoint("s-1", b.after(gate))) as bed:
             client = await bed.client()
             client.writer.write(head_of("take", b"Content-Length: %d" % len(LONG)) + LONG)
-            await b.until(lambda: bool(bed.sidecar._balancer._attempts))
+            await b.until(lambda: bool(bed.sidecar._balancer._owed_attempts))
             await asyncio.sleep(0.6)
             gate.set()
             assert (await client.answer()).status == 200
@@ -346,7 +346,7 @@
             assert await client.reader.readexactly(1000) == LONG[:1000]
             await asyncio.sleep(0.5)
             server = next(iter(bed.sidecar._balancer._servers.values()))
-            assert (server.fails, server.owes, bed.sidecar._balancer._attempts) == (0, [], {})
+            assert (server.fails, server.owes, bed.sidecar._balancer._owed_attempts) == (0, [], {})
             gate.set()
             assert await client.reader.readexactly(99_000) == LONG[1000:100_000]
 
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -8,7 +8,7 @@
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 
-from larkcrank.core.balancer import BENCH_DOUBLINGS, UNLISTED_LEAST, Balancer
+from larkcrank.core.balancer import MAX_BACKOFF_DOUBLINGS, MIN_UNLISTED_KEPT, Balancer
 from larkcrank.core.interface import (
     Action,
     ClientGone,
@@ -60,7 +60,7 @@
         self.breaks: list[str] = []
 
     def took(self, request: Request) -> None:
-        if CLASSES[request.cls].in_turn and request.key:
+        if CLASSES[request.class_index].in_turn and request.key:
             self.keys.setdefault(request.key, []).append(request.id)
             self.key_of[request.id], self.seen[request.id] = request.key, Seen()
 
@@ -185,14 +185,16 @@
         world.wait(100.0)
     assert world.checker.breaks == [] and world.late == [] and world.ends == {}
     left = world.balancer
-    assert not (left._lines or left._strays or left._jobs or left._attempts or left._held)
+    assert not (
+        left._key_queues or left._orphaned_attempts or left._requests or left._owed_attempts or left._queue
+    )
 
 
 def test_the_checker_catches_a_balancer_without_the_rule() -> None:
     caught = 0
 
     def free(self: Balancer, job: Any, key: int) -> None:
-        self._hold(job)
+        self._enqueue(job)
 
     @settings(EXAMPLES, max_examples=40)
     @given(steps=STEPS, seed=st.integers(0, 50))
@@ -200,7 +202,7 @@
         nonlocal caught
         caught += bool(play(steps, seed, True).checker.breaks)
 
-    with mock.patch.object(Balancer, "_line_up", free):
+    with mock.patch.object(Balancer, "_enqueue_for_key", free):
         run()
     assert caught > 5
 
@@ -367,17 +369,17 @@
     world = World(only_draining_binds=True)
     world.do(whole(0, 1))
     server = world.balancer._servers[address(2)]
-    server.fails = BENCH_DOUBLINGS - 1
+    server.fails = MAX_BACKOFF_DOUBLINGS - 1
     while (number := world.ask(LOOK, key=0)) and world.out[number, 0] != address(2):
         world.end(number)
     world.end(number, Result.CONNECT_FAILED)
-    assert server not in world.balancer._ring and server.fails == BENCH_DOUBLINGS
+    assert server not in world.balancer._ring and server.fails == MAX_BACKOFF_DOUBLINGS
     world.do(whole(2))  # the list speaks for it again
     assert server in world.balancer._ring
 
     alone = World(servers=1, only_draining_binds=True)
     alone.do(ServerList((), complete=True))
-    alone.balancer._servers[address(0)].fails = BENCH_DOUBLINGS - 1
+    alone.balancer._servers[address(0)].fails = MAX_BACKOFF_DOUBLINGS - 1
     alone.end(alone.ask(LOOK, key=0), Result.CONNECT_FAILED)
     assert [server.endpoint.address for server in alone.balancer._ring] == [address(0)]
 
@@ -386,7 +388,7 @@
     world = World(only_draining_binds=True)
     for first in range(0, 250, 10):
         world.do(whole(*range(first, first + 10)))
-    assert len(world.balancer._servers) <= 10 + UNLISTED_LEAST
+    assert len(world.balancer._servers) <= 10 + MIN_UNLISTED_KEPT
 
 
 def test_a_cold_return_under_the_same_address_is_told_by_the_list() -> None:
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -49,7 +49,7 @@
 
 def handed(balancer: Balancer) -> Handed:
     places = {b"a": ("127.0.0.1", 1), b"b": ("127.0.0.1", 2)}
-    return Handed("n0", "s", 41, ["here"], ["plain"], places, balancer.hand_over())
+    return Handed("n0", "s", 41, ["here"], ["plain"], places, balancer.export_state())
 
 
 def body(balancer: Balancer) -> bytes:
@@ -60,10 +60,10 @@
     old = taught()
     found = handover.decode(body(old), "n0", "s")
     new = Balancer(convert(SETTINGS).decisions, Random(8), 2300.0)
-    new.take_over(found.learnt)
+    new.import_state(found.learnt)
     new.handle(2300.0, ServerList(tuple(s.endpoint for s in found.learnt.servers), True, cached=True))
     old.handle(2300.0, ServerList((), complete=False))
-    assert new.usual_times() == old.usual_times()
+    assert new.usual_answer_times() == old.usual_answer_times()
     for address, server in old._servers.items():
         same = new._servers[address]
         assert same.owes == []  # the attempts are the other process's
@@ -76,7 +76,7 @@
     cold.handle(2300.0, ServerList(tuple(s.endpoint for s in found.learnt.servers), True, cached=True))
     for one in (old, new, cold):
         one.handle(2300.0, TimerFired(-1))
-    assert new._even == pytest.approx(old._even) and new._even > 10 * cold._even
+    assert new._even_rate == pytest.approx(old._even_rate) and new._even_rate > 10 * cold._even_rate
 
 
 @given(st.data())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -49,7 +49,7 @@
     """What the machine knows of one request."""
 
     def __init__(self, request: Request, now: float) -> None:
-        self.cls = CLASSES[request.cls]
+        self.cls = CLASSES[request.class_index]
         self.deadline = now + request.time_left_ms
         self.sends = 0
         self.out: dict[int, bytes] = {}
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -4,7 +4,13 @@
 
 import pytest
 
-from larkcrank.core.balancer import AHEAD_MOST, DOUBT_FAILS, OWED_SHARED, PART_SERVERS, RATE_MS
+from larkcrank.core.balancer import (
+    MAX_TURNS_AHEAD,
+    RATE_TIME_CONSTANT_MS,
+    SHARED_IN_FLIGHT_PER_SERVER,
+    STALE_LIST_FAILURES,
+    SUBSET_SERVERS,
+)
 from larkcrank.core.interface import (
     Action,
     Effect,
@@ -18,7 +24,7 @@
     Send,
     ServerList,
 )
-from larkcrank.core.state import Job
+from larkcrank.core.state import PendingRequest
 from tests.test_balancer import Desk, address, sends
 
 QUICK, HEAVY = range(2)
@@ -42,8 +48,8 @@
     homes = set()
     for seed in range(6):
         desk = Desk(servers=8, seed=seed, warm_keys=True)
-        job = Job(1, 0, CLASSES[0], 0, 0.0, 600.0, subject=77)
-        homes.add(tuple(server.endpoint.address for server in desk.balancer._homes(job)))
+        job = PendingRequest(1, 0, CLASSES[0], 0, 0.0, 600.0, affinity_key=77)
+        homes.add(tuple(server.endpoint.address for server in desk.balancer._home_servers(job)))
         assert ask(desk, key=77) == [next(iter(homes))[0]]
     assert len(homes) == 1
     cold = Desk(servers=8)
@@ -59,7 +65,7 @@
     for _ in range(200):
         for place in ask(desk, key=5):
             took[place[3]] += 1
-    assert max(took) - min(took) <= 2 * AHEAD_MOST
+    assert max(took) - min(took) <= 2 * MAX_TURNS_AHEAD
 
 
 def test_a_home_that_failed_is_left_for_the_next_one_and_no_key_waits_for_it() -> None:
@@ -70,7 +76,7 @@
     assert len(places) == 3 and home not in places
 
 
-@pytest.mark.parametrize("listed, met", [(True, PART_SERVERS), (False, 30)])
+@pytest.mark.parametrize("listed, met", [(True, SUBSET_SERVERS), (False, 30)])
 def test_an_instance_meets_all_servers_where_no_sizes_are_told(listed: bool, met: int) -> None:
     desk = Desk(servers=30, instances=100, listed_sizes=listed)
     assert len(desk.balancer._ring) == met
@@ -115,7 +121,7 @@
     fleet.play(10, (50.0, 50.0))
     fleet.play(5, (50.0, 1500.0))  # until it is noticed
     fleet.play(20, (50.0, 1500.0))
-    assert fleet.balancer._stuck == {HEAVY}
+    assert fleet.balancer._stalled_classes == {HEAVY}
     assert fleet.refused[QUICK] == 0 and fleet.went[QUICK] > 240
     assert (
         0 < fleet.went[HEAVY] < 60 and fleet.refused[HEAVY] > 150
@@ -123,14 +129,14 @@
     assert not any(server.wary_until > fleet.now for server in fleet.balancer._ring)
     fleet.play(10, (50.0, 50.0))
     fleet.play(10, (50.0, 50.0))
-    assert fleet.balancer._stuck == set() and fleet.refused == [0, 0]
+    assert fleet.balancer._stalled_classes == set() and fleet.refused == [0, 0]
 
 
 def test_where_all_classes_wait_it_is_the_servers_and_limits_are_cut() -> None:
     fleet = Fleet()
     fleet.play(10, (50.0, 50.0))
     fleet.play(20, (1500.0, 1500.0))
-    assert fleet.balancer._stuck == set()
+    assert fleet.balancer._stalled_classes == set()
     assert sum(fleet.refused) > 100
 
 
@@ -155,12 +161,12 @@
     desk = Desk(servers=4, warm_keys=True)
     for number in range(400):
         ask(desk, key=1 + number % 50)
-    assert min(server.ahead for server in desk.balancer._ring) < AHEAD_MOST
+    assert min(server.ahead for server in desk.balancer._ring) < MAX_TURNS_AHEAD
     at_home = 0
     for number in range(200):
-        job = Job(1, 0, CLASSES[0], 0, 0.0, 600.0, subject=1 + number % 50)
-        home = desk.balancer._homes(job)[0].endpoint.address
-        at_home += ask(desk, key=job.subject) == [home]
+        job = PendingRequest(1, 0, CLASSES[0], 0, 0.0, 600.0, affinity_key=1 + number % 50)
+        home = desk.balancer._home_servers(job)[0].endpoint.address
+        at_home += ask(desk, key=job.affinity_key) == [home]
     assert at_home > 110  # with turns alone 50
 
 
@@ -180,7 +186,7 @@
     desk = Desk(servers=20, instances=50)
     before = {server.endpoint.address for server in desk.balancer._ring}
     play(desk, 80, before)
-    assert sum(server.fails >= DOUBT_FAILS for server in desk.balancer._ring) >= 2
+    assert sum(server.fails >= STALE_LIST_FAILURES for server in desk.balancer._ring) >= 2
     assert {server.endpoint.address for server in desk.balancer._ring} == before
 
 
@@ -192,8 +198,8 @@
     # ones refused what servers could take (the later panel on sockets: 0.785 in place of 0.837).
     desk = Desk(servers=4, instances=instances)
     desk.warm(400, gap=20.0)
-    usual = desk.balancer._served.rate(desk.now, RATE_MS) * desk.balancer._window
-    cap = desk.balancer._owe_all - 4 * OWED_SHARED / desk.balancer._sharers
+    usual = desk.balancer._timely_answers.rate(desk.now, RATE_TIME_CONSTANT_MS) * desk.balancer._window_ms
+    cap = desk.balancer._max_in_flight - 4 * SHARED_IN_FLIGHT_PER_SERVER / desk.balancer._instances_per_server
     assert usual > 0.8
     assert cap == pytest.approx(min(3.0 * usual, usual + deviations * math.sqrt(usual)), rel=0.05)
 
@@ -206,6 +212,6 @@
         number, actions = desk.take()
         assert sends(actions)
         desk.end(number, elapsed=0.0)
-    desk.balancer._takes[0] = 0.0  # as thousands of them leave it
-    desk.balancer._size()
+    desk.balancer._machine_type_times[0] = 0.0  # as thousands of them leave it
+    desk.balancer._update_sizes()
     assert {server.size for server in desk.balancer._ring} == {1.0}
