--- a/larkcrank/simwire/__init__.py
+++ b/larkcrank/simwire/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter that puts the simulator's wire before the decisions; it decides nothing itself."""
+"""Adapter between the simulator's binary protocol and the balancer. It makes no routing decisions itself."""
--- a/larkcrank/simwire/__main__.py
+++ b/larkcrank/simwire/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m larkcrank.simwire`: the decisions on the simulator's wire, standard input to output."""
+"""`python -m larkcrank.simwire`: runs balancers for the simulator over standard input and output."""
 
 import gc
 import sys
@@ -8,7 +8,7 @@
 
 
 def main() -> int:
-    gc.freeze()
+    gc.freeze()  # excludes the objects made by the imports from garbage collection
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
--- a/larkcrank/simwire/codec.py
+++ b/larkcrank/simwire/codec.py
@@ -1,7 +1,7 @@
-"""Frames of the simulator's wire to events, and actions to frames.
+"""Decodes batch frames from the simulator into events, and encodes actions into reply frames.
 
-Layouts are big-endian without padding. A `WireError` names what is wrong and the byte it is at,
-counted from the start of the frame.
+All integers and floats are big-endian, without padding. A `WireError` says what is wrong and at which
+byte, counted from the start of the frame.
 """
 
 import math
@@ -40,58 +40,62 @@
 
 
 class WireError(Exception):
-    """The input does not follow the wire's layout."""
+    """The input does not follow the frame layout."""
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
-    """An instance begins, empty."""
+class StartInstance:
+    """Create a balancer instance without any state."""
 
     seed: int
     config: bytes
-    offset: int  # of the config in its frame, for messages
+    config_offset: int  # position of `config` in its frame, in bytes, for error messages
 
 
 @dataclass(slots=True, frozen=True)
-class Stop:
-    """An instance was killed; all it held is void."""
+class StopInstance:
+    """Remove a balancer instance that was killed, with all its state."""
 
 
-Record: TypeAlias = Event | Start | Stop
+Record: TypeAlias = Event | StartInstance | StopInstance
 
-HEADER = Struct(">dII")
-REPLY_HEADER = Struct(">I")
-MAX_LISTS = 16
-EVERY_PEER = 0xFFFFFFFF
-LOG_BYTES = 0xFFFF
+BATCH_HEADER = Struct(">dII")  # current time in ms, length of the body in bytes, number of records
+REPLY_HEADER = Struct(">I")  # length of the body in bytes
+MAX_SERVER_LISTS = 16
+BROADCAST_PEER = 0xFFFFFFFF
+MAX_TEXT_BYTES = 0xFFFF  # the length field has 16 bits
 
 _U8 = Struct(">B")
 _U32 = Struct(">I")
 _U64 = Struct(">Q")
-_SUBMIT = Struct(">IBIQddB")
-_OUTCOME = Struct(">I6sBdHH")
-_ACCEPTED = Struct(">IH6sd")
-_PROBED = Struct(">Hd6s")
-_MEMBERSHIP = Struct(">QIB")
-_ENTRY = Struct(">6sBHBBfd")
-_SEED = Struct(">QI")
-_PAGE = Struct(">II")
-_PEER = Struct(">IH")
 
+# Layouts of the records in a batch, after the code byte.
+_REQUEST = Struct(">IBIQddB")  # request, class, tenant, key, time left in ms, cost in ms, flags
+_OUTCOME = Struct(">I6sBdHH")  # request, address, closed, elapsed ms, result code, attempt
+_STREAM_STARTED = Struct(">IH6sd")  # request, attempt, address, elapsed ms
+_PROBE_RESULT = Struct(">Hd6s")  # result code, elapsed ms, address
+_SERVER_LIST = Struct(">QIB")  # revision, list number, list mode
+_LIST_ENTRY = Struct(">6sBHBBfd")  # address, zone, cell, state, kind, size, start time
+_START_INSTANCE = Struct(">QI")  # random seed, length of the settings in bytes
+_LIST_DEFINITION = Struct(">II")  # list number, number of entries
+_PEER_MESSAGE = Struct(">IH")  # sender, length of the message in bytes
+
+# Layouts of the actions in a reply. The first field is the action code.
 _SEND = Struct(">BI6sd")
 _REFUSE = Struct(">BId")
 _FAIL = Struct(">BI")
 _CANCEL = Struct(">BIH")
-_TIMER = Struct(">BdQ")
-_ADDRESS = Struct(">B6s")
+_SET_TIMER = Struct(">BdQ")
+_ADDRESS_ACTION = Struct(">B6s")
 _TELL = Struct(">BIH")
 _WATCH = Struct(">BB")
-_TEXT = Struct(">BH")
-_SPEAKING = Struct(">BI")
+_TEXT_HEADER = Struct(">BH")
+_REPLY_INSTANCE = Struct(">BI")
 
-_COST_KNOWN, _IS_RETRY, _IS_WRITE = 1, 2, 4
+# Bits of the flags of a request.
+_HAS_COST, _IS_RETRY, _IS_WRITE = 1, 2, 4
 
-_RESULTS = {
+_RESULT_BY_CODE = {
     100: Result.OK,
     301: Result.ERROR,
     302: Result.REJECTED,
@@ -101,155 +105,168 @@
     306: Result.CANCELLED,
     307: Result.NOT_SENT,
 }
-_STATES = {int(state): state for state in State}
-_DELTA, _FULL, _CACHED, _FAILED = 0, 1, 2, 3
+_STATE_BY_CODE = {int(state): state for state in State}
 
+# List modes: changed entries only, the complete list, a complete list cached from before a restart, and a
+# failed call to discovery.
+_LIST_DELTA, _LIST_FULL, _LIST_CACHED, _LIST_FAILED = 0, 1, 2, 3
 
-class Reader:
-    """Reads the fields of one frame's records in turn."""
 
+class RecordReader:
+    """Reads the fields of one frame's records in order."""
+
+    # `data` is the frame's body, `pos` the position of the next byte to read in it, and `base` the position
+    # of the body in the frame.
     __slots__ = ("base", "data", "pos")
 
-    def __init__(self, data: bytes, base: int = HEADER.size) -> None:
+    def __init__(self, data: bytes, base: int = BATCH_HEADER.size) -> None:
         self.data = data
         self.pos = 0
         self.base = base
 
-    def fail(self, what: str, pos: int | None = None) -> WireError:
-        return WireError(f"{what} at byte {self.base + (self.pos if pos is None else pos)}")
+    def error_at(self, problem: str, pos: int | None = None) -> WireError:
+        """Return an error located at `pos`, which defaults to the next byte to read."""
+        return WireError(f"{problem} at byte {self.base + (self.pos if pos is None else pos)}")
 
-    def take(self, layout: Struct) -> tuple[Any, ...]:
+    def read_struct(self, layout: Struct) -> tuple[Any, ...]:
         end = self.pos + layout.size
         if end > len(self.data):
-            raise self.fail("record runs past the end of the frame")
+            raise self.error_at("record runs past the end of the frame")
         fields = layout.unpack_from(self.data, self.pos)
         self.pos = end
         return fields
 
-    def bytes(self, count: int) -> bytes:
+    def read_bytes(self, count: int) -> bytes:
         end = self.pos + count
         if end > len(self.data):
-            raise self.fail(f"{count} bytes of content run past the end of the frame")
+            raise self.error_at(f"{count} bytes of content run past the end of the frame")
         content = self.data[self.pos : end]
         self.pos = end
         return content
 
-    def floats(self) -> tuple[float, ...]:
-        (count,) = self.take(_U8)
-        return self.take(Struct(f">{count}f")) if count else ()
+    def read_floats(self) -> tuple[float, ...]:
+        """Read 32-bit floats, preceded by their count in one byte."""
+        (count,) = self.read_struct(_U8)
+        return self.read_struct(Struct(f">{count}f")) if count else ()
 
 
-class Decoder:
-    """Turns the records of batches into events. Numbered lists are kept from batch to batch."""
+class BatchDecoder:
+    """Decodes the records of batches. Server lists, once defined, stay available to later batches."""
 
     def __init__(self) -> None:
-        self._lists: dict[int, tuple[Endpoint, ...]] = {}
+        self._server_lists: dict[int, tuple[Endpoint, ...]] = {}
 
-    def records(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
-        """The (instance, record) pairs of one frame's body, in order."""
-        reader = Reader(data)
+    def decode_records(self, data: bytes, count: int) -> Iterator[tuple[int, Record]]:
+        """Yield the (instance, record) pairs of one frame's body, in order."""
+        reader = RecordReader(data)
         instance: int | None = None
         for _ in range(count):
-            start = reader.pos
-            (code,) = reader.take(_U8)
-            if code == 9:
-                (instance,) = reader.take(_U32)
+            record_start = reader.pos
+            (code,) = reader.read_struct(_U8)
+            if code == 9:  # selects the instance that the following records are for
+                (instance,) = reader.read_struct(_U32)
                 continue
-            if code == 4:
+            if code == 4:  # defines a server list
                 self._define_list(reader)
                 continue
-            record = self._record(reader, int(code), start)
+            record = self._decode_record(reader, int(code), record_start)
             if instance is None:
-                raise reader.fail(f"event with code {code} before any instance was named", start)
+                raise reader.error_at(f"event with code {code} before any instance was named", record_start)
             yield instance, record
         if reader.pos != len(data):
-            raise reader.fail(f"{len(data) - reader.pos} bytes left over after {count} records")
-
-    def _define_list(self, reader: Reader) -> None:
-        start = reader.pos - 1
-        number, count = reader.take(_PAGE)
-        if int(number) >= MAX_LISTS:
-            raise reader.fail(f"list number {number} is not under {MAX_LISTS}", start)
-        content = reader.bytes(int(count) * _ENTRY.size)
+            raise reader.error_at(f"{len(data) - reader.pos} bytes left over after {count} records")
+
+    def _define_list(self, reader: RecordReader) -> None:
+        record_start = reader.pos - 1  # the code byte has been read already
+        list_number, entry_count = reader.read_struct(_LIST_DEFINITION)
+        if int(list_number) >= MAX_SERVER_LISTS:
+            raise reader.error_at(f"list number {list_number} is not under {MAX_SERVER_LISTS}", record_start)
+        content = reader.read_bytes(int(entry_count) * _LIST_ENTRY.size)
         endpoints = []
-        for address, zone, cell, state, kind, weight, started in _ENTRY.iter_unpack(content):
-            if state not in _STATES:
-                raise reader.fail(f"unknown endpoint status {state} in the list", start)
-            size = weight if 0.0 < weight < math.inf else 1.0  # nothing that a size can be: none told
-            endpoints.append(Endpoint(address, _STATES[state], zone, cell, kind, size, started))
-        self._lists[int(number)] = tuple(endpoints)
-
-    def _record(self, reader: Reader, code: int, start: int) -> Record:
+        for address, zone, cell, state_code, kind, listed_size, started_at in _LIST_ENTRY.iter_unpack(
+            content
+        ):
+            if state_code not in _STATE_BY_CODE:
+                raise reader.error_at(f"unknown endpoint status {state_code} in the list", record_start)
+            # A size that is not positive and finite is invalid and counts as not listed, which means 1.
+            size = listed_size if 0.0 < listed_size < math.inf else 1.0
+            endpoints.append(
+                Endpoint(address, _STATE_BY_CODE[state_code], zone, cell, kind, size, started_at)
+            )
+        self._server_lists[int(list_number)] = tuple(endpoints)
+
+    def _decode_record(self, reader: RecordReader, code: int, record_start: int) -> Record:
         match code:
             case 1:
-                f = reader.take(_ACCEPTED)
-                return StreamStarted(f[0], f[1], f[2], f[3])
+                fields = reader.read_struct(_STREAM_STARTED)
+                return StreamStarted(fields[0], fields[1], fields[2], fields[3])
             case 2:
-                f = reader.take(_PROBED)
-                result = self._result(reader, f[0], start)
-                return ProbeResult(f[2], result, f[1], reader.floats())
+                fields = reader.read_struct(_PROBE_RESULT)
+                result = self._decode_result(reader, fields[0], record_start)
+                return ProbeResult(fields[2], result, fields[1], reader.read_floats())
             case 3:
-                return self._membership(reader, start)
+                return self._decode_server_list(reader, record_start)
             case 5:
-                return TimerFired(reader.take(_U64)[0])
+                return TimerFired(reader.read_struct(_U64)[0])
             case 6:
-                return Stop()
+                return StopInstance()
             case 7:
-                number, cls, tenant, key, left, cost, bits = reader.take(_SUBMIT)
-                known = int(bits) & _COST_KNOWN
+                request_id, cls, tenant, key, time_left_ms, cost_ms, flags = reader.read_struct(_REQUEST)
+                has_cost = int(flags) & _HAS_COST
                 return Request(
-                    id=number,
+                    id=request_id,
                     cls=cls,
-                    time_left_ms=left,
+                    time_left_ms=time_left_ms,
                     tenant=tenant,
                     key=key,
-                    cost_ms=cost if known else None,
-                    is_retry=bool(int(bits) & _IS_RETRY),
-                    is_write=bool(int(bits) & _IS_WRITE),
+                    cost_ms=cost_ms if has_cost else None,
+                    is_retry=bool(int(flags) & _IS_RETRY),
+                    is_write=bool(int(flags) & _IS_WRITE),
                 )
             case 8:
-                sender, size = reader.take(_PEER)
-                return PeerMessage(sender, reader.bytes(int(size)))
+                sender, length = reader.read_struct(_PEER_MESSAGE)
+                return PeerMessage(sender, reader.read_bytes(int(length)))
             case 10:
-                number, address, closed, elapsed, raw, attempt = reader.take(_OUTCOME)
-                result = self._result(reader, raw, start)
-                load = reader.floats()
-                return Outcome(number, attempt, address, result, elapsed, bool(closed), load)
+                request_id, address, closed, elapsed_ms, result_code, attempt = reader.read_struct(_OUTCOME)
+                result = self._decode_result(reader, result_code, record_start)
+                load = reader.read_floats()
+                return Outcome(request_id, attempt, address, result, elapsed_ms, bool(closed), load)
             case 11:
-                seed, size = reader.take(_SEED)
-                at = reader.base + reader.pos
-                return Start(seed, reader.bytes(int(size)), at)
+                seed, length = reader.read_struct(_START_INSTANCE)
+                config_offset = reader.base + reader.pos
+                return StartInstance(seed, reader.read_bytes(int(length)), config_offset)
             case 12:
-                return ClientGone(reader.take(_U32)[0])
-        raise reader.fail(f"unknown event code {code}", start)
+                return ClientGone(reader.read_struct(_U32)[0])
+        raise reader.error_at(f"unknown event code {code}", record_start)
 
-    def _membership(self, reader: Reader, start: int) -> Event:
-        revision, number, mode = reader.take(_MEMBERSHIP)
-        if mode == _FAILED:
+    def _decode_server_list(self, reader: RecordReader, record_start: int) -> Event:
+        revision, list_number, mode = reader.read_struct(_SERVER_LIST)
+        if mode == _LIST_FAILED:
             return DiscoveryFailed()
-        if mode not in (_DELTA, _FULL, _CACHED):
-            raise reader.fail(f"unknown kind {mode} of server list", start)
-        endpoints = self._lists.get(int(number))
+        if mode not in (_LIST_DELTA, _LIST_FULL, _LIST_CACHED):
+            raise reader.error_at(f"unknown kind {mode} of server list", record_start)
+        endpoints = self._server_lists.get(int(list_number))
         if endpoints is None:
-            raise reader.fail(f"server list {number} was never defined", start)
-        return ServerList(endpoints, mode != _DELTA, mode == _CACHED, int(revision))
+            raise reader.error_at(f"server list {list_number} was never defined", record_start)
+        return ServerList(endpoints, mode != _LIST_DELTA, mode == _LIST_CACHED, int(revision))
 
     @staticmethod
-    def _result(reader: Reader, raw: int, start: int) -> Result:
-        result = _RESULTS.get(int(raw))
+    def _decode_result(reader: RecordReader, result_code: int, record_start: int) -> Result:
+        result = _RESULT_BY_CODE.get(int(result_code))
         if result is None:
-            raise reader.fail(f"unknown outcome {int(raw)}", start)
+            raise reader.error_at(f"unknown outcome {int(result_code)}", record_start)
         return result
 
 
-def _text(code: int, text: str) -> bytes:
-    body = text.encode("utf-8", "replace")[:LOG_BYTES]
-    return _TEXT.pack(code, len(body)) + body
+def _encode_text(code: int, text: str) -> bytes:
+    """Encode an action whose only field is a text, cut to the length that fits."""
+    body = text.encode("utf-8", "replace")[:MAX_TEXT_BYTES]
+    return _TEXT_HEADER.pack(code, len(body)) + body
 
 
 def encode_fault(text: str) -> bytes:
-    """The record that says the decisions have failed."""
-    return _text(10, text)
+    """Encode the report that the balancer raised an exception."""
+    return _encode_text(10, text)
 
 
 def encode_action(action: Action) -> bytes:
@@ -257,7 +274,7 @@
         case Send():
             return _SEND.pack(1, action.id, action.address, action.stop_at_ms)
         case SetTimer():
-            return _TIMER.pack(5, action.wait_ms, action.token)
+            return _SET_TIMER.pack(5, action.wait_ms, action.token)
         case Refuse():
             return _REFUSE.pack(2, action.id, action.retry_after_ms)
         case Fail():
@@ -265,26 +282,26 @@
         case Cancel():
             return _CANCEL.pack(4, action.id, action.attempt)
         case Probe():
-            return _ADDRESS.pack(6, action.address)
+            return _ADDRESS_ACTION.pack(6, action.address)
         case CloseIdle():
-            return _ADDRESS.pack(7, action.address)
+            return _ADDRESS_ACTION.pack(7, action.address)
         case Tell():
-            to = EVERY_PEER if action.to is None else action.to
-            return _TELL.pack(8, to, len(action.body)) + action.body
+            recipient = BROADCAST_PEER if action.to is None else action.to
+            return _TELL.pack(8, recipient, len(action.body)) + action.body
         case Log():
-            return _text(9, action.text)
+            return _encode_text(9, action.text)
         case Watch():
             return _WATCH.pack(11, action.on)
         case FetchList():
             return _U8.pack(12)
 
 
-def encode_reply(groups: Iterable[tuple[int, list[bytes]]]) -> bytes:
-    """One reply frame from (instance, encoded actions) groups; groups without actions are left out."""
+def encode_reply(action_groups: Iterable[tuple[int, list[bytes]]]) -> bytes:
+    """Encode one reply frame from (instance, encoded actions) groups. Groups without actions are left out."""
     parts = [b""]
-    for instance, actions in groups:
+    for instance, actions in action_groups:
         if actions:
-            parts.append(_SPEAKING.pack(13, instance))
+            parts.append(_REPLY_INSTANCE.pack(13, instance))  # the actions that follow are of this instance
             parts.extend(actions)
     body = b"".join(parts)
     return REPLY_HEADER.pack(len(body)) + body
--- a/larkcrank/simwire/host.py
+++ b/larkcrank/simwire/host.py
@@ -1,4 +1,4 @@
-"""Hosts many balancer instances on one wire: batches in, replies out."""
+"""Runs many balancer instances behind one stream of batches, and answers each batch with a reply."""
 
 import random
 import sys
@@ -10,78 +10,83 @@
 from larkcrank.simwire import codec
 
 
-class Host:
-    """The instances of one process. They share nothing but the wire."""
+class BalancerHost:
+    """Holds the balancer instances of one process. They share no state, only the input and output streams."""
 
-    def __init__(self, errors: TextIO | None = None) -> None:
-        self._decoder = codec.Decoder()
-        self._instances: dict[int, Balancer] = {}
-        self._errors = errors
+    def __init__(self, error_stream: TextIO | None = None) -> None:
+        self._decoder = codec.BatchDecoder()
+        self._balancers: dict[int, Balancer] = {}
+        self._error_stream = error_stream  # receives tracebacks; None: standard error
 
-    def reply_to(self, now: float, body: bytes, count: int) -> bytes:
-        """Answer one batch with one reply frame."""
-        groups: list[tuple[int, list[bytes]]] = []
-        for instance, record in self._decoder.records(body, count):
+    def handle_batch(self, now_ms: float, body: bytes, record_count: int) -> bytes:
+        """Handle the records of one batch and return the reply frame."""
+        action_groups: list[tuple[int, list[bytes]]] = []
+        for instance, record in self._decoder.decode_records(body, record_count):
             match record:
-                case codec.Start():
+                case codec.StartInstance():
                     try:
-                        parsed = settings.parse(record.config)
+                        parsed_settings = settings.parse(record.config)
                     except settings.SettingsError as error:
                         raise codec.WireError(
-                            f"{error} (settings of instance {instance} at byte {record.offset})"
+                            f"{error} (settings of instance {instance} at byte {record.config_offset})"
                         ) from None
-                    self._instances[instance] = Balancer(parsed.decisions, random.Random(record.seed), now)
+                    self._balancers[instance] = Balancer(
+                        parsed_settings.decisions, random.Random(record.seed), now_ms
+                    )
                     continue
-                case codec.Stop():
-                    self._instances.pop(instance, None)
-                    # What it had already decided in this batch is void with it.
-                    groups = [group for group in groups if group[0] != instance]
+                case codec.StopInstance():
+                    self._balancers.pop(instance, None)
+                    # Drop the actions that the stopped instance already returned in this batch.
+                    action_groups = [group for group in action_groups if group[0] != instance]
                     continue
-            balancer = self._instances.get(instance)
+            balancer = self._balancers.get(instance)
             if balancer is None:
                 raise codec.WireError(f"event {type(record).__name__} for instance {instance}, never started")
             try:
-                actions = [codec.encode_action(action) for action in balancer.handle(now, record)]
+                actions = [codec.encode_action(action) for action in balancer.handle(now_ms, record)]
             except Exception as error:
-                traceback.print_exc(file=self._errors or sys.stderr)
+                traceback.print_exc(file=self._error_stream or sys.stderr)
                 actions = [codec.encode_fault(f"{type(error).__name__}: {error}")]
-            if groups and groups[-1][0] == instance:
-                groups[-1][1].extend(actions)
+            if action_groups and action_groups[-1][0] == instance:
+                action_groups[-1][1].extend(actions)
             else:
-                groups.append((instance, actions))
-        return codec.encode_reply(groups)
+                action_groups.append((instance, actions))
+        return codec.encode_reply(action_groups)
 
 
-def _read_exactly(stream: BinaryIO, size: int) -> bytes:
-    """`size` bytes, or fewer where the input ends."""
-    parts = []
+def _read_up_to(stream: BinaryIO, size: int) -> bytes:
+    """Read `size` bytes, or fewer if the input ends first."""
+    chunks = []
     while size:
-        part = stream.read(size)
-        if not part:
+        chunk = stream.read(size)
+        if not chunk:
             break
-        parts.append(part)
-        size -= len(part)
-    return b"".join(parts)
+        chunks.append(chunk)
+        size -= len(chunk)
+    return b"".join(chunks)
 
 
-def serve(source: BinaryIO, sink: BinaryIO, errors: TextIO | None = None) -> None:
+def serve(input_stream: BinaryIO, output_stream: BinaryIO, error_stream: TextIO | None = None) -> None:
     """Answer batches until the input ends. Raises `WireError` on malformed input."""
-    host = Host(errors)
-    frame = 0
-    while header := _read_exactly(source, codec.HEADER.size):
-        if len(header) < codec.HEADER.size:
-            raise codec.WireError(f"frame {frame}: input ended at byte {len(header)}, inside the header")
-        now, size, count = codec.HEADER.unpack(header)
-        body = _read_exactly(source, size)
-        if len(body) < size:
-            end = codec.HEADER.size + len(body)
+    host = BalancerHost(error_stream)
+    frame_number = 0
+    while header := _read_up_to(input_stream, codec.BATCH_HEADER.size):
+        if len(header) < codec.BATCH_HEADER.size:
             raise codec.WireError(
-                f"frame {frame}: input ended at byte {end}, {size - len(body)} bytes short of its length"
+                f"frame {frame_number}: input ended at byte {len(header)}, inside the header"
+            )
+        now_ms, body_size, record_count = codec.BATCH_HEADER.unpack(header)
+        body = _read_up_to(input_stream, body_size)
+        if len(body) < body_size:
+            end = codec.BATCH_HEADER.size + len(body)
+            raise codec.WireError(
+                f"frame {frame_number}: input ended at byte {end}, "
+                f"{body_size - len(body)} bytes short of its length"
             )
         try:
-            reply = host.reply_to(now, body, count)
+            reply = host.handle_batch(now_ms, body, record_count)
         except codec.WireError as error:
-            raise codec.WireError(f"frame {frame}: {error}") from None
-        sink.write(reply)
-        sink.flush()
-        frame += 1
+            raise codec.WireError(f"frame {frame_number}: {error}") from None
+        output_stream.write(reply)
+        output_stream.flush()
+        frame_number += 1
--- a/tests/frames.py
+++ b/tests/frames.py
@@ -1,12 +1,12 @@
-"""Frames written by hand from the wire's layout, independent of the codec under test."""
+"""Builds batch frames and parses reply frames from the documented layout, without the codec under test."""
 
 import json
 import struct
 from typing import Any
 
-A = bytes([10, 18, 74, 7]) + struct.pack(">H", 9003)
-B = bytes([10, 144, 17, 242]) + struct.pack(">H", 9044)
-C = bytes([10, 9, 9, 9]) + struct.pack(">H", 9100)
+ADDRESS_A = bytes([10, 18, 74, 7]) + struct.pack(">H", 9003)
+ADDRESS_B = bytes([10, 144, 17, 242]) + struct.pack(">H", 9044)
+ADDRESS_C = bytes([10, 9, 9, 9]) + struct.pack(">H", 9100)
 
 CONFIG: dict[str, Any] = {
     "az": 0,
@@ -31,72 +31,78 @@
 }
 
 
-def batch(now: float, *records: bytes, count: int | None = None) -> bytes:
+def batch_frame(now_ms: float, *records: bytes, count: int | None = None) -> bytes:
+    """A whole batch frame. `count` overrides the number of records in the header."""
     body = b"".join(records)
-    return struct.pack(">dII", now, len(body), len(records) if count is None else count) + body
+    return struct.pack(">dII", now_ms, len(body), len(records) if count is None else count) + body
 
 
-def about(instance: int) -> bytes:
+def select_instance(instance: int) -> bytes:
+    """Record that assigns the following records to an instance."""
     return struct.pack(">BI", 9, instance)
 
 
-def enlist(seed: int = 1, config: Any = None) -> bytes:
+def start_instance(seed: int = 1, config: Any = None) -> bytes:
     text = config if isinstance(config, bytes) else json.dumps(CONFIG if config is None else config).encode()
     return struct.pack(">BQI", 11, seed, len(text)) + text
 
 
-def define_list(number: int, *entries: bytes) -> bytes:
-    return struct.pack(">BII", 4, number, len(entries)) + b"".join(entries)
+def define_server_list(list_number: int, *entries: bytes) -> bytes:
+    return struct.pack(">BII", 4, list_number, len(entries)) + b"".join(entries)
 
 
-def entry(
-    address: bytes, status: int = 1, zone: int = 0, cell: int = 0, started: float = 0.0, size: float = 1.0
+def list_entry(
+    address: bytes, state: int = 1, zone: int = 0, cell: int = 0, started_at: float = 0.0, size: float = 1.0
 ) -> bytes:
-    return address + struct.pack(">BHBBfd", zone, cell, status, 0, size, started)
+    return address + struct.pack(">BHBBfd", zone, cell, state, 0, size, started_at)
 
 
-def membership(number: int, mode: int, revision: int = 1) -> bytes:
-    return struct.pack(">BQIB", 3, revision, number, mode)
+def server_list_event(list_number: int, mode: int, revision: int = 1) -> bytes:
+    """Event that delivers a defined list. Modes: 0 delta, 1 full, 2 cached, 3 failed discovery call."""
+    return struct.pack(">BQIB", 3, revision, list_number, mode)
 
 
-def submit(number: int, cls: int = 0, left: float = 2000.0, tenant: int = 0) -> bytes:
-    return struct.pack(">BIBIQddB", 7, number, cls, tenant, 0, left, 0.0, 0)
+def request_event(request_id: int, cls: int = 0, time_left_ms: float = 2000.0, tenant: int = 0) -> bytes:
+    return struct.pack(">BIBIQddB", 7, request_id, cls, tenant, 0, time_left_ms, 0.0, 0)
 
 
-def verdict(number: int, address: bytes, code: int, attempt: int = 0, done: int = 0) -> bytes:
-    return struct.pack(">BI6sBdHHB", 10, number, address, done, 12.0, code, attempt, 0)
+def outcome_event(
+    request_id: int, address: bytes, result_code: int, attempt: int = 0, closed: int = 0
+) -> bytes:
+    return struct.pack(">BI6sBdHHB", 10, request_id, address, closed, 12.0, result_code, attempt, 0)
 
 
-def abandoned(number: int) -> bytes:
-    return struct.pack(">BI", 12, number)
+def client_gone_event(request_id: int) -> bytes:
+    return struct.pack(">BI", 12, request_id)
 
 
-def deadline_hit(token: int) -> bytes:
+def timer_fired_event(token: int) -> bytes:
     return struct.pack(">BQ", 5, token)
 
 
-def power_off() -> bytes:
+def stop_instance() -> bytes:
     return bytes([6])
 
 
-_SIZES = {1: 18, 2: 12, 3: 4, 4: 6, 5: 16, 6: 6, 7: 6, 11: 1, 12: 0}
+# Length in bytes of the fields of each action with a fixed size, by action code.
+_FIELD_BYTES_BY_CODE = {1: 18, 2: 12, 3: 4, 4: 6, 5: 16, 6: 6, 7: 6, 11: 1, 12: 0}
 
 
-def actions(reply: bytes) -> list[tuple[int, int, bytes]]:
+def parse_actions(reply: bytes) -> list[tuple[int, int, bytes]]:
     """(instance, code, fields) of each action in one whole reply frame."""
-    (size,) = struct.unpack_from(">I", reply)
-    assert size == len(reply) - 4
-    found, pos, instance = [], 4, -1
-    while pos < len(reply):
-        code = reply[pos]
-        pos += 1
-        if code == 13:
-            (instance,) = struct.unpack_from(">I", reply, pos)
-            pos += 4
+    (body_size,) = struct.unpack_from(">I", reply)
+    assert body_size == len(reply) - 4
+    actions, position, instance = [], 4, -1
+    while position < len(reply):
+        code = reply[position]
+        position += 1
+        if code == 13:  # the following actions are of another instance
+            (instance,) = struct.unpack_from(">I", reply, position)
+            position += 4
             continue
-        length = _SIZES.get(code)
-        if length is None:  # text: write_log, give_in
-            length = 2 + struct.unpack_from(">H", reply, pos)[0]
-        found.append((instance, code, reply[pos : pos + length]))
-        pos += length
-    return found
+        length = _FIELD_BYTES_BY_CODE.get(code)
+        if length is None:  # a log or fault action: a text preceded by its length
+            length = 2 + struct.unpack_from(">H", reply, position)[0]
+        actions.append((instance, code, reply[position : position + length]))
+        position += length
+    return actions
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -1,4 +1,4 @@
-"""The adapter against frames written from the wire's layout."""
+"""Tests of the simulator adapter against frames built from the documented layout."""
 
 import copy
 import io
@@ -18,43 +18,53 @@
 from larkcrank.core import interface as api
 from larkcrank.core.balancer import Balancer
 from larkcrank.simwire import codec
-from larkcrank.simwire.host import Host, serve
-from tests import frames as f
+from larkcrank.simwire.host import BalancerHost, serve
+from tests import frames
 
-ROOT = Path(__file__).resolve().parent.parent
+REPOSITORY_ROOT = Path(__file__).resolve().parent.parent
 EMPTY_REPLY = bytes(4)
 
 
-def run(host: Host, now: float, *records: bytes) -> list[tuple[int, int, bytes]]:
-    frame = f.batch(now, *records)
-    return f.actions(host.reply_to(now, frame[16:], len(records)))
+def handle_records(host: BalancerHost, now_ms: float, *records: bytes) -> list[tuple[int, int, bytes]]:
+    """Handle the records as one batch. Returns (instance, code, fields) of each action in the reply."""
+    frame = frames.batch_frame(now_ms, *records)
+    return frames.parse_actions(host.handle_batch(now_ms, frame[16:], len(records)))
 
 
-def started(*addresses: bytes, instance: int = 3, config: Any = None) -> Host:
-    host = Host(io.StringIO())
-    entries = [f.entry(address) for address in addresses]
-    run(host, 0.0, f.about(instance), f.enlist(7, config), f.define_list(0, *entries), f.membership(0, 2))
+def host_with_servers(*addresses: bytes, instance: int = 3, config: Any = None) -> BalancerHost:
+    """A host with one started instance whose server list holds the addresses."""
+    host = BalancerHost(io.StringIO())
+    entries = [frames.list_entry(address) for address in addresses]
+    handle_records(
+        host,
+        0.0,
+        frames.select_instance(instance),
+        frames.start_instance(7, config),
+        frames.define_server_list(0, *entries),
+        frames.server_list_event(0, 2),
+    )
     return host
 
 
-def sends(found: list[tuple[int, int, bytes]]) -> list[tuple[int, bytes]]:
-    return [(struct.unpack_from(">I", x)[0], x[4:10]) for _, code, x in found if code == 1]
+def sent_attempts(actions: list[tuple[int, int, bytes]]) -> list[tuple[int, bytes]]:
+    """(request id, server address) of each `Send` among the actions."""
+    return [(struct.unpack_from(">I", fields)[0], fields[4:10]) for _, code, fields in actions if code == 1]
 
 
-def test_the_page_example_decodes() -> None:
+def test_documented_batch_example_is_decoded() -> None:
     body = bytes.fromhex(
         "0900000003075d3a91c40000000000"
         "91f03b7c55d20a64406e0000000000004028000000000000"
         "0105000000000000004d09000000050c0e6f2b19"
     )
-    assert list(codec.Decoder().records(body, 5)) == [
+    assert list(codec.BatchDecoder().decode_records(body, 5)) == [
         (3, api.Request(0x5D3A91C4, 0, 240.0, 0, 0x91F03B7C55D20A64, 12.0)),
         (3, api.TimerFired(0x4D)),
         (5, api.ClientGone(0x0E6F2B19)),
     ]
 
 
-def test_the_page_example_encodes() -> None:
+def test_documented_reply_example_is_encoded() -> None:
     address = bytes.fromhex("0a124a07232b")
     reply = codec.encode_reply(
         [
@@ -75,31 +85,33 @@
     assert reply.endswith(bytes.fromhex("0d00000005090011") + b"two servers known")
 
 
-def test_every_event_decodes() -> None:
+def test_event_records_are_decoded() -> None:
     body = b"".join(
         [
-            f.about(1),
-            struct.pack(">BIH6sd", 1, 9, 2, f.A, 4.5),
-            struct.pack(">BHd6sBff", 2, 100, 1.5, f.A, 2, 3.0, 0.5),
+            frames.select_instance(1),
+            struct.pack(">BIH6sd", 1, 9, 2, frames.ADDRESS_A, 4.5),
+            struct.pack(">BHd6sBff", 2, 100, 1.5, frames.ADDRESS_A, 2, 3.0, 0.5),
             struct.pack(">BQ", 5, 77),
-            f.power_off(),
+            frames.stop_instance(),
             struct.pack(">BIH", 8, 6, 3) + b"abc",
-            f.verdict(9, f.B, 304, 1, 1),
-            f.abandoned(9),
-            f.define_list(15, f.entry(f.A, 2, 1, 300, 40.0)),
-            f.membership(15, 0, 5),
-            f.membership(99, 3),
+            frames.outcome_event(9, frames.ADDRESS_B, 304, 1, 1),
+            frames.client_gone_event(9),
+            frames.define_server_list(15, frames.list_entry(frames.ADDRESS_A, 2, 1, 300, 40.0)),
+            frames.server_list_event(15, 0, 5),
+            frames.server_list_event(99, 3),
         ]
     )
-    assert [record for _, record in codec.Decoder().records(body, 11)] == [
-        api.StreamStarted(9, 2, f.A, 4.5),
-        api.ProbeResult(f.A, api.Result.OK, 1.5, (3.0, 0.5)),
+    assert [record for _, record in codec.BatchDecoder().decode_records(body, 11)] == [
+        api.StreamStarted(9, 2, frames.ADDRESS_A, 4.5),
+        api.ProbeResult(frames.ADDRESS_A, api.Result.OK, 1.5, (3.0, 0.5)),
         api.TimerFired(77),
-        codec.Stop(),
+        codec.StopInstance(),
         api.PeerMessage(6, b"abc"),
-        api.Outcome(9, 1, f.B, api.Result.CONNECT_FAILED, 12.0, True),
+        api.Outcome(9, 1, frames.ADDRESS_B, api.Result.CONNECT_FAILED, 12.0, True),
         api.ClientGone(9),
-        api.ServerList((api.Endpoint(f.A, api.State.DRAINING, 1, 300, 0, 1.0, 40.0),), False, False, 5),
+        api.ServerList(
+            (api.Endpoint(frames.ADDRESS_A, api.State.DRAINING, 1, 300, 0, 1.0, 40.0),), False, False, 5
+        ),
         api.DiscoveryFailed(),
     ]
 
@@ -110,8 +122,8 @@
         (api.Refuse(5, 30.0), struct.pack(">BId", 2, 5, 30.0)),
         (api.Fail(5), struct.pack(">BI", 3, 5)),
         (api.Cancel(5, 2), struct.pack(">BIH", 4, 5, 2)),
-        (api.Probe(f.A), b"\x06" + f.A),
-        (api.CloseIdle(f.A), b"\x07" + f.A),
+        (api.Probe(frames.ADDRESS_A), b"\x06" + frames.ADDRESS_A),
+        (api.CloseIdle(frames.ADDRESS_A), b"\x07" + frames.ADDRESS_A),
         (api.Tell(None, b"hi"), struct.pack(">BIH", 8, 0xFFFFFFFF, 2) + b"hi"),
         (api.Tell(4, b""), struct.pack(">BIH", 8, 4, 0)),
         (api.Watch(), b"\x0b\x01"),
@@ -119,244 +131,340 @@
         (api.FetchList(), b"\x0c"),
     ],
 )
-def test_every_action_encodes(action: api.Action, expected: bytes) -> None:
+def test_actions_are_encoded(action: api.Action, expected: bytes) -> None:
     assert codec.encode_action(action) == expected
 
 
 @given(
-    number=st.integers(0, 2**32 - 1),
+    request_id=st.integers(0, 2**32 - 1),
     attempt=st.integers(0, 2**16 - 1),
     address=st.binary(min_size=6, max_size=6),
-    result=st.sampled_from(list(codec._RESULTS.items())),
-    elapsed=st.floats(0, 1e9),
+    code_and_result=st.sampled_from(list(codec._RESULT_BY_CODE.items())),
+    elapsed_ms=st.floats(0, 1e9),
     closed=st.booleans(),
     load=st.lists(st.floats(0, 1000, width=32), max_size=4),
 )
-def test_outcomes_round_trip(
-    number: int,
+def test_outcomes_are_decoded_with_all_their_fields(
+    request_id: int,
     attempt: int,
     address: bytes,
-    result: tuple[int, api.Result],
-    elapsed: float,
+    code_and_result: tuple[int, api.Result],
+    elapsed_ms: float,
     closed: bool,
     load: list[float],
 ) -> None:
-    body = f.about(0) + struct.pack(
-        ">BI6sBdHHB", 10, number, address, closed, elapsed, result[0], attempt, len(load)
+    body = frames.select_instance(0) + struct.pack(
+        ">BI6sBdHHB", 10, request_id, address, closed, elapsed_ms, code_and_result[0], attempt, len(load)
     )
     body += struct.pack(f">{len(load)}f", *load)
-    [(_, record)] = codec.Decoder().records(body, 2)
-    assert record == api.Outcome(number, attempt, address, result[1], elapsed, closed, tuple(load))
+    [(_, record)] = codec.BatchDecoder().decode_records(body, 2)
+    assert record == api.Outcome(
+        request_id, attempt, address, code_and_result[1], elapsed_ms, closed, tuple(load)
+    )
 
 
 @given(st.binary(max_size=80), st.integers(0, 6))
-def test_any_bytes_decode_or_say_what_is_wrong(body: bytes, count: int) -> None:
+def test_arbitrary_bytes_are_decoded_or_raise_an_error_with_the_position(body: bytes, count: int) -> None:
     try:
-        list(codec.Decoder().records(body, count))
+        list(codec.BatchDecoder().decode_records(body, count))
     except codec.WireError as error:
         assert "at byte" in str(error)
 
 
-# Instances
+# Balancer instances
 
 
-def test_lists_are_resolved_in_event_order_when_a_number_is_used_again() -> None:
-    host = Host()
-    found = run(
+def test_redefined_list_number_applies_only_to_later_events() -> None:
+    host = BalancerHost()
+    actions = handle_records(
         host,
         0.0,
-        f.about(1),
-        f.enlist(),
-        f.define_list(0, f.entry(f.A)),
-        f.membership(0, 2),
-        f.about(2),
-        f.enlist(),
-        f.define_list(0, f.entry(f.B)),
-        f.membership(0, 2),
-        f.about(1),
-        f.submit(11),
-        f.about(2),
-        f.submit(12),
+        frames.select_instance(1),
+        frames.start_instance(),
+        frames.define_server_list(0, frames.list_entry(frames.ADDRESS_A)),
+        frames.server_list_event(0, 2),
+        frames.select_instance(2),
+        frames.start_instance(),
+        frames.define_server_list(0, frames.list_entry(frames.ADDRESS_B)),
+        frames.server_list_event(0, 2),
+        frames.select_instance(1),
+        frames.request_event(11),
+        frames.select_instance(2),
+        frames.request_event(12),
     )
-    assert sends(found) == [(11, f.A), (12, f.B)]
-    assert [instance for instance, code, _ in found if code == 1] == [1, 2]
+    assert sent_attempts(actions) == [(11, frames.ADDRESS_A), (12, frames.ADDRESS_B)]
+    assert [instance for instance, code, _ in actions if code == 1] == [1, 2]
 
 
-def test_stop_and_start_in_one_batch_begin_an_empty_instance() -> None:
-    host = started(f.A)
-    found = run(
+def test_instance_restarted_within_one_batch_has_no_earlier_state() -> None:
+    host = host_with_servers(frames.ADDRESS_A)
+    actions = handle_records(
         host,
         5.0,
-        f.about(3),
-        f.submit(1),
-        f.power_off(),
-        f.enlist(9),
-        f.define_list(1, f.entry(f.B)),
-        f.membership(1, 2),
-        f.submit(2),
-        f.verdict(1, f.A, 100, done=1),
+        frames.select_instance(3),
+        frames.request_event(1),
+        frames.stop_instance(),
+        frames.start_instance(9),
+        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_B)),
+        frames.server_list_event(1, 2),
+        frames.request_event(2),
+        frames.outcome_event(1, frames.ADDRESS_A, 100, closed=1),
     )
-    assert sends(found) == [(2, f.B)]  # what the old life decided is void
+    # The actions of the instance before its restart are dropped.
+    assert sent_attempts(actions) == [(2, frames.ADDRESS_B)]
 
 
 @pytest.mark.parametrize("size", [0.0, -1.0, float("nan"), float("inf")])
-def test_a_listed_size_that_none_can_have_counts_as_the_usual(size: float) -> None:
+def test_invalid_listed_size_is_replaced_by_the_default(size: float) -> None:
     body = bytes(
-        f.about(3) + f.define_list(0, f.entry(f.A, size=size), f.entry(f.B, size=0.5)) + f.membership(0, 1)
+        frames.select_instance(3)
+        + frames.define_server_list(
+            0, frames.list_entry(frames.ADDRESS_A, size=size), frames.list_entry(frames.ADDRESS_B, size=0.5)
+        )
+        + frames.server_list_event(0, 1)
     )
-    [(_, record)] = codec.Decoder().records(body, 3)
+    [(_, record)] = codec.BatchDecoder().decode_records(body, 3)
     assert isinstance(record, api.ServerList)
     assert [endpoint.size for endpoint in record.endpoints] == [1.0, 0.5]
 
 
 @pytest.mark.parametrize(
-    "weights, listed", [("nominal", True), ("rough", True), ("live", False), ("silent", False)]
+    "weights, uses_listed_sizes", [("nominal", True), ("rough", True), ("live", False), ("silent", False)]
 )
-def test_only_nominal_sizes_are_taken_for_sizes(weights: str, listed: bool) -> None:
+def test_listed_sizes_are_used_only_for_nominal_and_rough_weights(
+    weights: str, uses_listed_sizes: bool
+) -> None:
     assert (
-        settings.parse(json.dumps(f.CONFIG | {"weights": weights}).encode()).decisions.listed_sizes is listed
+        settings.parse(json.dumps(frames.CONFIG | {"weights": weights}).encode()).decisions.listed_sizes
+        is uses_listed_sizes
     )
 
 
-def test_deltas_change_the_list_and_a_full_one_replaces_it() -> None:
-    host = started(f.A, f.B)
-    run(host, 1.0, f.about(3), f.define_list(1, f.entry(f.A, status=0)), f.membership(1, 0))
-    assert sends(run(host, 2.0, f.about(3), f.submit(1))) == [(1, f.B)]
-    run(host, 2.5, f.about(3), f.verdict(1, f.B, 100, done=1))
-    run(host, 3.0, f.about(3), f.define_list(2, f.entry(f.C)), f.membership(2, 1))
-    assert sends(run(host, 4.0, f.about(3), f.submit(2))) == [(2, f.C)]
-    run(host, 5.0, f.about(3), f.verdict(2, f.C, 100, done=1))
-    run(host, 6.0, f.about(3), f.membership(0, 3))  # a failed call leaves the list as it is
-    assert sends(run(host, 600.0, f.about(3), f.submit(3))) == [(3, f.C)]
+def test_delta_updates_the_server_list_and_full_list_replaces_it() -> None:
+    host = host_with_servers(frames.ADDRESS_A, frames.ADDRESS_B)
+    handle_records(
+        host,
+        1.0,
+        frames.select_instance(3),
+        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_A, state=0)),
+        frames.server_list_event(1, 0),
+    )
+    assert sent_attempts(handle_records(host, 2.0, frames.select_instance(3), frames.request_event(1))) == [
+        (1, frames.ADDRESS_B)
+    ]
+    handle_records(
+        host, 2.5, frames.select_instance(3), frames.outcome_event(1, frames.ADDRESS_B, 100, closed=1)
+    )
+    handle_records(
+        host,
+        3.0,
+        frames.select_instance(3),
+        frames.define_server_list(2, frames.list_entry(frames.ADDRESS_C)),
+        frames.server_list_event(2, 1),
+    )
+    assert sent_attempts(handle_records(host, 4.0, frames.select_instance(3), frames.request_event(2))) == [
+        (2, frames.ADDRESS_C)
+    ]
+    handle_records(
+        host, 5.0, frames.select_instance(3), frames.outcome_event(2, frames.ADDRESS_C, 100, closed=1)
+    )
+    # A failed discovery call leaves the list as it is.
+    handle_records(host, 6.0, frames.select_instance(3), frames.server_list_event(0, 3))
+    assert sent_attempts(handle_records(host, 600.0, frames.select_instance(3), frames.request_event(3))) == [
+        (3, frames.ADDRESS_C)
+    ]
 
 
-def test_odd_but_legal_input_is_passed_over() -> None:
-    host = started(f.A)
-    assert host.reply_to(1.0, b"", 0) == EMPTY_REPLY
-    found = run(
-        host, 2.0, f.about(3), f.verdict(99, f.A, 303), f.abandoned(98), f.deadline_hit(12345), f.submit(1)
+def test_empty_batch_and_events_with_unknown_ids_are_ignored() -> None:
+    host = host_with_servers(frames.ADDRESS_A)
+    assert host.handle_batch(1.0, b"", 0) == EMPTY_REPLY
+    actions = handle_records(
+        host,
+        2.0,
+        frames.select_instance(3),
+        frames.outcome_event(99, frames.ADDRESS_A, 303),
+        frames.client_gone_event(98),
+        frames.timer_fired_event(12345),
+        frames.request_event(1),
     )
-    assert sends(found) == [(1, f.A)]
+    assert sent_attempts(actions) == [(1, frames.ADDRESS_A)]
 
 
-def test_a_server_that_leaves_and_comes_back_gets_turns_again() -> None:
-    host = started(f.A)
-    run(host, 1.0, f.about(3), f.define_list(1, f.entry(f.A, status=0)), f.membership(1, 0))
-    assert sends(run(host, 2.0, f.about(3), f.submit(1))) == []
-    found = run(host, 3.0, f.about(3), f.define_list(2, f.entry(f.A)), f.membership(2, 0))
-    assert sends(found) == [(1, f.A)]
+def test_server_that_returns_to_the_list_receives_requests_again() -> None:
+    host = host_with_servers(frames.ADDRESS_A)
+    handle_records(
+        host,
+        1.0,
+        frames.select_instance(3),
+        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_A, state=0)),
+        frames.server_list_event(1, 0),
+    )
+    assert sent_attempts(handle_records(host, 2.0, frames.select_instance(3), frames.request_event(1))) == []
+    actions = handle_records(
+        host,
+        3.0,
+        frames.select_instance(3),
+        frames.define_server_list(2, frames.list_entry(frames.ADDRESS_A)),
+        frames.server_list_event(2, 0),
+    )
+    assert sent_attempts(actions) == [(1, frames.ADDRESS_A)]
 
 
-def test_no_servers_and_no_time_left_end_in_refusals() -> None:
-    host = started()
-    found = run(host, 1.0, f.about(3), f.submit(1, left=0.0), f.submit(2))
-    assert [x[:4] for _, code, x in found if code == 2] == [struct.pack(">I", 1)]
-    found = run(host, 1300.0, f.about(3), f.deadline_hit(1))
-    assert [x[:4] for _, code, x in found if code == 2] == [struct.pack(">I", 2)]
+def test_request_without_servers_or_time_left_is_refused() -> None:
+    host = host_with_servers()
+    actions = handle_records(
+        host,
+        1.0,
+        frames.select_instance(3),
+        frames.request_event(1, time_left_ms=0.0),
+        frames.request_event(2),
+    )
+    assert [fields[:4] for _, code, fields in actions if code == 2] == [struct.pack(">I", 1)]
+    actions = handle_records(host, 1300.0, frames.select_instance(3), frames.timer_fired_event(1))
+    assert [fields[:4] for _, code, fields in actions if code == 2] == [struct.pack(">I", 2)]
 
 
-def test_an_exception_in_the_decisions_becomes_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_exception_in_the_balancer_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
     errors = io.StringIO()
-    host = Host(errors)
-    run(host, 0.0, f.about(3), f.enlist())
+    host = BalancerHost(errors)
+    handle_records(host, 0.0, frames.select_instance(3), frames.start_instance())
 
-    def broken(self: Balancer, now: float, event: api.Event) -> list[api.Action]:
+    def failing_handle(self: Balancer, now: float, event: api.Event) -> list[api.Action]:
         raise ValueError("no such turn")
 
-    monkeypatch.setattr(Balancer, "handle", broken)
-    [(instance, code, text)] = run(host, 1.0, f.about(3), f.submit(1))
+    monkeypatch.setattr(Balancer, "handle", failing_handle)
+    [(instance, code, text)] = handle_records(host, 1.0, frames.select_instance(3), frames.request_event(1))
     assert (instance, code, text[2:]) == (3, 10, b"ValueError: no such turn")
     assert "Traceback" in errors.getvalue()
 
 
-# Bad input
-
-GOOD = f.batch(0.0, f.about(3), f.enlist(), f.define_list(0, f.entry(f.A)), f.membership(0, 2))
+# Malformed input
 
+VALID_BATCH = frames.batch_frame(
+    0.0,
+    frames.select_instance(3),
+    frames.start_instance(),
+    frames.define_server_list(0, frames.list_entry(frames.ADDRESS_A)),
+    frames.server_list_event(0, 2),
+)
 
-def no_deadlines() -> bytes:
 
-    config = copy.deepcopy(f.CONFIG)
+def config_without_a_deadline() -> bytes:
+    config = copy.deepcopy(frames.CONFIG)
     del config["grades"][1]["deadline-ms"]
     return json.dumps(config).encode()
 
 
-BAD = {
-    "short header": (GOOD + b"\x40\x00", "frame 1: input ended at byte 2, inside the header"),
-    "short body": (GOOD[:-3], "3 bytes short of its length"),
-    "length beyond the records": (f.batch(0.0, f.about(3), b"\x00\x00", count=1), "2 bytes left over"),
-    "more records than bytes": (f.batch(0.0, f.about(3), count=2), "past the end of the frame at byte 21"),
-    "unknown code": (f.batch(0.0, f.about(3), b"\x63"), "unknown event code 99 at byte 21"),
+# The input and a part of the error message that it must cause, by name of the case.
+MALFORMED_INPUTS = {
+    "short header": (VALID_BATCH + b"\x40\x00", "frame 1: input ended at byte 2, inside the header"),
+    "short body": (VALID_BATCH[:-3], "3 bytes short of its length"),
+    "length beyond the records": (
+        frames.batch_frame(0.0, frames.select_instance(3), b"\x00\x00", count=1),
+        "2 bytes left over",
+    ),
+    "more records than bytes": (
+        frames.batch_frame(0.0, frames.select_instance(3), count=2),
+        "past the end of the frame at byte 21",
+    ),
+    "unknown code": (
+        frames.batch_frame(0.0, frames.select_instance(3), b"\x63"),
+        "unknown event code 99 at byte 21",
+    ),
     "unknown outcome": (
-        GOOD + f.batch(1.0, f.about(3), f.verdict(1, f.A, 999)),
+        VALID_BATCH
+        + frames.batch_frame(1.0, frames.select_instance(3), frames.outcome_event(1, frames.ADDRESS_A, 999)),
         "unknown outcome 999 at byte 21",
     ),
-    "undefined list": (f.batch(0.0, f.about(3), f.enlist(), f.membership(4, 2)), "list 4 was never defined"),
+    "undefined list": (
+        frames.batch_frame(
+            0.0, frames.select_instance(3), frames.start_instance(), frames.server_list_event(4, 2)
+        ),
+        "list 4 was never defined",
+    ),
     "list number out of range": (
-        f.batch(0.0, f.define_list(16)),
+        frames.batch_frame(0.0, frames.define_server_list(16)),
         "list number 16 is not under 16 at byte 16",
     ),
-    "never started": (f.batch(0.0, f.about(8), f.submit(1)), "instance 8, never started"),
-    "no instance named": (f.batch(0.0, f.submit(1)), "before any instance was named at byte 16"),
-    "settings not JSON": (f.batch(0.0, f.about(3), f.enlist(1, b"{nope")), "settings: JSON is malformed"),
+    "never started": (
+        frames.batch_frame(0.0, frames.select_instance(8), frames.request_event(1)),
+        "instance 8, never started",
+    ),
+    "no instance named": (
+        frames.batch_frame(0.0, frames.request_event(1)),
+        "before any instance was named at byte 16",
+    ),
+    "settings not JSON": (
+        frames.batch_frame(0.0, frames.select_instance(3), frames.start_instance(1, b"{nope")),
+        "settings: JSON is malformed",
+    ),
     "settings incomplete": (
-        f.batch(0.0, f.about(3), f.enlist(1, no_deadlines())),
+        frames.batch_frame(
+            0.0, frames.select_instance(3), frames.start_instance(1, config_without_a_deadline())
+        ),
         "`deadline-ms` - at `$.grades[1]`",
     ),
 }
 
 
-@pytest.mark.parametrize("name", list(BAD))
-def test_bad_input_ends_with_one_plain_line(name: str) -> None:
-    data, message = BAD[name]
-    done = subprocess.run(
-        [sys.executable, "-m", "larkcrank.simwire"], input=data, capture_output=True, cwd=ROOT, check=False
+@pytest.mark.parametrize("name", list(MALFORMED_INPUTS))
+def test_malformed_input_exits_with_a_one_line_error(name: str) -> None:
+    data, expected_message = MALFORMED_INPUTS[name]
+    process = subprocess.run(
+        [sys.executable, "-m", "larkcrank.simwire"],
+        input=data,
+        capture_output=True,
+        cwd=REPOSITORY_ROOT,
+        check=False,
     )
-    assert done.returncode == 2
-    [line] = done.stderr.decode().splitlines()
-    assert message in line and "Traceback" not in line
-    while done.stdout:  # whole replies only
-        (size,) = struct.unpack_from(">I", done.stdout)
-        assert len(done.stdout) >= 4 + size
-        done.stdout = done.stdout[4 + size :]
-
-
-def test_input_that_ends_between_frames_is_a_clean_end() -> None:
-    done = subprocess.run(
-        [sys.executable, "-m", "larkcrank.simwire"], input=GOOD, capture_output=True, cwd=ROOT, check=False
+    assert process.returncode == 2
+    [line] = process.stderr.decode().splitlines()
+    assert expected_message in line and "Traceback" not in line
+    while process.stdout:  # the output consists of whole replies
+        (size,) = struct.unpack_from(">I", process.stdout)
+        assert len(process.stdout) >= 4 + size
+        process.stdout = process.stdout[4 + size :]
+
+
+def test_input_that_ends_between_frames_exits_without_an_error() -> None:
+    process = subprocess.run(
+        [sys.executable, "-m", "larkcrank.simwire"],
+        input=VALID_BATCH,
+        capture_output=True,
+        cwd=REPOSITORY_ROOT,
+        check=False,
     )
-    assert (done.returncode, done.stderr) == (0, b"")
-    assert f.actions(done.stdout)
+    assert (process.returncode, process.stderr) == (0, b"")
+    assert frames.parse_actions(process.stdout)
 
 
-def test_each_batch_gets_one_reply() -> None:
+def test_each_batch_is_answered_with_one_reply() -> None:
     sink = io.BytesIO()
-    serve(io.BytesIO(GOOD + f.batch(1.0) + f.batch(2.0)), sink)
+    serve(io.BytesIO(VALID_BATCH + frames.batch_frame(1.0) + frames.batch_frame(2.0)), sink)
     assert sink.getvalue().endswith(EMPTY_REPLY + EMPTY_REPLY)
 
 
 # Settings
 
 
-def test_settings_are_read_and_unknown_keys_ignored() -> None:
-
-    config = copy.deepcopy(f.CONFIG)
+def test_settings_are_parsed_and_unknown_keys_ignored() -> None:
+    config = copy.deepcopy(frames.CONFIG)
     config["news"] = {"deep": [1]}
     config["grades"][0]["colour"] = "red"
     config["customers"] = [{"name": "a", "portion": 0.7, "quota-per-s": 3.0}]
     parsed = settings.parse(json.dumps(config).encode()).decisions
-    assert [c.effect for c in parsed.classes] == [api.Effect.SAFE, api.Effect.UNSAFE]
+    assert [cls.effect for cls in parsed.classes] == [api.Effect.SAFE, api.Effect.UNSAFE]
     assert parsed.classes[0].group is api.Group.ALL and parsed.classes[0].late_worth == 0.0
     assert (parsed.max_attempts, parsed.retry_after, parsed.must_ask) == (5, True, True)
     assert parsed.tenants == (api.Tenant("a", 0.7),)
 
 
-def test_settings_of_order_drains_and_nines_are_read_and_left_out_change_nothing() -> None:
-    plain = settings.parse(json.dumps(f.CONFIG).encode()).decisions
-    assert not any(cls.in_turn for cls in plain.classes)
-    assert (plain.key_quiet_ms, plain.only_draining_binds, plain.nines_part) == (0.0, False, 0.0)
-    assert not plain.warm_keys
-    config = copy.deepcopy(f.CONFIG)
+def test_optional_settings_are_parsed_and_default_to_off() -> None:
+    defaults = settings.parse(json.dumps(frames.CONFIG).encode()).decisions
+    assert not any(cls.in_turn for cls in defaults.classes)
+    assert (defaults.key_quiet_ms, defaults.only_draining_binds, defaults.nines_part) == (0.0, False, 0.0)
+    assert not defaults.warm_keys
+    config = copy.deepcopy(frames.CONFIG)
     config["grades"][1]["in-turn"] = True
     config["contract"] |= {"key-quiet-ms": 50.0, "only-draining-binds": True}
     config["objective-mix"] = {"nines-part": 0.4, "nines-full": 2}
@@ -368,7 +476,7 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "change", "named"),
+    ("part", "change", "setting"),
     [
         ("contract", {"key-quiet-ms": -1.0}, "contract.key-quiet-ms"),
         ("contract", {"only-draining-binds": "yes"}, "contract.only-draining-binds"),
@@ -378,44 +486,57 @@
         ("grades", {"in-turn": True, "streaming": True}, "grades[0].in-turn"),
     ],
 )
-def test_a_faulty_setting_of_order_drains_or_nines_is_named(
-    part: str, change: dict[str, Any], named: str
-) -> None:
-    config = copy.deepcopy(f.CONFIG)
+def test_error_names_the_invalid_optional_setting(part: str, change: dict[str, Any], setting: str) -> None:
+    config = copy.deepcopy(frames.CONFIG)
     config.setdefault(part, {})
-    place = config[part][0] if part == "grades" else config[part]
-    place.update(change)
+    section = config[part][0] if part == "grades" else config[part]
+    section.update(change)
     with pytest.raises(settings.SettingsError) as error:
         settings.parse(json.dumps(config).encode())
-    assert f"$.{named}`" in str(error.value)
+    assert f"$.{setting}`" in str(error.value)
 
 
 @pytest.mark.parametrize("key", ["effect", "group"])
-def test_an_unknown_effect_or_group_is_named(key: str) -> None:
-
-    config = copy.deepcopy(f.CONFIG)
+def test_error_names_the_unknown_effect_or_group(key: str) -> None:
+    config = copy.deepcopy(frames.CONFIG)
     config["grades"][0][key] = "odd"
     with pytest.raises(settings.SettingsError, match=rf"'odd' - at `\$\.grades\[0\]\.{key}`"):
         settings.parse(json.dumps(config).encode())
 
 
-def test_instances_act_alike_alone_and_together() -> None:
-    def play(instances: list[int]) -> dict[int, list[tuple[int, bytes]]]:
-        host = Host()
-        seen: dict[int, list[tuple[int, bytes]]] = {i: [] for i in instances}
-        lists = f.define_list(0, *(f.entry(a) for a in (f.A, f.B, f.C)))
+def test_instance_acts_the_same_with_and_without_other_instances() -> None:
+    def replay(instances: list[int]) -> dict[int, list[tuple[int, bytes]]]:
+        """Send each request to its instance, skip those of other instances, and return the actions."""
+        host = BalancerHost()
+        actions_by_instance: dict[int, list[tuple[int, bytes]]] = {instance: [] for instance in instances}
+        server_list = frames.define_server_list(
+            0,
+            *(
+                frames.list_entry(address)
+                for address in (frames.ADDRESS_A, frames.ADDRESS_B, frames.ADDRESS_C)
+            ),
+        )
         rng = random.Random(5)
-        picks = [(rng.randrange(3), n) for n in range(60)]
-        records = [lists]
-        for i in instances:
-            records += [f.about(i), f.enlist(i), f.membership(0, 2)]
-        run(host, 0.0, *records)
-        for instance, number in picks:
-            if instance in instances:
-                for i, code, x in run(host, 10.0 * number, f.about(instance), f.submit(number)):
-                    seen[i].append((code, x))
-        return seen
-
-    together = play([0, 1, 2])
-    for i in range(3):
-        assert play([i])[i] == together[i]
+        requests = [(rng.randrange(3), index) for index in range(60)]
+        records = [server_list]
+        for instance in instances:
+            records += [
+                frames.select_instance(instance),
+                frames.start_instance(instance),
+                frames.server_list_event(0, 2),
+            ]
+        handle_records(host, 0.0, *records)
+        for receiver, request_id in requests:
+            if receiver in instances:
+                for instance, code, fields in handle_records(
+                    host,
+                    10.0 * request_id,
+                    frames.select_instance(receiver),
+                    frames.request_event(request_id),
+                ):
+                    actions_by_instance[instance].append((code, fields))
+        return actions_by_instance
+
+    together = replay([0, 1, 2])
+    for instance in range(3):
+        assert replay([instance])[instance] == together[instance]
