--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -191,18 +191,22 @@
 @pytest.mark.parametrize("cancelled", [True, False])
 def test_a_cancel_on_the_wire_ends_what_is_held_and_what_would_be_repeated(cancelled: bool) -> None:
     def cancel(number: int) -> list[bytes]:
-        return [f.abandoned(number)] if cancelled else []
-
-    host, one = wire.started(), f.about(3)
-    assert not wire.sends(wire.run(host, 1.0, one, f.submit(1)))  # held: there is no server
-    wire.run(host, 2.0, one, *cancel(1))
-    servers = f.define_list(1, f.entry(f.A), f.entry(f.B))
-    found = wire.sends(wire.run(host, 3.0, one, servers, f.membership(1, 2)))
+        return [f.client_gone_event(number)] if cancelled else []
+
+    host, one = wire.host_with_servers(), f.select_instance(3)
+    assert not wire.sent_attempts(
+        wire.handle_records(host, 1.0, one, f.request_event(1))
+    )  # held: there is no server
+    wire.handle_records(host, 2.0, one, *cancel(1))
+    servers = f.define_server_list(1, f.list_entry(f.ADDRESS_A), f.list_entry(f.ADDRESS_B))
+    found = wire.sent_attempts(wire.handle_records(host, 3.0, one, servers, f.server_list_event(1, 2)))
     assert bool(found) is not cancelled
     for number, server in found:
-        wire.run(host, 3.5, one, f.verdict(number, server, 100, done=1))
-    ((_, server),) = wire.sends(wire.run(host, 4.0, one, f.submit(2)))
-    found = wire.sends(wire.run(host, 5.0, one, *cancel(2), f.verdict(2, server, 302)))  # turned away unseen
+        wire.handle_records(host, 3.5, one, f.outcome_event(number, server, 100, closed=1))
+    ((_, server),) = wire.sent_attempts(wire.handle_records(host, 4.0, one, f.request_event(2)))
+    found = wire.sent_attempts(
+        wire.handle_records(host, 5.0, one, *cancel(2), f.outcome_event(2, server, 302))
+    )  # turned away unseen
     assert bool(found) is not cancelled
 
 
