--- a/larkcrank/simwire/codec.py
+++ b/larkcrank/simwire/codec.py
@@ -61,14 +61,22 @@
 
 BATCH_HEADER = Struct(">dII")  # current time in ms, length of the body in bytes, number of records
 REPLY_HEADER = Struct(">I")  # length of the body in bytes
-MAX_SERVER_LISTS = 16
-BROADCAST_PEER = 0xFFFFFFFF
+MAX_SERVER_LISTS = 16  # list numbers go from 0 to 15
+BROADCAST_PEER = 0xFFFFFFFF  # recipient of a message to all other instances
 MAX_TEXT_BYTES = 0xFFFF  # the length field has 16 bits
 
 _U8 = Struct(">B")
 _U32 = Struct(">I")
 _U64 = Struct(">Q")
 
+# Codes of the records that the decoder handles without yielding them.
+_DEFINE_LIST_CODE = 4
+_SELECT_INSTANCE_CODE = 9
+
+# Codes of the records in a reply that are not balancer actions.
+_FAULT_CODE = 10
+_REPLY_INSTANCE_CODE = 13
+
 # Layouts of the records in a batch, after the code byte.
 _REQUEST = Struct(">IBIQddB")  # request, class, tenant, key, time left in ms, cost in ms, flags
 _OUTCOME = Struct(">I6sBdHH")  # request, address, closed, elapsed ms, result code, attempt
@@ -163,10 +171,10 @@
         for _ in range(count):
             record_start = reader.pos
             (code,) = reader.read_struct(_U8)
-            if code == 9:  # selects the instance that the following records are for
+            if code == _SELECT_INSTANCE_CODE:  # the following records are for this instance
                 (instance,) = reader.read_struct(_U32)
                 continue
-            if code == 4:  # defines a server list
+            if code == _DEFINE_LIST_CODE:
                 self._define_list(reader)
                 continue
             record = self._decode_record(reader, int(code), record_start)
@@ -266,7 +274,7 @@
 
 def encode_fault(text: str) -> bytes:
     """Encode the report that the balancer raised an exception."""
-    return _encode_text(10, text)
+    return _encode_text(_FAULT_CODE, text)
 
 
 def encode_action(action: Action) -> bytes:
@@ -301,7 +309,8 @@
     parts = [b""]
     for instance, actions in action_groups:
         if actions:
-            parts.append(_REPLY_INSTANCE.pack(13, instance))  # the actions that follow are of this instance
+            # The actions that follow are of this instance.
+            parts.append(_REPLY_INSTANCE.pack(_REPLY_INSTANCE_CODE, instance))
             parts.extend(actions)
     body = b"".join(parts)
     return REPLY_HEADER.pack(len(body)) + body
--- a/tests/frames.py
+++ b/tests/frames.py
@@ -8,6 +8,27 @@
 ADDRESS_B = bytes([10, 144, 17, 242]) + struct.pack(">H", 9044)
 ADDRESS_C = bytes([10, 9, 9, 9]) + struct.pack(">H", 9100)
 
+# Values of the state of a list entry.
+STATE_GONE = 0
+STATE_READY = 1
+STATE_DRAINING = 2
+
+# Values of the mode of a server list event.
+LIST_DELTA = 0
+LIST_FULL = 1
+LIST_CACHED = 2
+LIST_FAILED = 3
+
+# Result codes of an outcome event.
+RESULT_OK = 100
+RESULT_TIMEOUT = 303
+RESULT_CONNECT_FAILED = 304
+
+# Action codes.
+ACTION_SEND = 1
+ACTION_REFUSE = 2
+ACTION_FAULT = 10
+
 CONFIG: dict[str, Any] = {
     "az": 0,
     "bounds": {
@@ -52,13 +73,18 @@
 
 
 def list_entry(
-    address: bytes, state: int = 1, zone: int = 0, cell: int = 0, started_at: float = 0.0, size: float = 1.0
+    address: bytes,
+    state: int = STATE_READY,
+    zone: int = 0,
+    cell: int = 0,
+    started_at: float = 0.0,
+    size: float = 1.0,
 ) -> bytes:
     return address + struct.pack(">BHBBfd", zone, cell, state, 0, size, started_at)
 
 
 def server_list_event(list_number: int, mode: int, revision: int = 1) -> bytes:
-    """Event that delivers a defined list. Modes: 0 delta, 1 full, 2 cached, 3 failed discovery call."""
+    """Event that delivers a defined list, or reports a failed discovery call."""
     return struct.pack(">BQIB", 3, revision, list_number, mode)
 
 
--- a/tests/test_simwire.py
+++ b/tests/test_simwire.py
@@ -23,12 +23,13 @@
 
 REPOSITORY_ROOT = Path(__file__).resolve().parent.parent
 EMPTY_REPLY = bytes(4)
+BATCH_HEADER_BYTES = 16
 
 
 def handle_records(host: BalancerHost, now_ms: float, *records: bytes) -> list[tuple[int, int, bytes]]:
     """Handle the records as one batch. Returns (instance, code, fields) of each action in the reply."""
     frame = frames.batch_frame(now_ms, *records)
-    return frames.parse_actions(host.handle_batch(now_ms, frame[16:], len(records)))
+    return frames.parse_actions(host.handle_batch(now_ms, frame[BATCH_HEADER_BYTES:], len(records)))
 
 
 def host_with_servers(*addresses: bytes, instance: int = 3, config: Any = None) -> BalancerHost:
@@ -41,14 +42,18 @@
         frames.select_instance(instance),
         frames.start_instance(7, config),
         frames.define_server_list(0, *entries),
-        frames.server_list_event(0, 2),
+        frames.server_list_event(0, frames.LIST_CACHED),
     )
     return host
 
 
 def sent_attempts(actions: list[tuple[int, int, bytes]]) -> list[tuple[int, bytes]]:
     """(request id, server address) of each `Send` among the actions."""
-    return [(struct.unpack_from(">I", fields)[0], fields[4:10]) for _, code, fields in actions if code == 1]
+    return [
+        (struct.unpack_from(">I", fields)[0], fields[4:10])
+        for _, code, fields in actions
+        if code == frames.ACTION_SEND
+    ]
 
 
 def test_documented_batch_example_is_decoded() -> None:
@@ -94,11 +99,13 @@
             struct.pack(">BQ", 5, 77),
             frames.stop_instance(),
             struct.pack(">BIH", 8, 6, 3) + b"abc",
-            frames.outcome_event(9, frames.ADDRESS_B, 304, 1, 1),
+            frames.outcome_event(9, frames.ADDRESS_B, frames.RESULT_CONNECT_FAILED, 1, 1),
             frames.client_gone_event(9),
-            frames.define_server_list(15, frames.list_entry(frames.ADDRESS_A, 2, 1, 300, 40.0)),
-            frames.server_list_event(15, 0, 5),
-            frames.server_list_event(99, 3),
+            frames.define_server_list(
+                15, frames.list_entry(frames.ADDRESS_A, frames.STATE_DRAINING, 1, 300, 40.0)
+            ),
+            frames.server_list_event(15, frames.LIST_DELTA, 5),
+            frames.server_list_event(99, frames.LIST_FAILED),
         ]
     )
     assert [record for _, record in codec.BatchDecoder().decode_records(body, 11)] == [
@@ -182,18 +189,18 @@
         frames.select_instance(1),
         frames.start_instance(),
         frames.define_server_list(0, frames.list_entry(frames.ADDRESS_A)),
-        frames.server_list_event(0, 2),
+        frames.server_list_event(0, frames.LIST_CACHED),
         frames.select_instance(2),
         frames.start_instance(),
         frames.define_server_list(0, frames.list_entry(frames.ADDRESS_B)),
-        frames.server_list_event(0, 2),
+        frames.server_list_event(0, frames.LIST_CACHED),
         frames.select_instance(1),
         frames.request_event(11),
         frames.select_instance(2),
         frames.request_event(12),
     )
     assert sent_attempts(actions) == [(11, frames.ADDRESS_A), (12, frames.ADDRESS_B)]
-    assert [instance for instance, code, _ in actions if code == 1] == [1, 2]
+    assert [instance for instance, code, _ in actions if code == frames.ACTION_SEND] == [1, 2]
 
 
 def test_instance_restarted_within_one_batch_has_no_earlier_state() -> None:
@@ -206,9 +213,9 @@
         frames.stop_instance(),
         frames.start_instance(9),
         frames.define_server_list(1, frames.list_entry(frames.ADDRESS_B)),
-        frames.server_list_event(1, 2),
+        frames.server_list_event(1, frames.LIST_CACHED),
         frames.request_event(2),
-        frames.outcome_event(1, frames.ADDRESS_A, 100, closed=1),
+        frames.outcome_event(1, frames.ADDRESS_A, frames.RESULT_OK, closed=1),
     )
     # The actions of the instance before its restart are dropped.
     assert sent_attempts(actions) == [(2, frames.ADDRESS_B)]
@@ -221,7 +228,7 @@
         + frames.define_server_list(
             0, frames.list_entry(frames.ADDRESS_A, size=size), frames.list_entry(frames.ADDRESS_B, size=0.5)
         )
-        + frames.server_list_event(0, 1)
+        + frames.server_list_event(0, frames.LIST_FULL)
     )
     [(_, record)] = codec.BatchDecoder().decode_records(body, 3)
     assert isinstance(record, api.ServerList)
@@ -246,30 +253,36 @@
         host,
         1.0,
         frames.select_instance(3),
-        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_A, state=0)),
-        frames.server_list_event(1, 0),
+        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_A, state=frames.STATE_GONE)),
+        frames.server_list_event(1, frames.LIST_DELTA),
     )
     assert sent_attempts(handle_records(host, 2.0, frames.select_instance(3), frames.request_event(1))) == [
         (1, frames.ADDRESS_B)
     ]
     handle_records(
-        host, 2.5, frames.select_instance(3), frames.outcome_event(1, frames.ADDRESS_B, 100, closed=1)
+        host,
+        2.5,
+        frames.select_instance(3),
+        frames.outcome_event(1, frames.ADDRESS_B, frames.RESULT_OK, closed=1),
     )
     handle_records(
         host,
         3.0,
         frames.select_instance(3),
         frames.define_server_list(2, frames.list_entry(frames.ADDRESS_C)),
-        frames.server_list_event(2, 1),
+        frames.server_list_event(2, frames.LIST_FULL),
     )
     assert sent_attempts(handle_records(host, 4.0, frames.select_instance(3), frames.request_event(2))) == [
         (2, frames.ADDRESS_C)
     ]
     handle_records(
-        host, 5.0, frames.select_instance(3), frames.outcome_event(2, frames.ADDRESS_C, 100, closed=1)
+        host,
+        5.0,
+        frames.select_instance(3),
+        frames.outcome_event(2, frames.ADDRESS_C, frames.RESULT_OK, closed=1),
     )
     # A failed discovery call leaves the list as it is.
-    handle_records(host, 6.0, frames.select_instance(3), frames.server_list_event(0, 3))
+    handle_records(host, 6.0, frames.select_instance(3), frames.server_list_event(0, frames.LIST_FAILED))
     assert sent_attempts(handle_records(host, 600.0, frames.select_instance(3), frames.request_event(3))) == [
         (3, frames.ADDRESS_C)
     ]
@@ -282,7 +295,7 @@
         host,
         2.0,
         frames.select_instance(3),
-        frames.outcome_event(99, frames.ADDRESS_A, 303),
+        frames.outcome_event(99, frames.ADDRESS_A, frames.RESULT_TIMEOUT),
         frames.client_gone_event(98),
         frames.timer_fired_event(12345),
         frames.request_event(1),
@@ -296,8 +309,8 @@
         host,
         1.0,
         frames.select_instance(3),
-        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_A, state=0)),
-        frames.server_list_event(1, 0),
+        frames.define_server_list(1, frames.list_entry(frames.ADDRESS_A, state=frames.STATE_GONE)),
+        frames.server_list_event(1, frames.LIST_DELTA),
     )
     assert sent_attempts(handle_records(host, 2.0, frames.select_instance(3), frames.request_event(1))) == []
     actions = handle_records(
@@ -305,7 +318,7 @@
         3.0,
         frames.select_instance(3),
         frames.define_server_list(2, frames.list_entry(frames.ADDRESS_A)),
-        frames.server_list_event(2, 0),
+        frames.server_list_event(2, frames.LIST_DELTA),
     )
     assert sent_attempts(actions) == [(1, frames.ADDRESS_A)]
 
@@ -319,14 +332,18 @@
         frames.request_event(1, time_left_ms=0.0),
         frames.request_event(2),
     )
-    assert [fields[:4] for _, code, fields in actions if code == 2] == [struct.pack(">I", 1)]
+    assert [fields[:4] for _, code, fields in actions if code == frames.ACTION_REFUSE] == [
+        struct.pack(">I", 1)
+    ]
     actions = handle_records(host, 1300.0, frames.select_instance(3), frames.timer_fired_event(1))
-    assert [fields[:4] for _, code, fields in actions if code == 2] == [struct.pack(">I", 2)]
+    assert [fields[:4] for _, code, fields in actions if code == frames.ACTION_REFUSE] == [
+        struct.pack(">I", 2)
+    ]
 
 
 def test_exception_in_the_balancer_is_reported_as_a_fault(monkeypatch: pytest.MonkeyPatch) -> None:
-    errors = io.StringIO()
-    host = BalancerHost(errors)
+    error_stream = io.StringIO()
+    host = BalancerHost(error_stream)
     handle_records(host, 0.0, frames.select_instance(3), frames.start_instance())
 
     def failing_handle(self: Balancer, now: float, event: api.Event) -> list[api.Action]:
@@ -334,8 +351,8 @@
 
     monkeypatch.setattr(Balancer, "handle", failing_handle)
     [(instance, code, text)] = handle_records(host, 1.0, frames.select_instance(3), frames.request_event(1))
-    assert (instance, code, text[2:]) == (3, 10, b"ValueError: no such turn")
-    assert "Traceback" in errors.getvalue()
+    assert (instance, code, text[2:]) == (3, frames.ACTION_FAULT, b"ValueError: no such turn")
+    assert "Traceback" in error_stream.getvalue()
 
 
 # Malformed input
@@ -345,7 +362,7 @@
     frames.select_instance(3),
     frames.start_instance(),
     frames.define_server_list(0, frames.list_entry(frames.ADDRESS_A)),
-    frames.server_list_event(0, 2),
+    frames.server_list_event(0, frames.LIST_CACHED),
 )
 
 
@@ -378,7 +395,10 @@
     ),
     "undefined list": (
         frames.batch_frame(
-            0.0, frames.select_instance(3), frames.start_instance(), frames.server_list_event(4, 2)
+            0.0,
+            frames.select_instance(3),
+            frames.start_instance(),
+            frames.server_list_event(4, frames.LIST_CACHED),
         ),
         "list 4 was never defined",
     ),
@@ -409,10 +429,10 @@
 
 @pytest.mark.parametrize("name", list(MALFORMED_INPUTS))
 def test_malformed_input_exits_with_a_one_line_error(name: str) -> None:
-    data, expected_message = MALFORMED_INPUTS[name]
+    input_bytes, expected_message = MALFORMED_INPUTS[name]
     process = subprocess.run(
         [sys.executable, "-m", "larkcrank.simwire"],
-        input=data,
+        input=input_bytes,
         capture_output=True,
         cwd=REPOSITORY_ROOT,
         check=False,
@@ -439,9 +459,9 @@
 
 
 def test_each_batch_is_answered_with_one_reply() -> None:
-    sink = io.BytesIO()
-    serve(io.BytesIO(VALID_BATCH + frames.batch_frame(1.0) + frames.batch_frame(2.0)), sink)
-    assert sink.getvalue().endswith(EMPTY_REPLY + EMPTY_REPLY)
+    output_stream = io.BytesIO()
+    serve(io.BytesIO(VALID_BATCH + frames.batch_frame(1.0) + frames.batch_frame(2.0)), output_stream)
+    assert output_stream.getvalue().endswith(EMPTY_REPLY + EMPTY_REPLY)
 
 
 # Settings
@@ -523,7 +543,7 @@
             records += [
                 frames.select_instance(instance),
                 frames.start_instance(instance),
-                frames.server_list_event(0, 2),
+                frames.server_list_event(0, frames.LIST_CACHED),
             ]
         handle_records(host, 0.0, *records)
         for receiver, request_id in requests:
