--- a/larkcrank/core/balancer.py
+++ b/larkcrank/core/balancer.py
@@ -1,7 +1,9 @@
-"""Every decision of larkcrank: one Balancer an instance, events in, actions out.
+"""The balancer: one `Balancer` per instance takes events, makes every decision and returns actions.
 
-Types, events and actions: larkcrank/core/interface.py; what it remembers: larkcrank/core/state.py.
-Why: docs/design.md. Times are milliseconds on the caller's clock, rates sends a millisecond.
+The types of events and actions are in larkcrank/core/interface.py, the types of its state in
+larkcrank/core/state.py, and the reasons for the design in docs/design.md. Times are milliseconds on the
+caller's clock; rates are per millisecond. "Usual" answer times are long-term averages, "recent" ones follow
+changes faster. The "aim" of a request is its target response time.
 """
 
 import bisect
@@ -41,186 +43,203 @@
 )
 from larkcrank.core.state import (
     Attempt,
-    RateLimiter,
-    PendingRequest,
+    DecayingCounter,
     HandoverState,
     KeyQueue,
-    DecayingCounter,
+    PendingRequest,
+    RateLimiter,
     Server,
 )
 
-LIMIT_CUT_SHARE = 0.20  # share of the rate that an event takes off (CARD)
-LIMIT_RECOVERY_WINDOWS = 10  # windows until a cut limit is back at M; fixes C ("within tens of windows")
-HYSTERESIS_WINDOWS = 2  # no event sooner than this after the limit last rose (CARD: 10 ms of 5 ms)
-OBSERVATION_SENDS = 4  # sends to a mean server in one comparison span: "a few answers"
-MAX_OBSERVATION_MS = 20000.0  # a span longer than this compares yesterday's weather
-QUEUE_SLACK_SHARE = (
-    0.5  # of a request's slack that the held before it may take: better refused early than late
-)
-MIN_TIME_LEFT_ANSWERS = 2.0  # recent answer times that a request must have left to be worth sending ...
-MIN_TIME_LEFT_AIM_SHARE = 0.8  # ... but not more than this share of its aim
-ALLOWED_MISSES = 1.5  # misses in a span that chance alone may bring ...
-ALLOWED_MISS_SHARE = 0.25  # ... and the share of its sends; above both, sends outrun answers
-CELL_ALLOWED_MISS_SHARE = 0.5  # the same for a cell's sends: a quarter late is usual where servers are unlike
-LATE_WORTH_IN_FLIGHT_FACTOR = 5.0  # the same where a late answer still earns something
-IN_FLIGHT_FACTOR = 3.0  # times the usual number of attempts out, at all servers together ...
-SHARED_IN_FLIGHT_PER_SERVER = 2.0  # ... and so many more a server, shared by all instances: thin ones add up
-LOW_WORTH_IN_FLIGHT_SHARE = (
-    0.8  # of these places that are open to what is worth least: the last are for what is worth more
-)
-TOTAL_IN_FLIGHT_DEVIATIONS = (
-    1.5  # standard deviations of chance in the number out, at all servers together ...
-)
-SERVER_IN_FLIGHT_DEVIATIONS = 2.0  # ... and at one
-MIN_IN_FLIGHT_PER_SERVER = (
-    1.5  # places a server and its shared ones: a single one is lost with one lost answer
-)
-OVERDUE_FACTOR = 4.0  # an answer is overdue after this many usual answer times ...
-OVERDUE_AIM_SHARE = 0.5  # ... or this share of its aim, or the aim where a later answer still earns something
-ANSWER_TIME_WEIGHT = 0.05  # of one answer in the recent answer time, of a quicker one in the usual ...
-SLOWER_ANSWER_WEIGHT = 0.01  # ... and of a slower one in the usual: a crowd must not make waiting look usual
-INITIAL_USUAL_AIM_SHARE = 0.2  # usual answer time before any answer, as a share of the aim
-MAX_RESTORED_RATIO = 2.5  # times as much or as little as the first guess a kept usual time may be
-RETRY_AFTER_AIM_SHARE = (
-    0.25  # of the aim: a refused client comes back while an answer is still worth something
-)
-SPARSE_SENDS_PER_WINDOW = 0.1  # sends a window to a mean server; under it its own limit never learns in time
-SPARSE_AVOIDANCE_MS = (
-    30000.0  # a late server is second choice this long on thin traffic: troubles last tens of seconds
-)
-STALE_LIST_FAILURES = 2  # failures in a row of most servers of the ring: the list held is doubted
-MAX_BACKOFF_DOUBLINGS = 4  # a failing server is left alone for 1, 2, 4 ... overdue times, doubled so often
-SUBSET_SERVERS = 4  # an instance of many keeps to about so many servers ...
-UNSIZED_SUBSET_SERVERS = 64  # ... or so many, where the list tells no sizes: four may all be small ones
-MIN_INSTANCES_PER_SERVER = (
-    4,
-    6,
-)  # ... as long as so many instances share each server, the more where they are tens ...
-MIN_SUBSET_SERVERS = 4  # ... and it has this many ready ones
-MAX_SERVERS_EXAMINED = 64  # servers looked at for one request in one event
-RETRY_BUDGET_SHARE = 0.2  # further attempts allowed, as a share of requests taken
-MAX_RETRY_BUDGET = 10.0  # further attempts that a quiet time may save up
-COLD_SAFE_SHARE = (
-    0.7  # of the share of its capacity that a cold server surely has; more as its answers show ...
-)
-MAX_COLD_LOAD_SHARE = (
-    0.5  # ... up to this share of what would push it over: twice its even share still does not
-)
-RATE_TIME_CONSTANT_MS = 2000.0  # time constant of the rate of requests
-TENANT_TIME_CONSTANT_MS = 5000.0  # time constant of what a tenant has had
-DISCOVERY_SPREAD_PER_INSTANCE_MS = (
-    150.0  # of spread for each instance's call: the service takes them in turn, a few a second
-)
-DISCOVERY_RETRY_MS = (
-    500.0,
-    5000.0,
-    8000.0,
-)  # least and longest wait for a call, or after a failure; after silence
-MISS_SHARE_WEIGHT = 0.1  # of one send in the share of a class's sends that are missed
-STALLED_CLASS_MISS_SHARE = (
-    0.75  # a class that misses more than this everywhere waits for something behind the servers ...
-)
-HEALTHY_CLASS_MISS_SHARE = 0.3  # ... as long as another misses less than this
-MACHINE_TYPE_WEIGHT = 0.02  # of one answer in what a machine type takes, against the usual
-SIZE_UPDATE_INTERVAL_MS = 1000.0  # sizes told by answers are counted anew so often
-SIZE_EXPONENT = 2.0  # of its answer time against others', that a machine type's size falls with ...
-MAX_SIZE_RATIO = 2.0  # ... to so many times the mean or its inverse: a crowd is no size
-MAX_TURNS_AHEAD = 4  # turns that a server may take before they come, for keys that it is home to
-HOME_SERVERS = 2  # servers that a key is at home at, in order
-MIN_UNLISTED_KEPT = 16  # servers kept that no list names any more, or as many as it names
-MAY_STILL_RUN = (
-    Result.TIMEOUT,
-    Result.RESET,
-    Result.CANCELLED,
-)  # after these an attempt may still be running
+# Send limit of a server or a cell, after CARD. A miss is a send that failed or became overdue.
+LIMIT_CUT_SHARE = 0.20  # share of the send rate that one cut removes (beta in CARD)
+LIMIT_RECOVERY_WINDOWS = 10  # windows until the limit is back at M; determines C ("within tens of windows")
+HYSTERESIS_WINDOWS = 2  # minimum number of windows from a rise of the limit to a cut (CARD: 10 ms of 5 ms)
+OBSERVATION_SENDS = 4  # sends to an average server in one observation period: "a few answers"
+MAX_OBSERVATION_MS = 20000.0  # a longer observation period would compare outdated conditions
+
+# Share of a request's slack that the queued requests ahead of it may use up. Beyond it the last request is
+# given up: an early refusal is better than a late one.
+QUEUE_SLACK_SHARE = 0.5
+# A request is sent only with at least this many recent answer times left until its target time.
+MIN_TIME_LEFT_ANSWERS = 2.0
+MIN_TIME_LEFT_AIM_SHARE = 0.8  # upper bound on the time that must be left, as a share of the aim
+
+# The limit is cut if the misses of an observation period exceed both this number and the share below.
+ALLOWED_MISSES = 1.5  # misses that chance alone may cause
+ALLOWED_MISS_SHARE = 0.25  # share of a server's sends that may be missed by chance
+CELL_ALLOWED_MISS_SHARE = 0.5  # the same for a cell: with unequal servers, a quarter late is usual
+
+# The limit on attempts in flight at all servers together, as a multiple of the usual number in flight.
+LATE_WORTH_IN_FLIGHT_FACTOR = 5.0  # if late answers of some class are worth something
+IN_FLIGHT_FACTOR = 3.0  # otherwise
+# Added to this limit for each server, divided among the instances that share the server: the attempts of many
+# instances with sparse traffic add up.
+SHARED_IN_FLIGHT_PER_SERVER = 2.0
+# Share of the limit open to requests of the lowest worth; the rest is reserved for requests of higher worth.
+LOW_WORTH_IN_FLIGHT_SHARE = 0.8
+# Allowed chance variation of the number in flight, in standard deviations.
+TOTAL_IN_FLIGHT_DEVIATIONS = 1.5  # at all servers together
+SERVER_IN_FLIGHT_DEVIATIONS = 2.0  # at one server
+# Minimum limit at one server, without the shared part: at a limit of 1, one lost answer would block it.
+MIN_IN_FLIGHT_PER_SERVER = 1.5
+
+# An answer is overdue after this many usual answer times, or after a share of its aim if that is sooner.
+OVERDUE_FACTOR = 4.0
+OVERDUE_AIM_SHARE = 0.5  # the whole aim if a late answer is worth something
+ANSWER_TIME_WEIGHT = 0.05  # weight of one answer in the recent time, and in the usual time if it was faster
+SLOWER_ANSWER_WEIGHT = 0.01  # weight in the usual time if it was slower: queueing must not become usual
+INITIAL_USUAL_AIM_SHARE = 0.2  # usual answer time before the first answer, as a share of the aim
+MAX_RESTORED_RATIO = 2.5  # largest ratio of a restored usual time to the initial one, or the inverse
+# Retry-After of a refusal, as a share of the aim: the retry has to come while an answer has some worth.
+RETRY_AFTER_AIM_SHARE = 0.25
+
+# Below this many sends per window to an average server, a server's own limit cannot adapt in time.
+SPARSE_SENDS_PER_WINDOW = 0.1
+SPARSE_AVOIDANCE_MS = 30000.0  # avoidance of a late server on sparse traffic: faults last tens of seconds
+STALE_LIST_FAILURES = 2  # if most servers fail this often in a row, the server list is probably outdated
+# A failing server is left alone for 1, 2, 4, ... overdue times, with at most this many doublings.
+MAX_BACKOFF_DOUBLINGS = 4
+
+# If there are many instances, each uses only a subset of the servers, of about this size.
+SUBSET_SERVERS = 4
+UNSIZED_SUBSET_SERVERS = 64  # if the list gives no sizes: four servers may all be small ones
+# Minimum number of instances per server: rises with the fleet from the first value to the second.
+MIN_INSTANCES_PER_SERVER = (4, 6)
+MIN_SUBSET_SERVERS = 4  # minimum number of ready servers in a subset
+MAX_SERVERS_EXAMINED = 64  # servers examined for one request per event
+
+RETRY_BUDGET_SHARE = 0.2  # allowed retries as a share of the accepted requests
+MAX_RETRY_BUDGET = 10.0  # retries that may accumulate in quiet times
+
+# Initial load of a cold server, as a share of its guaranteed capacity. The load grows as it answers.
+COLD_SAFE_SHARE = 0.7
+# Maximum of this load, as a share of the load at which the server fails: even doubled, it does no harm.
+MAX_COLD_LOAD_SHARE = 0.5
+
+RATE_TIME_CONSTANT_MS = 2000.0  # of the rates of requests, sends and answers
+TENANT_TIME_CONSTANT_MS = 5000.0  # of the sends counted for a tenant
+
+# Discovery calls are spread over this time per instance: the service handles them in turn, a few per second.
+DISCOVERY_SPREAD_PER_INSTANCE_MS = 150.0
+# Minimum and maximum wait before a discovery call or after a failed one, and the wait for an answer.
+DISCOVERY_RETRY_MS = (500.0, 5000.0, 8000.0)
+
+MISS_SHARE_WEIGHT = 0.1  # weight of one send in the share of missed sends of its class
+# A class with a higher share of missed sends waits for something behind the servers, and is called stalled,
+# provided that the share of another class is below the second value.
+STALLED_CLASS_MISS_SHARE = 0.75
+HEALTHY_CLASS_MISS_SHARE = 0.3
+
+# If the list gives no nominal sizes, the size of a machine type is estimated from its answer time.
+MACHINE_TYPE_WEIGHT = 0.02  # weight of one answer in the relative answer time of a machine type
+SIZE_UPDATE_INTERVAL_MS = 1000.0
+SIZE_EXPONENT = 2.0  # the size falls with this power of the relative answer time
+# Largest ratio of an estimated size to the mean, or the inverse: a congested server is not a small one.
+MAX_SIZE_RATIO = 2.0
+
+MAX_TURNS_AHEAD = 4  # turns that a server may use in advance for keys that prefer it
+HOME_SERVERS = 2  # number of servers that a key prefers, in order
+MIN_UNLISTED_KEPT = 16  # unlisted servers kept: at least this many, or as many as are listed
+# After these results, the server may still be executing the attempt.
+MAY_STILL_RUN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
 
 
 def record_send_result(
-    brake: RateLimiter, now: float, window: float, span: float, sent_at: float, missed: bool
+    limiter: RateLimiter,
+    now: float,
+    window_ms: float,
+    observation_ms: float,
+    sent_at: float,
+    missed: bool,
 ) -> None:
     """Count one send as answered in time or missed."""
-    if missed and sent_at < brake.event_at:
-        return  # one episode, one cut: what went out before the cut belongs to it
-    brake.settled.add(now, span)
+    if missed and sent_at < limiter.event_at:
+        return  # The last cut already accounts for sends before it: one overload episode causes one cut.
+    limiter.settled.add(now, observation_ms)
     if missed:
-        brake.missed.add(now, span)
-        update_limit(brake, now, window, span)
-
-
-def update_limit(brake: RateLimiter, now: float, window: float, span: float) -> None:
-    """Compare sends with answers: cut the limit, let it rise, or leave it."""
-    chance = max(ALLOWED_MISSES, brake.share * brake.settled.decayed(now, span))
-    if brake.missed.decayed(now, span) > chance:
-        if now - brake.rose_at > HYSTERESIS_WINDOWS * window:
-            rate = min(brake.sends.rate(now, max(span, RATE_TIME_CONSTANT_MS)), brake.limit)
-            brake.saturated = max(rate, 1 / span)  # M: not of the pause alone; floor: one send a span
-            brake.limit = (1 - LIMIT_CUT_SHARE) * brake.saturated
-            brake.event_at = brake.rose_at = now
-            brake.settled, brake.missed = DecayingCounter(now), DecayingCounter(now)
-    elif brake.limit < math.inf:
-        regain = LIMIT_RECOVERY_WINDOWS * window  # K; C follows from it as LIMIT_CUT_SHARE * M / K ** 3
-        growth = LIMIT_CUT_SHARE * brake.saturated / regain**3
-        brake.limit = growth * (now - brake.event_at - regain) ** 3 + brake.saturated
-        brake.rose_at = now
-
-
-def has_quota(brake: RateLimiter, now: float, window: float, span: float) -> bool:
-    """Whether the window's quota allows a send."""
-    if brake.limit < math.inf and now >= brake.window_at + window:
-        update_limit(brake, now, window, span)
-        most = max(1.0, brake.limit * window)
-        brake.credit = min(brake.credit + brake.limit * (now - brake.window_at), most)
-        brake.window_at = now
-    return brake.limit == math.inf or brake.credit >= 1.0
+        limiter.missed.add(now, observation_ms)
+        update_limit(limiter, now, window_ms, observation_ms)
+
+
+def update_limit(limiter: RateLimiter, now: float, window_ms: float, observation_ms: float) -> None:
+    """Cut the limit if too many sends were missed; otherwise let it rise along the cubic curve."""
+    allowed_misses = max(ALLOWED_MISSES, limiter.share * limiter.settled.decayed(now, observation_ms))
+    if limiter.missed.decayed(now, observation_ms) > allowed_misses:
+        if now - limiter.rose_at > HYSTERESIS_WINDOWS * window_ms:
+            rate = min(limiter.sends.rate(now, max(observation_ms, RATE_TIME_CONSTANT_MS)), limiter.limit)
+            # M in CARD: measured over more than a pause in sending, and at least one send per observation
+            # period.
+            limiter.saturated = max(rate, 1 / observation_ms)
+            limiter.limit = (1 - LIMIT_CUT_SHARE) * limiter.saturated
+            limiter.event_at = limiter.rose_at = now
+            limiter.settled, limiter.missed = DecayingCounter(now), DecayingCounter(now)
+    elif limiter.limit < math.inf:
+        recovery_ms = LIMIT_RECOVERY_WINDOWS * window_ms  # K in CARD; C is beta * M / K ** 3
+        growth = LIMIT_CUT_SHARE * limiter.saturated / recovery_ms**3
+        limiter.limit = growth * (now - limiter.event_at - recovery_ms) ** 3 + limiter.saturated
+        limiter.rose_at = now
+
+
+def has_quota(limiter: RateLimiter, now: float, window_ms: float, observation_ms: float) -> bool:
+    """Whether the limit allows a send now; refills the quota once per window."""
+    if limiter.limit < math.inf and now >= limiter.window_at + window_ms:
+        update_limit(limiter, now, window_ms, observation_ms)
+        max_credit = max(1.0, limiter.limit * window_ms)
+        limiter.credit = min(limiter.credit + limiter.limit * (now - limiter.window_at), max_credit)
+        limiter.window_at = now
+    return limiter.limit == math.inf or limiter.credit >= 1.0
 
 
 class Balancer:
-    """Round-robin behind a cubic limit for each server."""
+    """Weighted round-robin over servers whose send rates are limited along a cubic curve."""
 
     def __init__(self, settings: Settings, rng: Random, now: float) -> None:
         self._settings, self._rng, self._now = settings, rng, now
         self._actions: list[Action] = []
         self._cell_limiters: dict[int, RateLimiter] = {}
-        self._servers: dict[Address, Server] = {}  # all on the list, those that drain too
-        self._ring: list[Server] = []  # ready ones, in turn
-        self._next_index = rng.randrange(1 << 16)  # a start of its own: instances do not turn in step
+        self._servers: dict[Address, Server] = {}  # every listed server, also draining ones
+        self._ring: list[Server] = []  # ready servers of the subset, in round-robin order
+        self._next_index = rng.randrange(1 << 16)  # random start, so that instances do not move in step
         self._requests: dict[int, PendingRequest] = {}
-        self._queue: list[PendingRequest] = []
+        self._queue: list[PendingRequest] = []  # requests that wait for quota, by priority
+        # By request and attempt index: sent completely, still without an outcome.
         self._owed_attempts: dict[tuple[int, int], Attempt] = {}
-        self._key_queues: dict[int, KeyQueue] = {}  # by key, while it has requests, strays or a rest
-        self._orphaned_attempts: dict[
-            tuple[int, int], int
-        ] = {}  # attempts that are out of requests that are over: key
-        self._ready_keys: list[int] = []  # keys whose first request may have its turn now
-        self._timers: list[tuple[float, int, str, object]] = []  # what the timer is for, soonest first
+        # By ordering key, as long as the key has requests, orphaned attempts or a quiet time.
+        self._key_queues: dict[int, KeyQueue] = {}
+        # Ordering keys of attempts in flight whose requests are closed.
+        self._orphaned_attempts: dict[tuple[int, int], int] = {}
+        self._ready_keys: list[int] = []  # ordering keys whose first request may be able to run now
+        # Heap of (due time, sequence number, kind, subject). "backstop" and "turn" end the wait of a request,
+        # "overdue" counts an attempt as missed, "rest" ends the quiet time of a key, "window" retries the
+        # queue, "ask" calls discovery, and "fetch" fetches the whole server list once.
+        self._timers: list[tuple[float, int, str, object]] = []
         self._timer_sequence, self._timer_at, self._timer_token = 0, math.inf, 0
-        self._usual_ms = [cls.aim_ms * INITIAL_USUAL_AIM_SHARE for cls in settings.classes]
+        # The following lists are indexed by class.
+        self._usual_ms = [
+            request_class.aim_ms * INITIAL_USUAL_AIM_SHARE for request_class in settings.classes
+        ]
         self._recent_ms = list(self._usual_ms)
-        self._miss_shares = [0.0] * len(
-            settings.classes
-        )  # share of each class's sends that was missed of late
-        self._stalled_classes: set[int] = set()  # classes that wait at every server
+        self._miss_shares = [0.0] * len(settings.classes)  # share of recent sends that were missed
+        self._stalled_classes: set[int] = set()  # classes that are missed at every server
         self._arrivals, self._sends, self._timely_answers = (
             DecayingCounter(now),
             DecayingCounter(now),
             DecayingCounter(now),
-        )  # served: in time
+        )
         self._window_ms = self._even_rate = self._observation_ms = self._usual_in_flight_per_server = (
             self._max_in_flight
         ) = self._usual_in_flight = 1.0
-        self._largest_size = self._instances_per_server = (
-            1.0  # instances that keep to a server of the ring, on average
-        )
+        # `_instances_per_server`: average number of instances whose subset contains a given server.
+        self._largest_size = self._instances_per_server = 1.0
         self._tenant_sends = [DecayingCounter(now) for _ in settings.tenants]
-        self._mean_worth, self._requests_taken = 0.0, 0  # mean worth of a request, and how many there were
-        self._retry_budget, self._is_sparse, self._use_sizes = (
-            MAX_RETRY_BUDGET,
-            True,
-            True,
-        )  # weigh: turns and homes go by size
-        self._machine_type_times: dict[int, float] = {}  # answer times of each machine type, in usual ones
-        self._sized_at, self._next_fetch_at, self._awaits_list = now, -math.inf, False
-        # All start or fail together: calls are spread, or most time out and come again as a herd.
+        self._mean_worth, self._requests_accepted = 0.0, 0
+        # `_use_sizes`: round-robin turns and key affinity are weighted by server size.
+        self._retry_budget, self._is_sparse, self._use_sizes = MAX_RETRY_BUDGET, True, True
+        self._machine_type_times: dict[int, float] = {}  # answer time relative to the mean, by machine type
+        self._sizes_updated_at, self._next_fetch_at, self._awaits_list = now, -math.inf, False
+        # Instances often start or fail together. Their discovery calls are spread over time, because
+        # otherwise most would time out and be repeated all at once.
         self._discovery_spread_ms = min(
             DISCOVERY_SPREAD_PER_INSTANCE_MS * settings.instances, DISCOVERY_RETRY_MS[1]
         )
@@ -233,18 +252,17 @@
             self._schedule_discovery_call(rng.random() * self._discovery_spread_ms)
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take one event at its time and return what to do."""
-        self._actions, late, self._now = [], now - max(self._timer_at, self._now), now
+        """Process one event and return the actions to carry out."""
+        self._actions, late_ms, self._now = [], now - max(self._timer_at, self._now), now
         self._update_estimates()
-        if (
-            late > self._window_ms
-        ):  # our own stall, counted once: curves stood still with us, no quota piled up
-            for brake in [
+        # After a stall of this process, shift the limit curves by its length, and let no quota accumulate.
+        if late_ms > self._window_ms:
+            for limiter in [
                 *self._cell_limiters.values(),
                 *(server.brake for server in self._servers.values()),
             ]:
-                brake.event_at += late
-                brake.rose_at, brake.window_at = brake.rose_at + late, now
+                limiter.event_at += late_ms
+                limiter.rose_at, limiter.window_at = limiter.rose_at + late_ms, now
         match event:
             case Request():
                 self._accept_request(event)
@@ -259,24 +277,26 @@
                 self._schedule_discovery_call(self._discovery_wait_ms * self._rng.random())
             case ClientGone():
                 self._remove_request(event.id)
-            case StreamStarted():  # answered; how long its client takes to read it is not the server's time
-                job = self._requests.get(event.id)
-                number, took = event.id, event.elapsed_ms
-                self._handle_outcome(Outcome(number, event.attempt, event.address, Result.OK, took, True))
-                if job is not None and job.ordering_key:  # but its key waits for the end
-                    self._key_queues[job.ordering_key].orphaned_attempts += 1
-                    self._orphaned_attempts[event.id, event.attempt] = job.ordering_key
-            case Uploaded() if (job := self._requests.get(event.id)) is not None:
-                self._set_deadlines(job, event.time_left_ms)
-                if job.waits_for_turn:
-                    self._schedule_turn_timeout(job)
-                elif job in self._queue:
-                    self._queue.remove(job)
-                    self._enqueue(job)
-                for index, attempt in job.in_flight.items():
+            case StreamStarted():  # Counts as the answer: the client's reading time is not the server's.
+                request = self._requests.get(event.id)
+                request_id, elapsed_ms = event.id, event.elapsed_ms
+                self._handle_outcome(
+                    Outcome(request_id, event.attempt, event.address, Result.OK, elapsed_ms, True)
+                )
+                if request is not None and request.ordering_key:  # Its key is blocked until the stream ends.
+                    self._key_queues[request.ordering_key].orphaned_attempts += 1
+                    self._orphaned_attempts[event.id, event.attempt] = request.ordering_key
+            case Uploaded() if (request := self._requests.get(event.id)) is not None:
+                self._set_deadlines(request, event.time_left_ms)
+                if request.waits_for_turn:
+                    self._schedule_turn_timeout(request)
+                elif request in self._queue:
+                    self._queue.remove(request)
+                    self._enqueue(request)
+                for attempt_index, attempt in request.in_flight.items():
                     attempt.sent_at = self._now
-                    self._start_owing(job, index, attempt)
-            case FleetSize():  # as the sidecars count themselves; parts move, so that each server is kept to
+                    self._start_owing(request, attempt_index, attempt)
+            case FleetSize():  # The subsets change with the fleet size, so that every server stays in use.
                 self._settings = replace(
                     self._settings, instances=event.count, ordinal=event.ordinal, most=event.max_instances
                 )
@@ -289,44 +309,49 @@
         self._run_due_timers()
         self._release_ready_keys()
         self._send_queued()
-        while self._ready_keys:  # what was just given up has let others have their turn
+        while self._ready_keys:  # Requests given up above may have unblocked later ones with the same key.
             self._release_ready_keys()
             self._send_queued()
         self._arm_timer()
         return self._actions
 
     def usual_answer_times(self) -> tuple[float, ...]:
-        """What is worth keeping across a restart: the usual answer time of each class, in their order."""
+        """The usual answer time of each class, in the order of the settings, to be kept across a restart."""
         return tuple(self._usual_ms)
 
-    def restore_answer_times(self, usual: Mapping[int, float]) -> None:
-        """Begin with kept usual times by class, held near the first guess: misleading ones do little harm."""
-        for index, value in usual.items():
-            guess = INITIAL_USUAL_AIM_SHARE * self._settings.classes[index].aim_ms
-            self._usual_ms[index] = min(max(value, guess / MAX_RESTORED_RATIO), guess * MAX_RESTORED_RATIO)
+    def restore_answer_times(self, usual_ms: Mapping[int, float]) -> None:
+        """Start from saved usual answer times, by class index. They are kept near the initial values, so that
+        misleading ones do little harm."""
+        for class_index, value in usual_ms.items():
+            initial = INITIAL_USUAL_AIM_SHARE * self._settings.classes[class_index].aim_ms
+            self._usual_ms[class_index] = min(
+                max(value, initial / MAX_RESTORED_RATIO), initial * MAX_RESTORED_RATIO
+            )
 
     def export_state(self) -> HandoverState:
+        """The state from which the next process of this instance continues."""
         rates = [self._arrivals, self._sends, self._timely_answers, *self._tenant_sends]
         servers = [replace(server, owes=[]) for server in self._servers.values()]
-        known = self._mean_worth, self._requests_taken, self._retry_budget, self._next_index
+        known = self._mean_worth, self._requests_accepted, self._retry_budget, self._next_index
         return HandoverState(self._usual_ms, self._recent_ms, rates, known, self._cell_limiters, servers)
 
-    def import_state(self, learnt: HandoverState) -> None:
-        """Go on, before the first event, where another process of this instance stood just now."""
-        self._usual_ms, self._recent_ms, self._cell_limiters = learnt.usual, learnt.recent, learnt.cells
-        self._arrivals, self._sends, self._timely_answers, *self._tenant_sends = learnt.rates
-        self._mean_worth, self._requests_taken, self._retry_budget, self._next_index = learnt.known
-        self._servers = {server.endpoint.address: server for server in learnt.servers}
+    def import_state(self, state: HandoverState) -> None:
+        """Continue from the state of the previous process of this instance; call before the first event."""
+        self._usual_ms, self._recent_ms, self._cell_limiters = state.usual, state.recent, state.cells
+        self._arrivals, self._sends, self._timely_answers, *self._tenant_sends = state.rates
+        self._mean_worth, self._requests_accepted, self._retry_budget, self._next_index = state.known
+        self._servers = {server.endpoint.address: server for server in state.servers}
 
-    def _schedule(self, when: float, what: str, about: object = None) -> None:
+    def _schedule(self, due_at: float, kind: str, subject: object = None) -> None:
         self._timer_sequence += 1
-        heapq.heappush(self._timers, (when, self._timer_sequence, what, about))
+        heapq.heappush(self._timers, (due_at, self._timer_sequence, kind, subject))
 
-    def _schedule_discovery_call(self, wait: float, watching: bool = False) -> None:
-        self._discovery_call_at, self._awaits_list = self._now + wait, watching
+    def _schedule_discovery_call(self, wait_ms: float, awaits_list: bool = False) -> None:
+        self._discovery_call_at, self._awaits_list = self._now + wait_ms, awaits_list
         self._schedule(self._discovery_call_at, "ask")
 
     def _arm_timer(self) -> None:
+        """Set the transport's timer if the next due time is earlier than the one set."""
         if self._timers and self._timers[0][0] < self._timer_at:
             self._timer_at = max(self._timers[0][0], self._now)
             self._timer_token += 1
@@ -334,349 +359,406 @@
 
     def _run_due_timers(self) -> None:
         while self._timers and self._timers[0][0] <= self._now:
-            when, _, what, about = heapq.heappop(self._timers)
-            if isinstance(about, PendingRequest) and self._requests.get(about.id) is about:
-                ends_at = about.latest_send_at if about.waits_for_turn else about.give_up_at
-                if when >= ends_at and not (about.uploading and about.in_flight):
-                    self._give_up(about)
-            elif isinstance(about, tuple) and (attempt := self._owed_attempts.get(about)) is not None:
-                if when < self._now - self._window_ms:  # we were late ourselves: answers may be waiting too
-                    self._schedule(self._now + 2 * self._settings.tick_ms, what, about)
+            due_at, _, kind, subject = heapq.heappop(self._timers)
+            if isinstance(subject, PendingRequest) and self._requests.get(subject.id) is subject:
+                expires_at = subject.latest_send_at if subject.waits_for_turn else subject.give_up_at
+                if due_at >= expires_at and not (subject.uploading and subject.in_flight):
+                    self._give_up(subject)
+            elif isinstance(subject, tuple) and (attempt := self._owed_attempts.get(subject)) is not None:
+                # If this process is late itself, the answer may have arrived but not been handled yet.
+                if due_at < self._now - self._window_ms:
+                    self._schedule(self._now + 2 * self._settings.tick_ms, kind, subject)
                 else:
                     self._record_result(attempt, True)
-            elif what == "rest" and isinstance(about, int):
-                self._ready_keys.append(about)
-            elif what == "fetch":
+            elif kind == "rest" and isinstance(subject, int):  # the quiet time of an ordering key has ended
+                self._ready_keys.append(subject)
+            elif kind == "fetch":
                 self._actions.append(FetchList())
-            elif what == "ask" and when == self._discovery_call_at:
+            elif kind == "ask" and due_at == self._discovery_call_at:
                 self._actions.append(Watch())
                 self._schedule_discovery_call(DISCOVERY_RETRY_MS[2], True)
 
     def _update_estimates(self) -> None:
-        """Window, even share and span from our traffic; a shorter window would see sends without answers."""
+        """Derive the window, the even rate per server, the observation period and the in-flight limits from
+        this instance's traffic. A shorter window would count sends before their answers can arrive."""
         self._window_ms = max(sum(self._usual_ms) / len(self._usual_ms), 2 * self._settings.tick_ms)
-        ready = max(len(self._ring), 1)
-        self._even_rate = max(self._arrivals.rate(self._now, RATE_TIME_CONSTANT_MS) / ready, 1e-9)
-        # By answers in time, not requests: a burst is no capacity. By slow ones too: else a jam holds itself.
-        takes = [
-            min(t, OVERDUE_FACTOR * usual) for t, usual in zip(self._recent_ms, self._usual_ms, strict=True)
+        ready_count = max(len(self._ring), 1)
+        self._even_rate = max(self._arrivals.rate(self._now, RATE_TIME_CONSTANT_MS) / ready_count, 1e-9)
+        # The usual number in flight follows from timely answers, not from requests: a burst of requests is no
+        # evidence of capacity. Slow answers count too, because otherwise congestion would sustain itself.
+        answer_times = [
+            min(recent, OVERDUE_FACTOR * usual)
+            for recent, usual in zip(self._recent_ms, self._usual_ms, strict=True)
         ]
-        self._usual_in_flight = all_due = self._timely_answers.rate(self._now, RATE_TIME_CONSTANT_MS) * max(
-            sum(takes) / len(takes), self._window_ms
-        )
+        self._usual_in_flight = usual_in_flight = self._timely_answers.rate(
+            self._now, RATE_TIME_CONSTANT_MS
+        ) * max(sum(answer_times) / len(answer_times), self._window_ms)
         shared = SHARED_IN_FLIGHT_PER_SERVER / self._instances_per_server
-        late = any(cls.late_worth for cls in self._settings.classes)
-        most = (LATE_WORTH_IN_FLIGHT_FACTOR if late else IN_FLIGHT_FACTOR) * all_due
-        if (
-            not late and self._settings.instances > MIN_INSTANCES_PER_SERVER[0]
-        ):  # of few, a burst here is the fleet's
-            most = min(most, all_due + TOTAL_IN_FLIGHT_DEVIATIONS * math.sqrt(all_due))
-        self._max_in_flight = max(most + shared * ready, 1.0)
+        has_late_worth = any(request_class.late_worth for request_class in self._settings.classes)
+        max_in_flight = (
+            LATE_WORTH_IN_FLIGHT_FACTOR if has_late_worth else IN_FLIGHT_FACTOR
+        ) * usual_in_flight
+        # In a small fleet a burst here is a burst of the whole fleet, so only large fleets get this bound.
+        if not has_late_worth and self._settings.instances > MIN_INSTANCES_PER_SERVER[0]:
+            max_in_flight = min(
+                max_in_flight, usual_in_flight + TOTAL_IN_FLIGHT_DEVIATIONS * math.sqrt(usual_in_flight)
+            )
+        self._max_in_flight = max(max_in_flight + shared * ready_count, 1.0)
+        # The minimum is the mean m for which m + 2 * sqrt(m), the limit at one server, is the least limit.
         self._usual_in_flight_per_server = max(
-            all_due / ready, (math.sqrt(MIN_IN_FLIGHT_PER_SERVER + shared + 1.0) - 1.0) ** 2
+            usual_in_flight / ready_count, (math.sqrt(MIN_IN_FLIGHT_PER_SERVER + shared + 1.0) - 1.0) ** 2
         )
-        # Too thin for a server's own limit: its cell's limit, one late answer and listed sizes stand in.
+        # On sparse traffic a server's own limit gets too few sends to adapt. The limit of its cell, the first
+        # late answer and the listed sizes are used in its place.
         self._is_sparse = self._even_rate * self._window_ms < SPARSE_SENDS_PER_WINDOW
         self._use_sizes = self._is_sparse or not self._settings.listed_sizes
-        if not self._settings.listed_sizes and self._now >= self._sized_at + SIZE_UPDATE_INTERVAL_MS:
+        if not self._settings.listed_sizes and self._now >= self._sizes_updated_at + SIZE_UPDATE_INTERVAL_MS:
             self._update_sizes()
-        many = (
-            ready / max(len(self._cell_limiters), 1) if self._is_sparse else 1.0
-        )  # servers behind one limit
+        servers_per_limiter = ready_count / max(len(self._cell_limiters), 1) if self._is_sparse else 1.0
         self._observation_ms = min(
-            max(OBSERVATION_SENDS / (self._even_rate * many), 2 * self._window_ms), MAX_OBSERVATION_MS
+            max(OBSERVATION_SENDS / (self._even_rate * servers_per_limiter), 2 * self._window_ms),
+            MAX_OBSERVATION_MS,
         )
 
-    def _latest_send_time(self, job: PendingRequest) -> float:
-        """When it is too late to send: an answer would miss the aim."""
-        least = min(
-            MIN_TIME_LEFT_ANSWERS * self._recent_ms[job.class_index],
-            MIN_TIME_LEFT_AIM_SHARE * job.request_class.aim_ms,
+    def _latest_send_time(self, request: PendingRequest) -> float:
+        """Time after which an answer would probably miss the target time."""
+        min_time_left_ms = min(
+            MIN_TIME_LEFT_ANSWERS * self._recent_ms[request.class_index],
+            MIN_TIME_LEFT_AIM_SHARE * request.request_class.aim_ms,
         )
-        return math.inf if job.uploading else job.aim_at - least
+        return math.inf if request.uploading else request.aim_at - min_time_left_ms
 
     def _limiter_for(self, server: Server) -> RateLimiter:
-        """The limit that binds: on thin traffic a server's own never learns, so its cell's does."""
+        """The limit in force: the server's own, or on sparse traffic, where that cannot adapt, its cell's."""
         return self._cell_limiters[server.endpoint.cell] if self._is_sparse else server.brake
 
     def _can_accept(self, server: Server) -> bool:
-        """Whether a turn may go to this server now."""
+        """Whether a request may be sent to this server now."""
         if self._now < server.benched_until:
             return False
-        due = self._usual_in_flight_per_server * (server.size if self._is_sparse else 1.0)
-        owes = (
-            sum(one.index not in self._stalled_classes for one in server.owes)
+        usual = self._usual_in_flight_per_server * (server.size if self._is_sparse else 1.0)
+        owed = (
+            sum(attempt.index not in self._stalled_classes for attempt in server.owes)
             if self._stalled_classes
             else len(server.owes)
         )
-        if owes and (server.fails or owes + 1 > due + SERVER_IN_FLIGHT_DEVIATIONS * math.sqrt(due)):
-            return False  # one trial at a time; and what is owed beyond chance counts against the quota
-        brake = self._limiter_for(server)
+        # A failing server gets one attempt at a time; others get no more than chance variation explains.
+        if owed and (server.fails or owed + 1 > usual + SERVER_IN_FLIGHT_DEVIATIONS * math.sqrt(usual)):
+            return False
+        limiter = self._limiter_for(server)
         return self._has_cold_credit(server) and has_quota(
-            brake, self._now, self._window_ms, self._observation_ms
+            limiter, self._now, self._window_ms, self._observation_ms
         )
 
     def _has_cold_credit(self, server: Server) -> bool:
-        """Rule 4: a cold server gets the part of its even share that it surely can do, no more."""
-        cold = self._settings.warm_after_ms - (self._now - server.endpoint.started_at)
-        if cold <= 0 or not server.endpoint.started_at:
+        """Rule 4: a cold server gets only the part of its even load that it can certainly handle."""
+        cold_ms = self._settings.warm_after_ms - (self._now - server.endpoint.started_at)
+        if cold_ms <= 0 or not server.endpoint.started_at:
             return True
-        sure = 1 - (1 - self._settings.cold_from) * min(cold / self._settings.warm_after_ms, 1.0)
-        part = max(
-            COLD_SAFE_SHARE * sure,
-            min(server.warmth, MAX_COLD_LOAD_SHARE * self._settings.fall_multiple * sure),
+        guaranteed = 1 - (1 - self._settings.cold_from) * min(cold_ms / self._settings.warm_after_ms, 1.0)
+        load_share = max(
+            COLD_SAFE_SHARE * guaranteed,
+            min(server.warmth, MAX_COLD_LOAD_SHARE * self._settings.fall_multiple * guaranteed),
         )
         return (
             server.refill_cold_credit(
-                self._now, part * self._even_rate * (server.size if self._use_sizes else 1.0)
+                self._now, load_share * self._even_rate * (server.size if self._use_sizes else 1.0)
             )
             >= 1.0
         )
 
-    def _pick_server(self, job: PendingRequest) -> Server | None:
-        """The next server in turn with quota left that this request may go to."""
-        count, second, early = len(self._ring), -1, list[Server]()
-        for server in self._home_servers(job):
+    def _pick_server(self, request: PendingRequest) -> Server | None:
+        """The server for this request: a home server of its key, or else the next one in round-robin order
+        that has quota and may receive it. The first usable one that is not preferred is the fallback."""
+        ring_size, fallback_index, turns_used = len(self._ring), -1, list[Server]()
+        for server in self._home_servers(request):
             if (
                 server.ahead < MAX_TURNS_AHEAD
-                and self._is_preferred(job, server)
+                and self._is_preferred(request, server)
                 and self._can_accept(server)
             ):
                 server.ahead += 1
                 return server
-        looked = min(count, MAX_SERVERS_EXAMINED)  # work for an event must not grow with the fleet
-        for index in (step % count for step in range(self._next_index, self._next_index + looked)):
+        examined = min(ring_size, MAX_SERVERS_EXAMINED)  # the work per event must not grow with the fleet
+        for index in (step % ring_size for step in range(self._next_index, self._next_index + examined)):
             server = self._ring[index]
-            if self._can_accept(server) and self._may_send_to(job, server):
-                # On thin traffic a server of half the size gets every second turn.
+            if self._can_accept(server) and self._may_send_to(request, server):
+                # With sizes in use, a server of half the largest size gets every second turn.
                 server.passed = server.passed % 1.0 + (
                     server.size / self._largest_size if self._use_sizes else 1.0
                 )
-                if server.ahead and server.passed >= 1.0:  # its turn was taken already
-                    early.append(server)
-                    second = index if second < 0 else second
+                if server.ahead and server.passed >= 1.0:  # This turn was used in advance.
+                    turns_used.append(server)
+                    fallback_index = index if fallback_index < 0 else fallback_index
                     continue
-                if server.passed >= 1.0 and self._is_preferred(job, server):
+                if server.passed >= 1.0 and self._is_preferred(request, server):
                     self._next_index = index + 1
-                    for passed in early:
-                        passed.ahead -= 1
+                    for skipped in turns_used:
+                        skipped.ahead -= 1
                     return server
-                second = index if second < 0 else second
-        self._next_index = second + 1 if second >= 0 else self._next_index + looked
-        for passed in early:  # a whole round of turns that were taken already
-            passed.ahead -= 1
-        return self._ring[second] if second >= 0 else None
-
-    def _is_preferred(self, job: PendingRequest, server: Server) -> bool:
-        wary = max(server.wary_until, server.spared.get(job.class_index, (0, -math.inf))[1])
-        return server not in job.tried_servers and self._now >= wary and self._may_send_to(job, server)
-
-    def _home_servers(self, job: PendingRequest) -> list[Server]:
-        """Where its key is at home: the same servers at every instance, larger ones for more keys."""
-        if not job.affinity_key:
+                fallback_index = index if fallback_index < 0 else fallback_index
+        self._next_index = fallback_index + 1 if fallback_index >= 0 else self._next_index + examined
+        for skipped in turns_used:
+            skipped.ahead -= 1
+        return self._ring[fallback_index] if fallback_index >= 0 else None
+
+    def _is_preferred(self, request: PendingRequest, server: Server) -> bool:
+        """Whether the server may receive this request, is not avoided now, and has not been tried for it."""
+        avoided_until = max(server.wary_until, server.spared.get(request.class_index, (0, -math.inf))[1])
+        return (
+            server not in request.tried_servers
+            and self._now >= avoided_until
+            and self._may_send_to(request, server)
+        )
+
+    def _home_servers(self, request: PendingRequest) -> list[Server]:
+        """The servers that the key prefers: the same at every instance; larger servers have more keys."""
+        if not request.affinity_key:
             return []
         return heapq.nlargest(
             HOME_SERVERS,
             self._ring,
-            key=lambda server: server.affinity_score(job.affinity_key, self._use_sizes),
+            key=lambda server: server.affinity_score(request.affinity_key, self._use_sizes),
         )
 
-    def _may_send_to(self, job: PendingRequest, server: Server) -> bool:
-        """Rule 2: what may have run is repeated only where that is harmless, a keyed one in its group."""
-        if job.first_possible_run is None or job.request_class.effect is Effect.SAFE:
+    def _may_send_to(self, request: PendingRequest, server: Server) -> bool:
+        """Rule 2: a request that may have been executed is repeated only where that is harmless: a safe one
+        anywhere, a keyed one in the group of servers that deduplicates it."""
+        if request.first_possible_run is None or request.request_class.effect is Effect.SAFE:
             return True
-        if self._now + self._settings.tick_ms >= job.latest_repeat_at:
+        if self._now + self._settings.tick_ms >= request.latest_repeat_at:
             return False
-        first, there, group = job.first_possible_run.server.endpoint, server.endpoint, job.request_class.group
-        same = first.zone == there.zone if group is Group.ZONE else first.cell == there.cell
-        return same or group is Group.ALL
+        first, candidate, group = (
+            request.first_possible_run.server.endpoint,
+            server.endpoint,
+            request.request_class.group,
+        )
+        same_group = first.zone == candidate.zone if group is Group.ZONE else first.cell == candidate.cell
+        return same_group or group is Group.ALL
 
-    def _accept_request(self, request: Request) -> None:
-        cls, tenant = (
-            self._settings.classes[request.class_index],
-            request.tenant_index if self._tenant_sends else 0,
+    def _accept_request(self, event: Request) -> None:
+        request_class, tenant_index = (
+            self._settings.classes[event.class_index],
+            event.tenant_index if self._tenant_sends else 0,
         )
-        job = self._requests[request.id] = PendingRequest(
-            request.id, request.class_index, cls, tenant, self._now, self._now
+        request = self._requests[event.id] = PendingRequest(
+            event.id, event.class_index, request_class, tenant_index, self._now, self._now
         )
-        job.affinity_key = request.key if self._settings.warm_keys else 0
-        self._set_deadlines(job, request.time_left_ms, request.uploading)
+        request.affinity_key = event.key if self._settings.warm_keys else 0
+        self._set_deadlines(request, event.time_left_ms, event.uploading)
         self._arrivals.add(self._now, RATE_TIME_CONSTANT_MS)
-        self._requests_taken += 1
-        self._mean_worth += max(1 / self._requests_taken, ANSWER_TIME_WEIGHT) * (cls.worth - self._mean_worth)
+        self._requests_accepted += 1
+        self._mean_worth += max(1 / self._requests_accepted, ANSWER_TIME_WEIGHT) * (
+            request_class.worth - self._mean_worth
+        )
         self._retry_budget = min(self._retry_budget + RETRY_BUDGET_SHARE, MAX_RETRY_BUDGET)
-        if request.key and cls.in_turn:
-            self._enqueue_for_key(job, request.key)
+        if event.key and request_class.in_turn:
+            self._enqueue_for_key(request, event.key)
         else:
-            self._enqueue(job)
-
-    def _enqueue_for_key(self, job: PendingRequest, key: int) -> None:
-        """Rule 5: requests of a key run one at a time as they came; none waits for what can't be in time."""
-        line = self._key_queues.setdefault(key, KeyQueue())
-        line.requests.append(job)
-        job.ordering_key, job.waits_for_turn = key, True
+            self._enqueue(request)
+
+    def _enqueue_for_key(self, request: PendingRequest, key: int) -> None:
+        """Rule 5: requests with the same key run one at a time, in order of arrival. A request that would
+        probably wait too long for its turn is given up at once."""
+        key_queue = self._key_queues.setdefault(key, KeyQueue())
+        key_queue.requests.append(request)
+        request.ordering_key, request.waits_for_turn = key, True
         self._ready_keys.append(key)
-        self._schedule_turn_timeout(job)
-        if (len(line.requests) - 1) * self._usual_ms[job.class_index] > job.latest_send_at - self._now:
-            self._give_up(job)
+        self._schedule_turn_timeout(request)
+        if (len(key_queue.requests) - 1) * self._usual_ms[
+            request.class_index
+        ] > request.latest_send_at - self._now:
+            self._give_up(request)
 
-    def _schedule_turn_timeout(self, job: PendingRequest) -> None:
-        job.latest_send_at = self._latest_send_time(job)
-        if job.latest_send_at < math.inf:
-            self._schedule(job.latest_send_at, "turn", job)
+    def _schedule_turn_timeout(self, request: PendingRequest) -> None:
+        request.latest_send_at = self._latest_send_time(request)
+        if request.latest_send_at < math.inf:
+            self._schedule(request.latest_send_at, "turn", request)
 
     def _release_ready_keys(self) -> None:
-        """Let the first of each ripe key have its turn; a key with nothing left to keep is forgotten."""
-        ripe, self._ready_keys = self._ready_keys, []
-        for key in ripe:
-            line = self._key_queues.get(key)
-            if line is None or line.orphaned_attempts or line.quiet_until > self._now:
-                continue  # it ripens with the outcome, or with the end of its rest
-            if not line.requests:
+        """Enqueue the first request of each key that may run now, and drop the queues that have no state."""
+        ready_keys, self._ready_keys = self._ready_keys, []
+        for key in ready_keys:
+            key_queue = self._key_queues.get(key)
+            if key_queue is None or key_queue.orphaned_attempts or key_queue.quiet_until > self._now:
+                continue  # The key becomes ready with the attempt's outcome or at the end of its quiet time.
+            if not key_queue.requests:
                 del self._key_queues[key]
-            elif line.requests[0].waits_for_turn:
-                line.requests[0].waits_for_turn = False
-                self._enqueue(line.requests[0])
-
-    def _set_deadlines(self, job: PendingRequest, left: float, uploading: bool = False) -> None:
-        """A request's time begins now, or, while its body still comes, once that has come."""
-        deadline, job.uploading = self._now + left, uploading
-        job.aim_at = (
-            deadline if job.request_class.late_worth else min(self._now + job.request_class.aim_ms, deadline)
-        )
-        job.give_up_at = deadline - 2 * self._settings.tick_ms
-        self._schedule(job.give_up_at, "backstop", job)
-
-    def _enqueue(self, job: PendingRequest) -> None:
-        """Queue a request: tenants within their share, then what is worth most, then who can wait least."""
-        if job.class_index in self._stalled_classes and self._is_at_in_flight_limit(job):
-            self._give_up(job)  # a few go on and tell when it is over
+            elif key_queue.requests[0].waits_for_turn:
+                key_queue.requests[0].waits_for_turn = False
+                self._enqueue(key_queue.requests[0])
+
+    def _set_deadlines(self, request: PendingRequest, time_left_ms: float, uploading: bool = False) -> None:
+        """Start the request's time now; called again when a body that is still arriving is complete."""
+        deadline, request.uploading = self._now + time_left_ms, uploading
+        request.aim_at = (
+            deadline
+            if request.request_class.late_worth
+            else min(self._now + request.request_class.aim_ms, deadline)
+        )
+        request.give_up_at = deadline - 2 * self._settings.tick_ms
+        self._schedule(request.give_up_at, "backstop", request)
+
+    def _enqueue(self, request: PendingRequest) -> None:
+        """Queue a request by priority: first those of tenants within their share, then by worth, then by the
+        time left to send. If the queue has become too long, its last request is given up."""
+        # The few requests of a stalled class that are let through show when the class has recovered.
+        if request.class_index in self._stalled_classes and self._is_at_in_flight_limit(request):
+            self._give_up(request)
             return
-        job.latest_send_at = self._latest_send_time(job)
-        had = [meter.decayed(self._now, TENANT_TIME_CONSTANT_MS) for meter in self._tenant_sends]
-        over = bool(had) and had[job.tenant_index] > self._settings.tenants[job.tenant_index].portion * sum(
-            had
-        )
-        job.priority = (over, -job.request_class.worth, job.latest_send_at)
-        bisect.insort(self._queue, job, key=lambda held: held.priority)
-        slack = job.latest_send_at - self._now
-        if len(self._queue) - 1 > QUEUE_SLACK_SHARE * slack * self._sends.rate(
+        request.latest_send_at = self._latest_send_time(request)
+        tenant_sends = [counter.decayed(self._now, TENANT_TIME_CONSTANT_MS) for counter in self._tenant_sends]
+        is_over_share = bool(tenant_sends) and tenant_sends[request.tenant_index] > self._settings.tenants[
+            request.tenant_index
+        ].portion * sum(tenant_sends)
+        request.priority = (is_over_share, -request.request_class.worth, request.latest_send_at)
+        bisect.insort(self._queue, request, key=lambda queued: queued.priority)
+        slack_ms = request.latest_send_at - self._now
+        if len(self._queue) - 1 > QUEUE_SLACK_SHARE * slack_ms * self._sends.rate(
             self._now, RATE_TIME_CONSTANT_MS
         ):
             self._give_up(self._queue[-1])
 
     def _send_queued(self) -> None:
-        """Send what quotas allow."""
-        waiting, self._queue, spent = self._queue, [], False
-        left: list[PendingRequest] = []
-        for job in waiting:
-            # A thin instance has one request in hand: the cap, not a queue, must tell which are worth more.
-            full = self._is_at_in_flight_limit(job)
-            server = None if spent or full else self._pick_server(job)
+        """Send queued requests as far as quotas allow."""
+        queued, self._queue, no_quota_left = self._queue, [], False
+        remaining: list[PendingRequest] = []
+        for request in queued:
+            # An instance with sparse traffic hardly ever has a queue to order by worth; the limit on attempts
+            # in flight, which depends on the worth, has to select the requests.
+            is_at_limit = self._is_at_in_flight_limit(request)
+            server = None if no_quota_left or is_at_limit else self._pick_server(request)
             if server is not None:
-                self._send(job, server)
+                self._send(request, server)
                 continue
-            spent = spent or (
-                job.first_possible_run is None and not full
-            )  # it might have gone anywhere: so nobody else can
-            left.append(job)
-            if self._now >= job.latest_send_at:
-                self._give_up(left.pop())
-        self._queue = left
-        if left and self._queue_retry_at <= self._now:
+            # If a request that may go to any server found none, the requests after it will find none either.
+            no_quota_left = no_quota_left or (request.first_possible_run is None and not is_at_limit)
+            remaining.append(request)
+            if self._now >= request.latest_send_at:
+                self._give_up(remaining.pop())
+        self._queue = remaining
+        if remaining and self._queue_retry_at <= self._now:
             if self._now > self._queue_retry_at + TENANT_TIME_CONSTANT_MS:
                 self._actions.append(Log(f"holding: no quota left on any of {len(self._ring)} servers"))
             self._queue_retry_at = self._now + max(self._window_ms / 4, self._settings.tick_ms)
             self._schedule(self._queue_retry_at, "window")
 
-    def _is_at_in_flight_limit(self, job: PendingRequest) -> bool:
-        """Whether as much is owed by all servers together as may be."""
-        out = [attempt.index for attempt in self._owed_attempts.values()] if self._stalled_classes else []
-        if job.class_index in self._stalled_classes:
-            return out.count(job.class_index) >= max(self._usual_in_flight / len(self._usual_ms), 1.0)
-        owed = len(self._owed_attempts) - sum(index in self._stalled_classes for index in out)
+    def _is_at_in_flight_limit(self, request: PendingRequest) -> bool:
+        """Whether the limit on attempts in flight at all servers together, by worth, leaves no room."""
+        owed_classes = (
+            [attempt.index for attempt in self._owed_attempts.values()] if self._stalled_classes else []
+        )
+        if request.class_index in self._stalled_classes:
+            return owed_classes.count(request.class_index) >= max(
+                self._usual_in_flight / len(self._usual_ms), 1.0
+            )
+        owed = len(self._owed_attempts) - sum(
+            class_index in self._stalled_classes for class_index in owed_classes
+        )
         return owed >= max(
             self._max_in_flight
-            * max(job.request_class.worth / (self._mean_worth or 1.0), LOW_WORTH_IN_FLIGHT_SHARE),
+            * max(request.request_class.worth / (self._mean_worth or 1.0), LOW_WORTH_IN_FLIGHT_SHARE),
             1.0,
         )
 
-    def _send(self, job: PendingRequest, server: Server) -> None:
-        attempt = Attempt(server, self._now, job.class_index)
-        if job.attempts_sent == 0 and self._tenant_sends:
-            self._tenant_sends[job.tenant_index].add(self._now, TENANT_TIME_CONSTANT_MS)
-        job.in_flight[job.attempts_sent] = attempt
-        if not job.uploading:
-            self._start_owing(job, job.attempts_sent, attempt)
-        job.attempts_sent += 1
-        job.tried_servers.append(server)
+    def _send(self, request: PendingRequest, server: Server) -> None:
+        attempt = Attempt(server, self._now, request.class_index)
+        if request.attempts_sent == 0 and self._tenant_sends:
+            self._tenant_sends[request.tenant_index].add(self._now, TENANT_TIME_CONSTANT_MS)
+        request.in_flight[request.attempts_sent] = attempt
+        if not request.uploading:
+            self._start_owing(request, request.attempts_sent, attempt)
+        request.attempts_sent += 1
+        request.tried_servers.append(server)
         server.cold_credit = max(server.cold_credit - 1.0, 0.0)
         self._sends.add(self._now, RATE_TIME_CONSTANT_MS)
-        brake = self._limiter_for(server)
-        brake.credit = max(brake.credit - 1.0, 0.0)  # no debt from when nothing bound
-        brake.sends.add(self._now, max(self._observation_ms, RATE_TIME_CONSTANT_MS))
-        self._actions.append(Send(job.id, server.endpoint.address, begin_by_ms=job.latest_repeat_at))
-
-    def _start_owing(self, job: PendingRequest, index: int, attempt: Attempt) -> None:
-        """From now on the server owes an answer."""
-        self._owed_attempts[job.id, index] = attempt
+        limiter = self._limiter_for(server)
+        limiter.credit = max(limiter.credit - 1.0, 0.0)  # sends without a limit leave no debt
+        limiter.sends.add(self._now, max(self._observation_ms, RATE_TIME_CONSTANT_MS))
+        self._actions.append(Send(request.id, server.endpoint.address, begin_by_ms=request.latest_repeat_at))
+
+    def _start_owing(self, request: PendingRequest, attempt_index: int, attempt: Attempt) -> None:
+        """From now on the server owes an answer to this attempt, which becomes overdue after some time."""
+        self._owed_attempts[request.id, attempt_index] = attempt
         attempt.server.owes.append(attempt)
-        share = 1.0 if job.request_class.late_worth else OVERDUE_AIM_SHARE  # later leaves no time to mend it
-        patience = min(OVERDUE_FACTOR * self._usual_ms[job.class_index], share * job.request_class.aim_ms)
-        self._schedule(self._now + patience, "overdue", (job.id, index))
+        # With a larger share, too little time would be left for a retry.
+        aim_share = 1.0 if request.request_class.late_worth else OVERDUE_AIM_SHARE
+        overdue_after_ms = min(
+            OVERDUE_FACTOR * self._usual_ms[request.class_index], aim_share * request.request_class.aim_ms
+        )
+        self._schedule(self._now + overdue_after_ms, "overdue", (request.id, attempt_index))
 
-    def _may_retry(self, job: PendingRequest) -> bool:
-        """Whether another attempt is allowed, paid for, and in time."""
-        allowed = self._now < self._latest_send_time(job) and job.attempts_sent < self._settings.max_attempts
+    def _may_retry(self, request: PendingRequest) -> bool:
+        """Whether another attempt is permitted, covered by the retry budget, and in time."""
+        permitted = (
+            self._now < self._latest_send_time(request)
+            and request.attempts_sent < self._settings.max_attempts
+        )
         return (
-            allowed
+            permitted
             and self._retry_budget >= 1.0
-            and any(self._may_send_to(job, server) for server in self._ring)
+            and any(self._may_send_to(request, server) for server in self._ring)
         )
 
-    def _give_up(self, job: PendingRequest) -> None:
-        dropped = job.request_class.effect is Effect.KEYED and job.request_class.group is Group.ALL
-        harmless = (
-            job.request_class.effect is Effect.SAFE
-            or dropped
-            or (job.first_possible_run is None and not job.in_flight)
+    def _give_up(self, request: PendingRequest) -> None:
+        """Answer with `Refuse` if a retry by the client is harmless, otherwise with `Fail`."""
+        deduplicated = (
+            request.request_class.effect is Effect.KEYED and request.request_class.group is Group.ALL
+        )
+        retry_is_harmless = (
+            request.request_class.effect is Effect.SAFE
+            or deduplicated
+            or (request.first_possible_run is None and not request.in_flight)
+        )
+        retry_after_ms = (
+            RETRY_AFTER_AIM_SHARE * request.request_class.aim_ms if self._now < request.aim_at else math.inf
+        )
+        retry_after_ms = (
+            min(self._settings.max_retry_after_ms, retry_after_ms) if self._settings.retry_after else 0.0
         )
-        hint = RETRY_AFTER_AIM_SHARE * job.request_class.aim_ms if self._now < job.aim_at else math.inf
-        hint = min(self._settings.max_retry_after_ms, hint) if self._settings.retry_after else 0.0
-        self._actions.append(Refuse(job.id, hint) if harmless else Fail(job.id))
-        self._remove_request(job.id)
+        self._actions.append(Refuse(request.id, retry_after_ms) if retry_is_harmless else Fail(request.id))
+        self._remove_request(request.id)
 
-    def _remove_request(self, number: int) -> None:
-        """Forget a request that has its answer; call off what is still out for it."""
-        if (job := self._requests.pop(number, None)) is None:
+    def _remove_request(self, request_id: int) -> None:
+        """Remove a request that needs no answer any more, and cancel its attempts in flight."""
+        if (request := self._requests.pop(request_id, None)) is None:
             return
-        self._queue = [held for held in self._queue if held is not job]
-        if job.ordering_key:
-            line = self._key_queues[job.ordering_key]
-            line.requests.remove(job)
-            line.orphaned_attempts += len(job.in_flight)
-            self._orphaned_attempts |= {(number, out): job.ordering_key for out in job.in_flight}
-            self._extend_quiet_time(line, job.ordering_key, job.key_quiet_until)
-        self._actions.extend(Cancel(number, out) for out in job.in_flight if self._settings.may_cancel)
-
-    def _extend_quiet_time(self, line: KeyQueue, key: int, until: float) -> None:
-        line.quiet_until = max(line.quiet_until, until)
-        if line.quiet_until > self._now:
-            self._schedule(line.quiet_until, "rest", key)
+        self._queue = [queued for queued in self._queue if queued is not request]
+        if request.ordering_key:
+            key_queue = self._key_queues[request.ordering_key]
+            key_queue.requests.remove(request)
+            key_queue.orphaned_attempts += len(request.in_flight)
+            self._orphaned_attempts |= {
+                (request_id, attempt_index): request.ordering_key for attempt_index in request.in_flight
+            }
+            self._extend_quiet_time(key_queue, request.ordering_key, request.key_quiet_until)
+        self._actions.extend(
+            Cancel(request_id, attempt_index)
+            for attempt_index in request.in_flight
+            if self._settings.may_cancel
+        )
+
+    def _extend_quiet_time(self, key_queue: KeyQueue, key: int, quiet_until: float) -> None:
+        key_queue.quiet_until = max(key_queue.quiet_until, quiet_until)
+        if key_queue.quiet_until > self._now:
+            self._schedule(key_queue.quiet_until, "rest", key)
         self._ready_keys.append(key)
 
     def _record_result(self, attempt: Attempt, missed: bool) -> None:
+        """Count the attempt as answered in time or missed, unless it has already been counted as missed."""
         if not attempt.missed:
             attempt.missed = missed
             self._miss_shares[attempt.index] += MISS_SHARE_WEIGHT * (
                 missed - self._miss_shares[attempt.index]
             )
-            others = min(self._miss_shares) < HEALTHY_CLASS_MISS_SHARE
+            some_class_healthy = min(self._miss_shares) < HEALTHY_CLASS_MISS_SHARE
             self._stalled_classes = {
-                i for i, share in enumerate(self._miss_shares) if share > STALLED_CLASS_MISS_SHARE and others
+                class_index
+                for class_index, miss_share in enumerate(self._miss_shares)
+                if miss_share > STALLED_CLASS_MISS_SHARE and some_class_healthy
             }
             if attempt.index in self._stalled_classes:
-                return  # nobody's fault
+                return  # The cause is behind the servers, so no limit is cut.
             if not missed:
                 self._timely_answers.add(self._now, RATE_TIME_CONSTANT_MS)
             record_send_result(
@@ -689,120 +771,136 @@
             )
 
     def _handle_outcome(self, event: Outcome) -> None:
-        attempt, job = self._owed_attempts.pop((event.id, event.attempt), None), self._requests.get(event.id)
-        unowed = job.in_flight.pop(event.attempt, None) if job is not None else None
-        attempt = attempt or unowed  # its body was still on the way
-        rests_until = self._now + self._settings.key_quiet_ms if event.result in MAY_STILL_RUN else -math.inf
+        attempt, request = (
+            self._owed_attempts.pop((event.id, event.attempt), None),
+            self._requests.get(event.id),
+        )
+        in_flight = request.in_flight.pop(event.attempt, None) if request is not None else None
+        attempt = attempt or in_flight  # not yet owed if the body of the request was still arriving
+        quiet_until = self._now + self._settings.key_quiet_ms if event.result in MAY_STILL_RUN else -math.inf
         if key := self._orphaned_attempts.pop((event.id, event.attempt), 0):
             self._key_queues[key].orphaned_attempts -= 1
-            self._extend_quiet_time(self._key_queues[key], key, rests_until)
-        elif job is not None:
-            job.key_quiet_until = max(job.key_quiet_until, rests_until)
+            self._extend_quiet_time(self._key_queues[key], key, quiet_until)
+        elif request is not None:
+            request.key_quiet_until = max(request.key_quiet_until, quiet_until)
         if attempt is not None:
-            self._learn_from_outcome(event, attempt, job)
-        if job is None or attempt is None:
+            self._learn_from_outcome(event, attempt, request)
+        if request is None or attempt is None:
             return
         if not event.result.never_ran:
-            job.first_possible_run = job.first_possible_run or attempt
+            request.first_possible_run = request.first_possible_run or attempt
         if event.request_answered:
             self._remove_request(event.id)
-        elif not job.in_flight and event.can_resend and self._may_retry(job):
+        elif not request.in_flight and event.can_resend and self._may_retry(request):
             self._retry_budget -= 1.0
-            self._enqueue(job)
-        elif not job.in_flight:
-            self._give_up(job)
+            self._enqueue(request)
+        elif not request.in_flight:
+            self._give_up(request)
 
-    def _learn_from_outcome(self, event: Outcome, attempt: Attempt, job: PendingRequest | None) -> None:
+    def _learn_from_outcome(self, event: Outcome, attempt: Attempt, request: PendingRequest | None) -> None:
+        """Update the server, the limits and the answer times from an attempt's outcome."""
         server, now = attempt.server, self._now
-        stuck = attempt.index in self._stalled_classes and event.result is not Result.CONNECT_FAILED
-        failed = event.result not in (Result.OK, Result.CANCELLED, Result.NOT_SENT) and not stuck
-        server.owes = [one for one in server.owes if one is not attempt]
-        other, server.answers = server.answers, -1 if attempt.missed or failed else attempt.index
-        alone = attempt.index in server.spared or other not in (-1, attempt.index)
-        if stuck:
+        is_stalled = attempt.index in self._stalled_classes and event.result is not Result.CONNECT_FAILED
+        failed = event.result not in (Result.OK, Result.CANCELLED, Result.NOT_SENT) and not is_stalled
+        server.owes = [owed for owed in server.owes if owed is not attempt]
+        previous_answer, server.answers = server.answers, -1 if attempt.missed or failed else attempt.index
+        only_this_class = attempt.index in server.spared or previous_answer not in (-1, attempt.index)
+        if is_stalled:
             self._record_result(attempt, event.result is not Result.OK)
-        elif alone and event.result in (Result.ERROR, Result.TIMEOUT):
-            # It has just answered another class: this one alone may fail there, the others go on.
-            count, _ = server.spared.get(attempt.index, (0, 0.0))
-            memory = SPARSE_AVOIDANCE_MS if self._is_sparse else 1 / self._even_rate
-            server.spared[attempt.index] = (count + 1, now + 2 ** min(count, MAX_BACKOFF_DOUBLINGS) * memory)
+        elif only_this_class and event.result in (Result.ERROR, Result.TIMEOUT):
+            # The server has just answered another class, so only this class may be failing there. The server
+            # is avoided for this class and stays in use for the others.
+            failures, _ = server.spared.get(attempt.index, (0, 0.0))
+            avoidance_ms = SPARSE_AVOIDANCE_MS if self._is_sparse else 1 / self._even_rate
+            server.spared[attempt.index] = (
+                failures + 1,
+                now + 2 ** min(failures, MAX_BACKOFF_DOUBLINGS) * avoidance_ms,
+            )
             failed, attempt.missed = False, True
         elif attempt.missed or failed:
-            often = 2 ** min(server.fails, MAX_BACKOFF_DOUBLINGS) if failed else 1
-            memory = SPARSE_AVOIDANCE_MS if self._is_sparse else 1 / self._even_rate
-            server.wary_until = max(now + often * memory, server.wary_until)
-            rest = now + self._window_ms * OVERDUE_FACTOR * often
-            server.benched_until = max(min(rest, server.wary_until), server.benched_until)
+            backoff = 2 ** min(server.fails, MAX_BACKOFF_DOUBLINGS) if failed else 1
+            avoidance_ms = SPARSE_AVOIDANCE_MS if self._is_sparse else 1 / self._even_rate
+            server.wary_until = max(now + backoff * avoidance_ms, server.wary_until)
+            blocked_until = now + self._window_ms * OVERDUE_FACTOR * backoff
+            server.benched_until = max(min(blocked_until, server.wary_until), server.benched_until)
             server.warmth /= 2
         if failed:
             server.spared.clear()
-            self._record_result(
-                attempt, event.result is not Result.RESET or self._is_sparse
-            )  # it tells nothing of speed
+            # A reset says nothing about speed, so it counts as a miss only on sparse traffic.
+            self._record_result(attempt, event.result is not Result.RESET or self._is_sparse)
             server.fails += 1
-            if server.fails == MAX_BACKOFF_DOUBLINGS:  # where it is unlisted, it is out
+            if server.fails == MAX_BACKOFF_DOUBLINGS:  # An unlisted server leaves the ring now.
                 self._rebuild_ring()
-            doubtful = sum(one.fails >= STALE_LIST_FAILURES for one in self._ring)
-            if doubtful * 2 > len(self._ring) > 1 and now >= self._next_fetch_at:
-                self._next_fetch_at = (
-                    now + DISCOVERY_RETRY_MS[1]
-                )  # most are not what the list says: a watch may be dead
+            failing = sum(other.fails >= STALE_LIST_FAILURES for other in self._ring)
+            # Most servers are not as listed: the list may be outdated because the watch connection is dead.
+            if failing * 2 > len(self._ring) > 1 and now >= self._next_fetch_at:
+                self._next_fetch_at = now + DISCOVERY_RETRY_MS[1]
                 self._schedule(now + self._rng.random() * self._discovery_spread_ms, "fetch")
             if server.fails == MAX_BACKOFF_DOUBLINGS:
                 self._actions.append(Log(f"left {server.endpoint.address.hex()} alone: {event.result.value}"))
-        elif event.result is Result.OK and not stuck:
+        elif event.result is Result.OK and not is_stalled:
             self._record_result(attempt, False)
             server.fails //= 2
             server.warmth = min(max(server.warmth, 1 - COLD_SAFE_SHARE) / COLD_SAFE_SHARE, 1.0)
             server.spared.pop(attempt.index, None)
-            # What is overdue and was overtaken is lost on its connection: the server owes it to nobody.
-            server.owes = [one for one in server.owes if not one.missed or one.sent_at > attempt.sent_at]
-            if job is not None:
+            # An overdue attempt that was sent no later than the one just answered was lost on its connection;
+            # the server is not working on it any more.
+            server.owes = [owed for owed in server.owes if not owed.missed or owed.sent_at > attempt.sent_at]
+            if request is not None:
                 if not self._settings.listed_sizes:
-                    took = event.elapsed_ms / max(self._recent_ms[job.class_index], self._settings.tick_ms)
-                    known = self._machine_type_times.setdefault(server.endpoint.kind, 1.0)
-                    self._machine_type_times[server.endpoint.kind] = known + MACHINE_TYPE_WEIGHT * (
-                        took - known
+                    relative_time = event.elapsed_ms / max(
+                        self._recent_ms[request.class_index], self._settings.tick_ms
+                    )
+                    known_time = self._machine_type_times.setdefault(server.endpoint.kind, 1.0)
+                    self._machine_type_times[server.endpoint.kind] = known_time + MACHINE_TYPE_WEIGHT * (
+                        relative_time - known_time
                     )
-                self._recent_ms[job.class_index] += ANSWER_TIME_WEIGHT * (
-                    event.elapsed_ms - self._recent_ms[job.class_index]
+                self._recent_ms[request.class_index] += ANSWER_TIME_WEIGHT * (
+                    event.elapsed_ms - self._recent_ms[request.class_index]
                 )
-                off = event.elapsed_ms - self._usual_ms[job.class_index]
-                self._usual_ms[job.class_index] += (
-                    SLOWER_ANSWER_WEIGHT if off > 0 else ANSWER_TIME_WEIGHT
-                ) * off
+                difference_ms = event.elapsed_ms - self._usual_ms[request.class_index]
+                self._usual_ms[request.class_index] += (
+                    SLOWER_ANSWER_WEIGHT if difference_ms > 0 else ANSWER_TIME_WEIGHT
+                ) * difference_ms
 
     def _handle_server_list(self, event: ServerList) -> None:
-        if self._awaits_list and not event.cached:  # a list fetched without one is no answer to it
+        # A list that was fetched while no watch call was open is no answer to a watch call.
+        if self._awaits_list and not event.cached:
             self._discovery_call_at, self._discovery_wait_ms = (
                 math.inf,
                 max(self._discovery_spread_ms, DISCOVERY_RETRY_MS[0]),
             )
         if event.complete:
-            named = {endpoint.address for endpoint in event.endpoints}
-            for address in [address for address in self._servers if address not in named]:
+            listed_addresses = {endpoint.address for endpoint in event.endpoints}
+            for address in [address for address in self._servers if address not in listed_addresses]:
                 self._unlist(address)
         for endpoint in event.endpoints:
             if endpoint.cell not in self._cell_limiters:
                 self._cell_limiters[endpoint.cell] = self._new_limiter(CELL_ALLOWED_MISS_SHARE)
-            known = self._servers.get(endpoint.address)
+            known_server = self._servers.get(endpoint.address)
             if endpoint.state is State.GONE:
                 self._unlist(endpoint.address)
-            elif known is None or known.endpoint.started_at != endpoint.started_at:
-                place, passed, credit = self._rng.random(), self._rng.random(), self._rng.random()
-                server = Server(endpoint, self._new_limiter(ALLOWED_MISS_SHARE), place, passed)
-                server.cold_credit, server.cold_at = credit, self._now
+            elif known_server is None or known_server.endpoint.started_at != endpoint.started_at:
+                ring_position, turns_passed, cold_credit = (
+                    self._rng.random(),
+                    self._rng.random(),
+                    self._rng.random(),
+                )
+                server = Server(endpoint, self._new_limiter(ALLOWED_MISS_SHARE), ring_position, turns_passed)
+                server.cold_credit, server.cold_at = cold_credit, self._now
                 server.mark = zlib.crc32(endpoint.address)
                 self._servers[endpoint.address] = server
             else:
-                known.endpoint, known.listed = endpoint, True
-        unlisted = [key for key, server in self._servers.items() if not server.listed]
+                known_server.endpoint, known_server.listed = endpoint, True
+        unlisted = [known for known, server in self._servers.items() if not server.listed]
+        # Drop the oldest: otherwise unlisted servers would accumulate without bound as a fleet is replaced.
         for address in unlisted[: -max(len(self._servers) - len(unlisted), MIN_UNLISTED_KEPT)]:
-            del self._servers[address]  # the oldest: a fleet that is replaced leaves no end of them
+            del self._servers[address]
         self._rebuild_ring()
 
     def _unlist(self, address: Address) -> None:
-        """Forget a server, or where only draining binds keep one that did not drain: its own answers tell."""
+        """Remove a server. If only draining binds, keep one that was ready: its own answers show whether it
+        is still usable."""
         server = self._servers.get(address)
         if server is None:
             return
@@ -811,59 +909,78 @@
             del self._servers[address]
 
     def _rebuild_ring(self) -> None:
-        """Who gets turns, in which order."""
-        # An order of its own: who follows a skipped server gets its turns too, at each instance another.
+        """Choose the servers in use and their round-robin order."""
+        # Each instance has a random order of its own: the server after a skipped one gets its turns as well,
+        # and this should be another server at each instance.
         self._ring = sorted(self._choose_subset(), key=lambda server: server.place)
         self._update_sizes()
 
     def _update_sizes(self) -> None:
-        """Sizes against the mean: as listed, or by what answers of each machine type take."""
-        self._sized_at, sizes = self._now, [server.endpoint.size for server in self._ring]
+        """Set the sizes relative to the mean, as listed or as estimated for each machine type."""
+        self._sizes_updated_at, sizes = self._now, [server.endpoint.size for server in self._ring]
         if not self._settings.listed_sizes:
-            takes = [
+            relative_times = [
                 max(self._machine_type_times.get(server.endpoint.kind, 1.0), 1 / MAX_SIZE_RATIO)
                 for server in self._ring
             ]
-            sizes = [min(max(took**-SIZE_EXPONENT, 1 / MAX_SIZE_RATIO), MAX_SIZE_RATIO) for took in takes]
+            sizes = [
+                min(max(relative_time**-SIZE_EXPONENT, 1 / MAX_SIZE_RATIO), MAX_SIZE_RATIO)
+                for relative_time in relative_times
+            ]
         total = sum(sizes)
         for server, size in zip(self._ring, sizes, strict=True):
             server.size = size * len(sizes) / total
         self._largest_size = max((server.size for server in self._ring), default=1.0)
 
-    def _new_limiter(self, share: float) -> RateLimiter:
+    def _new_limiter(self, allowed_miss_share: float) -> RateLimiter:
         return RateLimiter(
             self._now,
             DecayingCounter(self._now),
             DecayingCounter(self._now),
             DecayingCounter(self._now),
-            share,
+            allowed_miss_share,
         )
 
     def _choose_subset(self) -> list[Server]:
-        """The ready servers that this instance keeps to: all, but where many instances meet many servers."""
+        """The ready servers that this instance uses: all of them, or a subset if many instances and many
+        servers are present."""
         ready = [server for server in self._servers.values() if server.endpoint.state is State.READY]
         ready = [server for server in ready if server.listed or server.fails < MAX_BACKOFF_DOUBLINGS] or ready
-        count, total = max(self._settings.instances, 1), len(ready)
-        least = min(
-            max(count // MIN_INSTANCES_PER_SERVER[1], MIN_INSTANCES_PER_SERVER[0]),
+        instance_count, server_count = max(self._settings.instances, 1), len(ready)
+        min_instances_per_server = min(
+            max(instance_count // MIN_INSTANCES_PER_SERVER[1], MIN_INSTANCES_PER_SERVER[0]),
             MIN_INSTANCES_PER_SERVER[1],
         )
-        wanted = SUBSET_SERVERS if self._settings.listed_sizes else UNSIZED_SUBSET_SERVERS
-        sharers = max(round(wanted / max(total, 1) * count), least)
-        self._instances_per_server = float(max(count, self._settings.most))
-        if sharers >= count or total <= MIN_SUBSET_SERVERS:
+        target_servers = SUBSET_SERVERS if self._settings.listed_sizes else UNSIZED_SUBSET_SERVERS
+        instances_per_server = max(
+            round(target_servers / max(server_count, 1) * instance_count), min_instances_per_server
+        )
+        self._instances_per_server = float(max(instance_count, self._settings.most))
+        if instances_per_server >= instance_count or server_count <= MIN_SUBSET_SERVERS:
             return ready
-        # Runs of neighbours on a circle: as many parts hold each server, a changed list moves ends of runs.
-        in_cell = any(
-            cls.effect is Effect.KEYED and cls.group is Group.CELL for cls in self._settings.classes
-        )
-        cells = {s.endpoint.cell: zlib.crc32(b"%d" % s.endpoint.cell) if in_cell else 0 for s in ready}
-        ready.sort(key=lambda server: (cells[server.endpoint.cell], server.mark))
-        size = max(round(sharers * total / count), MIN_SUBSET_SERVERS)
-        first, part, warm = self._settings.ordinal * total // count, list[Server](), 0
-        while warm < size and len(part) < total:  # cold ones come on top: they take next to nothing
-            part.append(ready[(first + len(part)) % total])
-            started = part[-1].endpoint.started_at
-            warm += not started or self._now - started >= self._settings.warm_after_ms
-        self._instances_per_server = max(max(count, self._settings.most) * len(part) / total, 1.0)
-        return part
+        # The servers are ordered on a circle, and each subset is a run of neighbours. Every server is then in
+        # about the same number of subsets, and a changed list only moves the ends of the runs.
+        keep_cells_together = any(
+            request_class.effect is Effect.KEYED and request_class.group is Group.CELL
+            for request_class in self._settings.classes
+        )
+        cell_order = {
+            member.endpoint.cell: zlib.crc32(b"%d" % member.endpoint.cell) if keep_cells_together else 0
+            for member in ready
+        }
+        ready.sort(key=lambda server: (cell_order[server.endpoint.cell], server.mark))
+        subset_size = max(round(instances_per_server * server_count / instance_count), MIN_SUBSET_SERVERS)
+        first, subset, warm_count = (
+            self._settings.ordinal * server_count // instance_count,
+            list[Server](),
+            0,
+        )
+        # Cold servers do not count towards the size of the subset, because they take hardly any load.
+        while warm_count < subset_size and len(subset) < server_count:
+            subset.append(ready[(first + len(subset)) % server_count])
+            started_at = subset[-1].endpoint.started_at
+            warm_count += not started_at or self._now - started_at >= self._settings.warm_after_ms
+        self._instances_per_server = max(
+            max(instance_count, self._settings.most) * len(subset) / server_count, 1.0
+        )
+        return subset
--- a/larkcrank/core/interface.py
+++ b/larkcrank/core/interface.py
@@ -63,9 +63,7 @@
     deadline_ms: float
     window_ms: float  # how long the servers deduplicate a keyed request
     worth: float  # points earned by an answer within the target response time
-    late_worth: float = (
-        0.0  # share of the worth earned by an answer after the target, but before the deadline
-    )
+    late_worth: float = 0.0  # share of the worth earned by a later answer, before the deadline
     streaming: bool = False
     in_turn: bool = False  # requests with the same key run one at a time, in order of arrival
 
@@ -95,14 +93,11 @@
     tick_ms: float = 1.0  # clock resolution: the minimum interval between events
     cold_from: float = 1.0  # a server starts with at least this share of its capacity
     warm_after_ms: float = 0.0  # time from a server's start to its full capacity
-    # A cold server fails if its load exceeds this multiple of its present capacity ...
-    fall_multiple: float = 1.0
-    fall_ms: float = 1000.0  # ... for this long.
+    fall_multiple: float = 1.0  # a cold server fails at more than this multiple of its present capacity,
+    fall_ms: float = 1000.0  # if the overload lasts this long
     key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
     warm_keys: bool = False  # a server does less work for a key that it has served recently
-    only_draining_binds: bool = (
-        False  # only draining servers must be avoided; gone or unlisted ones need not be
-    )
+    only_draining_binds: bool = False  # gone or unlisted servers may be sent to, draining ones may not
     nines_part: float = 0.0  # weight of availability, as a number of nines, in the users' objective
     nines_full: float = 3.0  # number of nines that earns this weight in full
 
@@ -216,7 +211,8 @@
 
     count: int
     ordinal: int  # from 0
-    # Upper bound on the instances that may send to the same servers, also while the count is in doubt.
+    # Upper bound on the instances that may send to the same servers, at least `count`; also holds while the
+    # count is in doubt.
     max_instances: int
 
 
--- a/larkcrank/core/state.py
+++ b/larkcrank/core/state.py
@@ -19,17 +19,18 @@
     at: float = -math.inf  # time of the last event
     count: float = 0.0  # decayed count at that time
 
-    def add(self, now: float, time_constant: float) -> None:
+    def add(self, now: float, time_constant_ms: float) -> None:
         # The history begins with the first event: clients arrive long after a start, and all at once.
         self.born = now if self.at == -math.inf else self.born
-        self.count, self.at = self.decayed(now, time_constant) + 1.0, now
+        self.count, self.at = self.decayed(now, time_constant_ms) + 1.0, now
 
-    def decayed(self, now: float, time_constant: float) -> float:
-        return self.count * math.exp((self.at - now) / time_constant)
+    def decayed(self, now: float, time_constant_ms: float) -> float:
+        return self.count * math.exp((self.at - now) / time_constant_ms)
 
-    def rate(self, now: float, time_constant: float) -> float:
-        return self.decayed(now, time_constant) / (
-            time_constant * (1.0 - math.exp(-max(now - self.born, time_constant / 4) / time_constant))
+    def rate(self, now: float, time_constant_ms: float) -> float:
+        return self.decayed(now, time_constant_ms) / (
+            time_constant_ms
+            * (1.0 - math.exp(-max(now - self.born, time_constant_ms / 4) / time_constant_ms))
         )
 
 
@@ -54,10 +55,10 @@
     """A server as this instance knows it from its own traffic."""
 
     endpoint: Endpoint
-    brake: RateLimiter
+    brake: RateLimiter  # its own send limit
     place: float  # position in the ring, from 0 to 1
-    passed: float  # turns that have come by, each counted as the relative size; 1 or more allows a send
-    owes: list["Attempt"] = field(default_factory=list)  # attempts in flight that may still be answered
+    passed: float  # part of the next send earned by the turns that came by, in proportion to its size
+    owes: list["Attempt"] = field(default_factory=list)  # sent attempts whose answers are outstanding
     fails: int = 0  # failures, halved by each successful answer
     benched_until: float = -math.inf  # receives no requests before this time
     answers: int = -1  # class index of its last answer; -1: none since its last failure
@@ -65,10 +66,10 @@
     spared: dict[int, tuple[int, float]] = field(default_factory=dict)
     size: float = 1.0  # capacity relative to the mean of the ring
     wary_until: float = -math.inf  # until this time, used only if no other server has quota
-    cold_credit: float = 1.0  # sends left in the quota that applies while the server is cold ...
-    cold_at: float = 0.0  # ... as of this time
+    cold_credit: float = 1.0  # sends left in the quota that applies while the server is cold
+    cold_at: float = 0.0  # time of the last refill of this quota
     warmth: float = 0.0  # share of its even load that its answers have shown it to sustain
-    ahead: int = 0  # turns used in advance
+    ahead: int = 0  # round-robin turns used in advance
     mark: int = 0  # CRC-32 of the address
     listed: bool = True  # False: kept although the server list omits it or reports it as gone
 
