--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -1,4 +1,8 @@
-"""Cold servers before many instances, where servers really are cold: rule 4, and what answers earn them."""
+"""Simulates cold servers behind many instances: they must not be overloaded and must get their share.
+
+A server that has just started works slowly and reaches its full speed after WARM_UP_MS. A load of more than
+OVERLOAD_MULTIPLE times its current capacity for OVERLOAD_MS would make it fail.
+"""
 
 import heapq
 from random import Random
@@ -21,134 +25,168 @@
     TimerFired,
 )
 from larkcrank.core.state import Server
-from tests.test_balancer import CLASSES, VIEW, address
+from tests.test_balancer import CLASSES, VIEW, server_address
 
-WARM_MS, FROM, MULTIPLE, FALL_MS = 8000.0, 0.33, 4.0, 2000.0
-WORK_MS, WORKERS = 30.0, 4
+WARM_UP_MS, COLD_CAPACITY_SHARE, OVERLOAD_MULTIPLE, OVERLOAD_MS = 8000.0, 0.33, 4.0, 2000.0
+SERVICE_TIME_MS, WORKERS_PER_SERVER = 30.0, 4
 
 
-class Town:
-    """Instances before servers with workers and a queue; a cold one works as slowly as the settings say."""
+class FleetSimulation:
+    """Simulates instances and servers with workers and a queue; a cold server works at reduced speed."""
 
-    def __init__(self, instances: int, started: list[float], rate: float, seed: int = 1) -> None:
+    def __init__(
+        self, instances: int, start_times: list[float], requests_per_s: float, seed: int = 1
+    ) -> None:
         self.rng, self.now, self.sequence = Random(seed), 0.0, 0
-        self.heap: list[tuple[float, int, int, Event | tuple[int, int, bytes, float]]] = []
-        self.started = {address(index): at for index, at in enumerate(started)}
-        self.free = {where: [0.0] * WORKERS for where in self.started}
-        self.sent: list[tuple[float, bytes]] = []
-        self.came: list[float] = []
-        self.answered: list[tuple[float, float]] = []  # when it came, how long it took
-        self.begun: dict[tuple[int, int], float] = {}
+        # Entries: time, sequence number, instance, event. The event is one for the balancer or a tuple:
+        # (request ID, attempt, address, send time) for an answer, (0, 0, b"", requests per second) for the
+        # next arrival.
+        self.event_queue: list[tuple[float, int, int, Event | tuple[int, int, bytes, float]]] = []
+        self.started_at = {server_address(index): started_at for index, started_at in enumerate(start_times)}
+        self.worker_free_at = {address: [0.0] * WORKERS_PER_SERVER for address in self.started_at}
+        self.sends: list[tuple[float, bytes]] = []
+        self.arrival_times: list[float] = []
+        self.answers: list[tuple[float, float]] = []  # arrival, answer time
+        self.arrived_at: dict[tuple[int, int], float] = {}
         settings = Settings(
             CLASSES,
             instances=instances,
-            cold_from=FROM,
-            warm_after_ms=WARM_MS,
-            fall_multiple=MULTIPLE,
-            fall_ms=FALL_MS,
+            cold_from=COLD_CAPACITY_SHARE,
+            warm_after_ms=WARM_UP_MS,
+            fall_multiple=OVERLOAD_MULTIPLE,
+            fall_ms=OVERLOAD_MS,
             max_attempts=3,
         )
-        lines = tuple(Endpoint(where, started_at=at) for where, at in self.started.items())
+        endpoints = tuple(
+            Endpoint(address, started_at=started_at) for address, started_at in self.started_at.items()
+        )
         self.balancers = [Balancer(settings, Random(seed * 1000 + i), 0.0) for i in range(instances)]
         for index in range(instances):
-            self.do(index, ServerList(lines, complete=True))
-            self.do(index, FleetSize(instances, index, instances))
-            self.ask(index, rate / instances)
-        self.rate = rate / instances
-        self.ids = 0
+            self.handle(index, ServerList(endpoints, complete=True))
+            self.handle(index, FleetSize(instances, index, instances))
+            self.schedule_request(index, requests_per_s / instances)
+        self.requests_per_s = requests_per_s / instances
+        self.last_request_id = 0
 
-    def put(self, at: float, who: int, what: "Event | tuple[int, int, bytes, float]") -> None:
+    def schedule(self, time_ms: float, instance: int, event: "Event | tuple[int, int, bytes, float]") -> None:
         self.sequence += 1
-        heapq.heappush(self.heap, (at, self.sequence, who, what))
+        heapq.heappush(self.event_queue, (time_ms, self.sequence, instance, event))
 
-    def ask(self, who: int, rate: float) -> None:
-        self.put(self.now + self.rng.expovariate(rate / 1000.0), who, (0, 0, b"", rate))
+    def schedule_request(self, instance: int, requests_per_s: float) -> None:
+        self.schedule(
+            self.now + self.rng.expovariate(requests_per_s / 1000.0), instance, (0, 0, b"", requests_per_s)
+        )
 
-    def speed(self, where: bytes) -> float:
-        since = (self.now - self.started[where]) / WARM_MS
-        return min(FROM + (1 - FROM) * since, 1.0) if self.started[where] else 1.0
+    def speed_share(self, address: bytes) -> float:
+        """Returns the current speed of a server as a share of its full speed."""
+        warm_up_progress = (self.now - self.started_at[address]) / WARM_UP_MS
+        return (
+            min(COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * warm_up_progress, 1.0)
+            if self.started_at[address]
+            else 1.0
+        )
 
-    def run(self, until: float) -> None:
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, who, what = heapq.heappop(self.heap)
-            if not isinstance(what, tuple):
-                self.do(who, what)
+    def run(self, until_ms: float) -> None:
+        while self.event_queue and self.event_queue[0][0] <= until_ms:
+            self.now, _, instance, event = heapq.heappop(self.event_queue)
+            if not isinstance(event, tuple):
+                self.handle(instance, event)
                 continue
-            number, attempt, where, value = what
-            if where:
-                self.answered.append((self.begun[who, number], self.now - self.begun[who, number]))
-                self.do(who, Outcome(number, attempt, where, Result.OK, self.now - value, True))
+            request_id, attempt, address, send_time_or_rate = event
+            if address:
+                self.answers.append(
+                    (self.arrived_at[instance, request_id], self.now - self.arrived_at[instance, request_id])
+                )
+                self.handle(
+                    instance,
+                    Outcome(request_id, attempt, address, Result.OK, self.now - send_time_or_rate, True),
+                )
             else:
-                self.ids += 1
-                self.came.append(self.now)
-                self.begun[who, self.ids] = self.now
-                self.do(who, Request(self.ids, VIEW, 2500.0))
-                self.ask(who, value)
-        self.now = until
-
-    def do(self, who: int, event: Event) -> None:
-        actions: list[Action] = self.balancers[who].handle(self.now, event)
+                self.last_request_id += 1
+                self.arrival_times.append(self.now)
+                self.arrived_at[instance, self.last_request_id] = self.now
+                self.handle(instance, Request(self.last_request_id, VIEW, 2500.0))
+                self.schedule_request(instance, send_time_or_rate)
+        self.now = until_ms
+
+    def handle(self, instance: int, event: Event) -> None:
+        actions: list[Action] = self.balancers[instance].handle(self.now, event)
         for action in actions:
             if isinstance(action, SetTimer):
-                self.put(self.now + action.wait_ms, who, TimerFired(action.token))
+                self.schedule(self.now + action.wait_ms, instance, TimerFired(action.token))
             elif isinstance(action, Send):
-                self.sent.append((self.now, action.address))
-                free = self.free[action.address]
-                begins = max(heapq.heappop(free), self.now)
-                ends = begins + WORK_MS / self.speed(action.address)
-                heapq.heappush(free, ends)
-                self.put(ends, who, (action.id, 0, action.address, self.now))
-
-    def served(self, since: float, to: float) -> float:
-        good = sum(since <= at < to and took <= 1000.0 for at, took in self.answered)
-        return good / sum(since <= at < to for at in self.came)
-
-    def worst(self, where: bytes) -> float:
-        """Most work sent within the time in which a cold one falls, in what it could do then."""
-        times = [at for at, to in self.sent if to == where]
-        worst = 0.0
-        for at in times:
-            sent = sum(at - FALL_MS < one <= at for one in times)
-            since = max(at - FALL_MS - self.started[where], 0.0) / WARM_MS
-            can = WORKERS / WORK_MS * FALL_MS * min(FROM + (1 - FROM) * since, 1.0)
-            worst = max(worst, sent / can)
-        return worst
+                self.sends.append((self.now, action.address))
+                worker_free_at = self.worker_free_at[action.address]
+                begins_at = max(heapq.heappop(worker_free_at), self.now)
+                ends_at = begins_at + SERVICE_TIME_MS / self.speed_share(action.address)
+                heapq.heappush(worker_free_at, ends_at)
+                self.schedule(ends_at, instance, (action.id, 0, action.address, self.now))
+
+    def served_share(self, from_ms: float, to_ms: float) -> float:
+        """Returns the share of the requests that arrived in a period and were answered within 1 s."""
+        in_time_count = sum(
+            from_ms <= arrived_at < to_ms and elapsed_ms <= 1000.0 for arrived_at, elapsed_ms in self.answers
+        )
+        return in_time_count / sum(from_ms <= arrived_at < to_ms for arrived_at in self.arrival_times)
+
+    def peak_load(self, address: bytes) -> float:
+        """Returns the highest load sent to a server in any OVERLOAD_MS, relative to its capacity then."""
+        send_times = [sent_at for sent_at, sent_to in self.sends if sent_to == address]
+        peak = 0.0
+        for sent_at in send_times:
+            recent_sends = sum(sent_at - OVERLOAD_MS < time_ms <= sent_at for time_ms in send_times)
+            warm_up_progress = max(sent_at - OVERLOAD_MS - self.started_at[address], 0.0) / WARM_UP_MS
+            capacity = (
+                WORKERS_PER_SERVER
+                / SERVICE_TIME_MS
+                * OVERLOAD_MS
+                * min(COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * warm_up_progress, 1.0)
+            )
+            peak = max(peak, recent_sends / capacity)
+        return peak
 
 
 @pytest.mark.parametrize("instances", [1, 5, 40])
 @pytest.mark.parametrize("load", [0.6, 1.3])
-def test_servers_that_are_all_cold_serve_what_they_can_and_none_is_pushed_over(
-    instances: int, load: float
-) -> None:
-    """Six servers, 133 a second each once warm. Rule 4's bound is four times what a cold one can do."""
-    town = Town(instances, [1.0] * 6, rate=load * 800.0)
-    town.run(12_000.0)
-    for where in town.started:
-        assert town.worst(where) < 0.75 * MULTIPLE
+def test_all_cold_servers_work_to_capacity_without_overload(instances: int, load: float) -> None:
+    """Six servers handle 133 requests/s each once warm. A cold one fails at four times its capacity."""
+    simulation = FleetSimulation(instances, [1.0] * 6, requests_per_s=load * 800.0)
+    simulation.run(12_000.0)
+    for address in simulation.started_at:
+        assert simulation.peak_load(address) < 0.75 * OVERLOAD_MULTIPLE
     if load < 1.0:
-        can = [min((FROM + (1 - FROM) * second / 8.0) / load, 1.0) for second in range(12)]
-        got = [town.served(second * 1000.0, second * 1000.0 + 1000.0) for second in range(2, 10)]
-        assert sum(got) > 0.85 * sum(can[2:10])
-        assert town.served(9000.0, 11_000.0) > 0.93
+        expected_shares = [
+            min((COLD_CAPACITY_SHARE + (1 - COLD_CAPACITY_SHARE) * second / 8.0) / load, 1.0)
+            for second in range(12)
+        ]
+        served_shares = [
+            simulation.served_share(second * 1000.0, second * 1000.0 + 1000.0) for second in range(2, 10)
+        ]
+        assert sum(served_shares) > 0.85 * sum(expected_shares[2:10])
+        assert simulation.served_share(9000.0, 11_000.0) > 0.93
 
 
 @pytest.mark.parametrize("instances", [5, 40])
-def test_new_servers_in_the_place_of_most_take_their_part_as_they_answer(instances: int) -> None:
-    """Five of six are new: the warm one can't take the rest, and the new ones show what they bear."""
-    town = Town(instances, [0.0, *[1.0] * 5], rate=400.0)
-    town.run(8_000.0)
-    assert all(town.worst(address(index)) < 0.75 * MULTIPLE for index in range(1, 6))
-    assert town.served(2000.0, 8000.0) > 0.85
-
-
-def test_warmth_is_shown_by_answers_in_time_and_lost_by_late_ones() -> None:
-    town = Town(1, [1.0], rate=50.0)
-    town.run(2000.0)
-    (server,) = town.balancers[0]._ring
+def test_new_servers_that_replace_most_of_the_fleet_take_their_share_without_overload(instances: int) -> None:
+    """Five of six servers are new. The warm one cannot take all the load, so the new ones have to take
+    more as their answers in time show that they can."""
+    simulation = FleetSimulation(instances, [0.0, *[1.0] * 5], requests_per_s=400.0)
+    simulation.run(8_000.0)
+    assert all(
+        simulation.peak_load(server_address(index)) < 0.75 * OVERLOAD_MULTIPLE for index in range(1, 6)
+    )
+    assert simulation.served_share(2000.0, 8000.0) > 0.85
+
+
+def test_warmth_rises_with_answers_in_time_and_falls_with_late_ones() -> None:
+    simulation = FleetSimulation(1, [1.0], requests_per_s=50.0)
+    simulation.run(2000.0)
+    (server,) = simulation.balancers[0]._ring
     assert isinstance(server, Server) and server.warmth == 1.0
-    town.free[address(0)] = [town.now + 5000.0] * WORKERS  # it stands still
-    seen = []
+    # The server stalls for five seconds.
+    simulation.worker_free_at[server_address(0)] = [simulation.now + 5000.0] * WORKERS_PER_SERVER
+    warmth_samples = []
     for _ in range(60):
-        town.run(town.now + 100.0)
-        seen.append(server.warmth)
-    assert min(seen) <= 0.5
+        simulation.run(simulation.now + 100.0)
+        warmth_samples.append(server.warmth)
+    assert min(warmth_samples) <= 0.5
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,10 @@
-"""Random legal events, outcomes and crashes: rules 1 to 3 hold, and the pacing of rule 4."""
+"""Checks the balancer's guarantees under random valid events, attempt outcomes and process crashes.
+
+- Every request gets at most one final answer, by its deadline, and no attempt starts after it.
+- A request that may have run is repeated only where its class allows it.
+- Only servers that are ready get requests.
+- Servers that have just started get only a limited share of the requests.
+"""
 
 import random
 
@@ -38,40 +44,48 @@
     RequestClass("cell", Effect.KEYED, Group.CELL, 1000.0, 5000.0, 1500.0, 6.0),
     RequestClass("all", Effect.KEYED, Group.ALL, 1000.0, 5000.0, 1500.0, 6.0, late_worth=0.2),
 )
-SERVERS = 6
-GRACE_MS = 20.0
+SERVER_COUNT = 6
+DEADLINE_TOLERANCE_MS = 20.0
 TICK_MS = 5.0
-PROVEN_NOT_RUN = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
+NEVER_RAN = (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
 FAILURES = [Result.ERROR, Result.REJECTED, Result.CONNECT_FAILED, Result.RESET, Result.TIMEOUT]
 
 
-class Held:
-    """What the machine knows of one request."""
+class RequestRecord:
+    """The test's record of one request."""
 
     def __init__(self, request: Request, now: float) -> None:
-        self.cls = CLASSES[request.cls]
+        self.request_class = CLASSES[request.cls]
         self.deadline = now + request.time_left_ms
-        self.sends = 0
-        self.out: dict[int, bytes] = {}
-        self.ran: list[tuple[bytes, float]] = []  # where and when attempts that may have run were sent
+        self.send_count = 0
+        self.open_attempts: dict[int, bytes] = {}
+        # Address and send time of each ended attempt that may have run.
+        self.may_have_run: list[tuple[bytes, float]] = []
         self.sent_at: dict[int, float] = {}
 
 
-class Rules(RuleBasedStateMachine):
+class BalancerRules(RuleBasedStateMachine):
     @initialize(
         seed=st.integers(0, 1000),
-        copies=st.booleans(),
-        cancel=st.booleans(),
-        ask=st.booleans(),
-        hint=st.booleans(),
+        allow_second_copies=st.booleans(),
+        allow_cancel=st.booleans(),
+        require_watch=st.booleans(),
+        allow_retry_after=st.booleans(),
     )
-    def start(self, seed: int, copies: bool, cancel: bool, ask: bool, hint: bool) -> None:
+    def start(
+        self,
+        seed: int,
+        allow_second_copies: bool,
+        allow_cancel: bool,
+        require_watch: bool,
+        allow_retry_after: bool,
+    ) -> None:
         self.settings = Settings(
             CLASSES,
-            second_copies=copies,
-            may_cancel=cancel,
-            must_ask=ask,
-            retry_after=hint,
+            second_copies=allow_second_copies,
+            may_cancel=allow_cancel,
+            must_ask=require_watch,
+            retry_after=allow_retry_after,
             max_retry_after_ms=2000.0,
             max_attempts=4,
             tick_ms=TICK_MS,
@@ -81,45 +95,45 @@
             fall_ms=2000.0,
         )
         self.now = 1000.0
-        self.ids = 0
+        self.last_request_id = 0
         self.seed = seed
-        self.lines = {
+        self.endpoints = {
             address: Endpoint(address, State.READY, zone=address[5] % 2, cell=address[5] % 3)
-            for address in (bytes([10, 0, 0, 0, 0, n]) for n in range(SERVERS))
+            for address in (bytes([10, 0, 0, 0, 0, number]) for number in range(SERVER_COUNT))
         }
-        self.boot()
+        self.start_process()
 
-    def boot(self) -> None:
-        """A process begins with nothing but its last list."""
-        self.requests: dict[int, Held] = {}
-        self.strays: dict[tuple[int, int], bytes] = {}  # attempts out of requests that are answered
+    def start_process(self) -> None:
+        """Starts a balancer process that knows nothing but its last server list."""
+        self.requests: dict[int, RequestRecord] = {}
+        self.orphaned_attempts: dict[tuple[int, int], bytes] = {}  # open attempts of requests that are over
         self.timers: list[tuple[float, int]] = []
-        self.arrivals: list[float] = []
-        self.cold: dict[bytes, list[float]] = {}
-        self.began = self.now
+        self.arrival_times: list[float] = []
+        self.cold_send_times: dict[bytes, list[float]] = {}
+        self.process_started_at = self.now
         self.seed += 1
         self.balancer = Balancer(self.settings, random.Random(self.seed), self.now)
-        self.do(ServerList(tuple(self.lines.values()), complete=True, cached=True))
+        self.handle(ServerList(tuple(self.endpoints.values()), complete=True, cached=True))
 
-    # What the balancer does is checked against the rules
+    # Checks of the balancer's actions
 
-    def do(self, event: Event) -> None:
+    def handle(self, event: Event) -> None:
         for action in self.balancer.handle(self.now, event):
-            self.check(action)
+            self.check_action(action)
 
-    def check(self, action: Action) -> None:
+    def check_action(self, action: Action) -> None:
         match action:
             case Send():
-                self.sent(action)
+                self.check_send(action)
             case Refuse():
-                held = self.requests[action.id]
-                effect, group = held.cls.effect, held.cls.group
-                proven = not held.ran and not held.out
-                assert effect is Effect.SAFE or proven or (effect is Effect.KEYED and group is Group.ALL)
+                record = self.requests[action.id]
+                effect, group = record.request_class.effect, record.request_class.group
+                never_ran = not record.may_have_run and not record.open_attempts
+                assert effect is Effect.SAFE or never_ran or (effect is Effect.KEYED and group is Group.ALL)
                 assert self.settings.retry_after or action.retry_after_ms == 0.0
-                self.final(action.id)
+                self.record_final_answer(action.id)
             case Fail():
-                self.final(action.id)
+                self.record_final_answer(action.id)
             case Cancel():
                 assert self.settings.may_cancel
             case SetTimer():
@@ -128,134 +142,166 @@
             case Watch():
                 assert self.settings.must_ask
 
-    def final(self, number: int) -> None:
-        held = self.requests.pop(number)  # a second final answer would find nothing
-        assert self.now <= held.deadline + GRACE_MS
-        for attempt, address in held.out.items():
-            self.strays[number, attempt] = address
+    def record_final_answer(self, request_id: int) -> None:
+        record = self.requests.pop(request_id)  # raises KeyError on a second final answer
+        assert self.now <= record.deadline + DEADLINE_TOLERANCE_MS
+        for attempt, address in record.open_attempts.items():
+            self.orphaned_attempts[request_id, attempt] = address
 
-    def sent(self, action: Send) -> None:
-        held = self.requests[action.id]  # rule 1: nothing after the final answer
-        line = self.lines[action.address]
-        assert line.state is State.READY  # rule 3, at once
-        assert held.sends < self.settings.max_attempts
-        assert not held.out or self.settings.second_copies
-        before = held.ran + [(address, held.sent_at[n]) for n, address in held.out.items()]
-        if held.cls.effect is Effect.UNSAFE:
-            assert not before
-        if held.cls.effect is Effect.KEYED and before:
-            where, when = before[0]
-            assert self.now < when + held.cls.window_ms
-            first = self.lines[where]
-            if held.cls.group is Group.ZONE:
-                assert line.zone == first.zone
-            if held.cls.group is Group.CELL:
-                assert line.cell == first.cell
-        held.out[held.sends] = action.address
-        held.sent_at[held.sends] = self.now
-        held.sends += 1
-        if line.started_at:
-            self.cold.setdefault(action.address, []).append(self.now)
+    def check_send(self, action: Send) -> None:
+        record = self.requests[action.id]  # raises KeyError on a send after the final answer
+        endpoint = self.endpoints[action.address]
+        assert endpoint.state is State.READY  # a list change applies to the next send
+        assert record.send_count < self.settings.max_attempts
+        assert not record.open_attempts or self.settings.second_copies
+        earlier_attempts = record.may_have_run + [
+            (address, record.sent_at[attempt]) for attempt, address in record.open_attempts.items()
+        ]
+        if record.request_class.effect is Effect.UNSAFE:
+            assert not earlier_attempts
+        if record.request_class.effect is Effect.KEYED and earlier_attempts:
+            first_address, first_sent_at = earlier_attempts[0]
+            assert self.now < first_sent_at + record.request_class.window_ms
+            first_endpoint = self.endpoints[first_address]
+            if record.request_class.group is Group.ZONE:
+                assert endpoint.zone == first_endpoint.zone
+            if record.request_class.group is Group.CELL:
+                assert endpoint.cell == first_endpoint.cell
+        record.open_attempts[record.send_count] = action.address
+        record.sent_at[record.send_count] = self.now
+        record.send_count += 1
+        if endpoint.started_at:
+            self.cold_send_times.setdefault(action.address, []).append(self.now)
 
-    # What happens to it
+    # Random events
 
     @rule(
-        cls=st.integers(0, len(CLASSES) - 1), share=st.sampled_from([0.0, 0.3, 1.0]), burst=st.integers(1, 6)
+        class_index=st.integers(0, len(CLASSES) - 1),
+        time_left_share=st.sampled_from([0.0, 0.3, 1.0]),
+        count=st.integers(1, 6),
     )
-    def requests_come(self, cls: int, share: float, burst: int) -> None:
-        for _ in range(burst):
-            self.ids += 1
-            request = Request(self.ids, cls, share * CLASSES[cls].deadline_ms)
-            self.requests[self.ids] = Held(request, self.now)
-            self.arrivals.append(self.now)
-            self.do(request)
+    def requests_arrive(self, class_index: int, time_left_share: float, count: int) -> None:
+        for _ in range(count):
+            self.last_request_id += 1
+            request = Request(
+                self.last_request_id, class_index, time_left_share * CLASSES[class_index].deadline_ms
+            )
+            self.requests[self.last_request_id] = RequestRecord(request, self.now)
+            self.arrival_times.append(self.now)
+            self.handle(request)
 
-    def attempts(self) -> list[tuple[int, int, bytes]]:
-        live = [(n, a, where) for n, held in self.requests.items() for a, where in held.out.items()]
-        return live + [(n, a, where) for (n, a), where in self.strays.items()]
+    def list_open_attempts(self) -> list[tuple[int, int, bytes]]:
+        current = [
+            (request_id, attempt, address)
+            for request_id, record in self.requests.items()
+            for attempt, address in record.open_attempts.items()
+        ]
+        return current + [
+            (request_id, attempt, address)
+            for (request_id, attempt), address in self.orphaned_attempts.items()
+        ]
 
-    def ends(self, number: int, attempt: int, where: bytes, result: Result) -> None:
-        held = self.requests.get(number)
-        if held is None:
-            del self.strays[number, attempt]
-            self.do(Outcome(number, attempt, where, result, 30.0, True))
+    def finish_attempt(self, request_id: int, attempt: int, address: bytes, result: Result) -> None:
+        record = self.requests.get(request_id)
+        if record is None:
+            del self.orphaned_attempts[request_id, attempt]
+            self.handle(Outcome(request_id, attempt, address, result, 30.0, True))
             return
-        del held.out[attempt]
-        if result not in PROVEN_NOT_RUN:
-            held.ran.append((where, held.sent_at[attempt]))
+        del record.open_attempts[attempt]
+        if result not in NEVER_RAN:
+            record.may_have_run.append((address, record.sent_at[attempt]))
         if result is Result.OK:
-            self.final(number)
-        self.do(
-            Outcome(number, attempt, where, result, self.now - held.sent_at[attempt], result is Result.OK)
+            self.record_final_answer(request_id)
+        self.handle(
+            Outcome(
+                request_id, attempt, address, result, self.now - record.sent_at[attempt], result is Result.OK
+            )
         )
 
-    @precondition(lambda self: self.attempts())
+    @precondition(lambda self: self.list_open_attempts())
     @rule(pick=st.integers(0, 1000), result=st.sampled_from([Result.OK, Result.OK, Result.OK, *FAILURES]))
-    def an_attempt_ends(self, pick: int, result: Result) -> None:
-        found = self.attempts()
-        self.ends(*found[pick % len(found)], result)
+    def attempt_ends(self, pick: int, result: Result) -> None:
+        open_attempts = self.list_open_attempts()
+        self.finish_attempt(*open_attempts[pick % len(open_attempts)], result)
 
     @rule(steps=st.integers(1, 60))
     def time_passes(self, steps: int) -> None:
         for _ in range(steps):
             self.now += TICK_MS
-            due = sorted(timer for timer in self.timers if timer[0] <= self.now)
+            due_timers = sorted(timer for timer in self.timers if timer[0] <= self.now)
             self.timers = [timer for timer in self.timers if timer[0] > self.now]
-            for _, token in due:
-                self.do(TimerFired(token))
-            for number, held in list(self.requests.items()):
-                for attempt, where in list(held.out.items()):
-                    if self.now >= held.deadline:
-                        self.ends(number, attempt, where, Result.TIMEOUT)
+            for _, token in due_timers:
+                self.handle(TimerFired(token))
+            for request_id, record in list(self.requests.items()):
+                for attempt, address in list(record.open_attempts.items()):
+                    if self.now >= record.deadline:
+                        self.finish_attempt(request_id, attempt, address, Result.TIMEOUT)
 
     @precondition(lambda self: self.requests)
     @rule(pick=st.integers(0, 1000))
-    def a_client_leaves(self, pick: int) -> None:
-        number = list(self.requests)[pick % len(self.requests)]
-        held = self.requests.pop(number)
-        self.strays |= {(number, attempt): where for attempt, where in held.out.items()}
-        self.do(ClientGone(number))
+    def client_leaves(self, pick: int) -> None:
+        request_id = list(self.requests)[pick % len(self.requests)]
+        record = self.requests.pop(request_id)
+        self.orphaned_attempts |= {
+            (request_id, attempt): address for attempt, address in record.open_attempts.items()
+        }
+        self.handle(ClientGone(request_id))
 
-    @rule(number=st.integers(0, SERVERS - 1), state=st.sampled_from(list(State)), whole=st.booleans())
-    def the_list_changes(self, number: int, state: State, whole: bool) -> None:
-        address = bytes([10, 0, 0, 0, 0, number])
-        old = self.lines[address]
-        started = self.now if state is State.READY and old.state is State.GONE else old.started_at
-        self.lines[address] = Endpoint(address, state, old.zone, old.cell, started_at=started)
-        self.cold.pop(address, None)
-        if whole:
-            named = tuple(line for line in self.lines.values() if line.state is not State.GONE)
-            self.do(ServerList(named, complete=True))
+    @rule(
+        server_number=st.integers(0, SERVER_COUNT - 1),
+        state=st.sampled_from(list(State)),
+        send_complete_list=st.booleans(),
+    )
+    def server_list_changes(self, server_number: int, state: State, send_complete_list: bool) -> None:
+        address = bytes([10, 0, 0, 0, 0, server_number])
+        old_endpoint = self.endpoints[address]
+        started_at = (
+            self.now if state is State.READY and old_endpoint.state is State.GONE else old_endpoint.started_at
+        )
+        self.endpoints[address] = Endpoint(
+            address, state, old_endpoint.zone, old_endpoint.cell, started_at=started_at
+        )
+        self.cold_send_times.pop(address, None)
+        if send_complete_list:
+            listed = tuple(
+                endpoint for endpoint in self.endpoints.values() if endpoint.state is not State.GONE
+            )
+            self.handle(ServerList(listed, complete=True))
         else:
-            self.do(ServerList((self.lines[address],), complete=False))
+            self.handle(ServerList((self.endpoints[address],), complete=False))
 
     @rule()
     def discovery_fails(self) -> None:
-        self.do(DiscoveryFailed())
+        self.handle(DiscoveryFailed())
 
-    @rule(away=st.integers(0, 3000))
-    def the_process_is_killed(self, away: int) -> None:
-        self.now += away
-        self.boot()
+    @rule(downtime_ms=st.integers(0, 3000))
+    def process_is_killed(self, downtime_ms: int) -> None:
+        self.now += downtime_ms
+        self.start_process()
 
     @invariant()
-    def nothing_is_owed_past_its_deadline(self) -> None:
-        for held in getattr(self, "requests", {}).values():
-            assert self.now <= held.deadline + GRACE_MS
+    def no_request_is_open_past_its_deadline(self) -> None:
+        for record in getattr(self, "requests", {}).values():
+            assert self.now <= record.deadline + DEADLINE_TOLERANCE_MS
 
     @invariant()
-    def cold_servers_are_paced(self) -> None:
-        """At most an even share of what came, and a little for chance, in any two seconds since the start."""
-        ready = sum(line.state is State.READY for line in getattr(self, "lines", {}).values())
-        for address, times in getattr(self, "cold", {}).items():
-            if self.now - self.lines[address].started_at > self.settings.warm_after_ms:
+    def cold_servers_get_a_limited_share(self) -> None:
+        """In the last two seconds a cold server got at most two sends more than twice an even share.
+
+        The even share is that of the requests of the last eight seconds.
+        """
+        ready_count = sum(
+            endpoint.state is State.READY for endpoint in getattr(self, "endpoints", {}).values()
+        )
+        for address, send_times in getattr(self, "cold_send_times", {}).items():
+            if self.now - self.endpoints[address].started_at > self.settings.warm_after_ms:
                 continue
-            recent = [t for t in times if t > self.now - 2000.0]
-            came = [t for t in self.arrivals if t > self.now - 8000.0]
-            assert len(recent) <= 2 + 2 * len(came) / max(ready, 1)
+            recent_sends = [time_ms for time_ms in send_times if time_ms > self.now - 2000.0]
+            recent_arrivals = [time_ms for time_ms in self.arrival_times if time_ms > self.now - 8000.0]
+            assert len(recent_sends) <= 2 + 2 * len(recent_arrivals) / max(ready_count, 1)
 
 
-Rules.TestCase.settings = settings(
+BalancerRules.TestCase.settings = settings(
     max_examples=60,
     stateful_step_count=50,
     derandomize=True,
@@ -263,4 +309,4 @@
     database=None,
     suppress_health_check=list(HealthCheck),
 )
-TestRules = Rules.TestCase
+TestBalancerRules = BalancerRules.TestCase
--- a/tests/test_symptoms.py
+++ b/tests/test_symptoms.py
@@ -1,4 +1,4 @@
-"""Defences by symptom: keys at home, classes that wait everywhere, parts where no sizes are told."""
+"""Tests how the balancer reacts to observations: warm keys, slow request classes, machine types, failures."""
 
 import math
 
@@ -19,193 +19,207 @@
     ServerList,
 )
 from larkcrank.core.state import Job
-from tests.test_balancer import Desk, address, sends
+from tests.test_balancer import BalancerHarness, sent_addresses, server_address
 
-QUICK, HEAVY = range(2)
+QUICK, HEAVY = range(2)  # indexes into CLASSES
 CLASSES = (
     RequestClass("quick", Effect.SAFE, Group.ALL, 600.0, 2000.0, 0.0, 5.0),
     RequestClass("heavy", Effect.UNSAFE, Group.ALL, 1000.0, 2000.0, 0.0, 3.0),
 )
 
 
-def ask(desk: Desk, key: int, cls: int = 0) -> list[bytes]:
-    """Where one request goes, answered after 20 ms."""
-    desk.ids += 1
-    where = sends(desk.do(Request(desk.ids, cls, 2000.0, key=key)))
-    desk.wait(20.0)
-    if where:
-        desk.end(desk.ids)
-    return where
+def serve_request(harness: BalancerHarness, key: int, class_index: int = 0) -> list[bytes]:
+    """Sends one request, answers it after 20 ms and returns the addresses it was sent to."""
+    harness.last_request_id += 1
+    addresses = sent_addresses(harness.handle(Request(harness.last_request_id, class_index, 2000.0, key=key)))
+    harness.advance(20.0)
+    if addresses:
+        harness.finish_attempt(harness.last_request_id)
+    return addresses
 
 
-def test_a_key_goes_to_the_same_server_at_every_instance_where_servers_remember_keys() -> None:
-    homes = set()
+def test_all_instances_send_a_key_to_the_same_server_with_warm_keys() -> None:
+    preferred_servers = set()
     for seed in range(6):
-        desk = Desk(servers=8, seed=seed, warm_keys=True)
+        harness = BalancerHarness(servers=8, seed=seed, warm_keys=True)
         job = Job(1, 0, CLASSES[0], 0, 0.0, 600.0, subject=77)
-        homes.add(tuple(server.endpoint.address for server in desk.balancer._homes(job)))
-        assert ask(desk, key=77) == [next(iter(homes))[0]]
-    assert len(homes) == 1
-    cold = Desk(servers=8)
-    assert len({place for _ in range(8) for place in ask(cold, key=77)}) == 8
+        preferred_servers.add(tuple(server.endpoint.address for server in harness.balancer._homes(job)))
+        assert serve_request(harness, key=77) == [next(iter(preferred_servers))[0]]
+    assert len(preferred_servers) == 1
+    without_warm_keys = BalancerHarness(servers=8)
+    assert len({address for _ in range(8) for address in serve_request(without_warm_keys, key=77)}) == 8
 
 
-def test_no_server_takes_more_than_a_few_turns_before_they_come() -> None:
-    # One popular key must not make its home the only server: turns stay even but for a few.
-    desk = Desk(servers=4, warm_keys=True)
+def test_server_takes_at_most_a_few_turns_early() -> None:
+    # A popular key must not send all its requests to one server: the servers' shares stay nearly equal.
+    harness = BalancerHarness(servers=4, warm_keys=True)
     for _ in range(100):
-        ask(desk, key=5)
-    took = [0] * 4
+        serve_request(harness, key=5)
+    requests_by_server = [0] * 4
     for _ in range(200):
-        for place in ask(desk, key=5):
-            took[place[3]] += 1
-    assert max(took) - min(took) <= 2 * AHEAD_MOST
+        for address in serve_request(harness, key=5):
+            requests_by_server[address[3]] += 1
+    assert max(requests_by_server) - min(requests_by_server) <= 2 * AHEAD_MOST
 
 
-def test_a_home_that_failed_is_left_for_the_next_one_and_no_key_waits_for_it() -> None:
-    desk = Desk(servers=4, warm_keys=True)
-    [home] = ask(desk, key=9)
-    desk.balancer._servers[home].wary_until = desk.now + 30000.0
-    places = [place for _ in range(3) for place in ask(desk, key=9)]
-    assert len(places) == 3 and home not in places
+def test_failed_preferred_server_is_replaced_by_the_next_one_without_waiting() -> None:
+    harness = BalancerHarness(servers=4, warm_keys=True)
+    [preferred_address] = serve_request(harness, key=9)
+    harness.balancer._servers[preferred_address].wary_until = harness.now + 30000.0
+    addresses = [address for _ in range(3) for address in serve_request(harness, key=9)]
+    assert len(addresses) == 3 and preferred_address not in addresses
 
 
-@pytest.mark.parametrize("listed, met", [(True, PART_SERVERS), (False, 30)])
-def test_an_instance_meets_all_servers_where_no_sizes_are_told(listed: bool, met: int) -> None:
-    desk = Desk(servers=30, instances=100, listed_sizes=listed)
-    assert len(desk.balancer._ring) == met
+@pytest.mark.parametrize("sizes_listed, used_servers", [(True, PART_SERVERS), (False, 30)])
+def test_instance_uses_more_servers_where_the_list_has_no_sizes(
+    sizes_listed: bool, used_servers: int
+) -> None:
+    harness = BalancerHarness(servers=30, instances=100, listed_sizes=sizes_listed)
+    assert len(harness.balancer._ring) == used_servers
 
 
-class Fleet(Desk):
-    """A desk whose servers answer by class, and on which requests of two classes come in turn."""
+class TwoClassHarness(BalancerHarness):
+    """A harness that alternates requests of two classes; the answer time depends on the class."""
 
     def __init__(self) -> None:
-        self.takes, self.went, self.refused = (50.0, 50.0), [0, 0], [0, 0]
-        self.kind: dict[int, int] = {}
-        self.back: list[tuple[float, int, int, float]] = []
+        self.answer_times_ms, self.sends_by_class, self.refusals_by_class = (50.0, 50.0), [0, 0], [0, 0]
+        self.class_by_request_id: dict[int, int] = {}
+        self.pending_answers: list[tuple[float, int, int, float]] = []
         super().__init__(servers=6, seed=3, classes=CLASSES, max_attempts=3, retry_after=True)
 
-    def do(self, event: Event) -> list[Action]:
-        actions = super().do(event)
+    def handle(self, event: Event) -> list[Action]:
+        actions = super().handle(event)
         for action in actions:
             if isinstance(action, Send):
-                cls = self.kind[action.id]
-                self.went[cls] += 1
-                attempt, took = self.sent[action.id] - 1, self.takes[cls]
-                self.back.append((self.now + took, action.id, attempt, took))
+                class_index = self.class_by_request_id[action.id]
+                self.sends_by_class[class_index] += 1
+                attempt, elapsed_ms = self.send_counts[action.id] - 1, self.answer_times_ms[class_index]
+                self.pending_answers.append((self.now + elapsed_ms, action.id, attempt, elapsed_ms))
             elif isinstance(action, Refuse):
-                self.refused[self.kind[action.id]] += 1
+                self.refusals_by_class[self.class_by_request_id[action.id]] += 1
         return actions
 
-    def play(self, seconds: float, takes: tuple[float, float]) -> None:
-        self.takes, self.went, self.refused = takes, [0, 0], [0, 0]
+    def run(self, seconds: float, answer_times_ms: tuple[float, float]) -> None:
+        self.answer_times_ms, self.sends_by_class, self.refusals_by_class = answer_times_ms, [0, 0], [0, 0]
         for step in range(int(seconds * 200)):
-            self.wait(5.0)
-            for due in sorted(one for one in self.back if one[0] <= self.now):
-                self.back.remove(due)
-                self.end(due[1], attempt=due[2], elapsed=due[3])
+            self.advance(5.0)
+            for due in sorted(pending for pending in self.pending_answers if pending[0] <= self.now):
+                self.pending_answers.remove(due)
+                self.finish_attempt(due[1], attempt=due[2], elapsed_ms=due[3])
             if step % 8 == 0:
-                self.kind[self.ids + 1] = cls = self.ids % 2
-                self.take(cls, left=2000.0)
-
-
-def test_a_class_that_waits_everywhere_is_nobodys_fault_and_takes_no_places() -> None:
-    # Counted as the servers' misses it cut all limits: 31 in 100 of the other classes' requests were refused.
-    fleet = Fleet()
-    fleet.play(10, (50.0, 50.0))
-    fleet.play(5, (50.0, 1500.0))  # until it is noticed
-    fleet.play(20, (50.0, 1500.0))
-    assert fleet.balancer._stuck == {HEAVY}
-    assert fleet.refused[QUICK] == 0 and fleet.went[QUICK] > 240
-    assert (
-        0 < fleet.went[HEAVY] < 60 and fleet.refused[HEAVY] > 150
-    )  # a few go on, the others are told at once
-    assert not any(server.wary_until > fleet.now for server in fleet.balancer._ring)
-    fleet.play(10, (50.0, 50.0))
-    fleet.play(10, (50.0, 50.0))
-    assert fleet.balancer._stuck == set() and fleet.refused == [0, 0]
-
-
-def test_where_all_classes_wait_it_is_the_servers_and_limits_are_cut() -> None:
-    fleet = Fleet()
-    fleet.play(10, (50.0, 50.0))
-    fleet.play(20, (1500.0, 1500.0))
-    assert fleet.balancer._stuck == set()
-    assert sum(fleet.refused) > 100
-
-
-def test_sizes_are_told_by_answers_of_a_machine_type_where_the_list_tells_none() -> None:
-    # Even turns ask of the slow machines a third more than they can do, and two thirds of the fast ones.
-    desk = Desk(servers=0, listed_sizes=False, warm_keys=True)
-    desk.do(ServerList(tuple(Endpoint(address(i), kind=i % 2) for i in range(8)), complete=True))
-    took, went = {0: 20.0, 1: 60.0}, [0, 0]
-    for number in range(800):
-        desk.ids += 1
-        [place] = sends(desk.do(Request(desk.ids, 0, 2000.0, key=number % 97)))
-        desk.wait(took[place[3] % 2])
-        desk.end(desk.ids, elapsed=took[place[3] % 2])
-        went[place[3] % 2] += number >= 400
-    assert went[0] > 1.8 * went[1] > 60
-    sizes = [server.size for server in desk.balancer._ring]
-    assert max(sizes) <= 4.0 * min(sizes) + 1e-9  # a crowd is no size
-
-
-def test_turns_taken_early_are_paid_back_so_that_homes_go_on() -> None:
-    # All servers once stood at the most that may be taken early, for good: keys then had no homes.
-    desk = Desk(servers=4, warm_keys=True)
-    for number in range(400):
-        ask(desk, key=1 + number % 50)
-    assert min(server.ahead for server in desk.balancer._ring) < AHEAD_MOST
-    at_home = 0
-    for number in range(200):
-        job = Job(1, 0, CLASSES[0], 0, 0.0, 600.0, subject=1 + number % 50)
-        home = desk.balancer._homes(job)[0].endpoint.address
-        at_home += ask(desk, key=job.subject) == [home]
-    assert at_home > 110  # with turns alone 50
-
-
-def play(desk: Desk, requests: int, failing: set[bytes]) -> None:
+                self.class_by_request_id[self.last_request_id + 1] = class_index = self.last_request_id % 2
+                self.submit(class_index, time_left_ms=2000.0)
+
+
+def test_class_that_is_slow_on_all_servers_is_not_blamed_on_them_and_takes_no_slots() -> None:
+    # When its late answers counted as misses of the servers, they cut all limits, and 31 % of the other
+    # classes' requests were refused.
+    harness = TwoClassHarness()
+    harness.run(10, (50.0, 50.0))
+    harness.run(5, (50.0, 1500.0))  # until the balancer detects it
+    harness.run(20, (50.0, 1500.0))
+    assert harness.balancer._stuck == {HEAVY}
+    assert harness.refusals_by_class[QUICK] == 0 and harness.sends_by_class[QUICK] > 240
+    # A few heavy requests are still sent, the others are refused at once.
+    assert 0 < harness.sends_by_class[HEAVY] < 60 and harness.refusals_by_class[HEAVY] > 150
+    assert not any(server.wary_until > harness.now for server in harness.balancer._ring)
+    harness.run(10, (50.0, 50.0))
+    harness.run(10, (50.0, 50.0))
+    assert harness.balancer._stuck == set() and harness.refusals_by_class == [0, 0]
+
+
+def test_limits_are_cut_when_all_classes_are_slow() -> None:
+    harness = TwoClassHarness()
+    harness.run(10, (50.0, 50.0))
+    harness.run(20, (1500.0, 1500.0))
+    assert harness.balancer._stuck == set()
+    assert sum(harness.refusals_by_class) > 100
+
+
+def test_sizes_are_derived_from_answer_times_by_machine_type_where_not_listed() -> None:
+    # With equal turns the slow machines get a third more load than their capacity, the fast ones two thirds
+    # of theirs.
+    harness = BalancerHarness(servers=0, listed_sizes=False, warm_keys=True)
+    harness.handle(
+        ServerList(tuple(Endpoint(server_address(i), kind=i % 2) for i in range(8)), complete=True)
+    )
+    answer_time_ms, sends_by_kind = {0: 20.0, 1: 60.0}, [0, 0]
+    for index in range(800):
+        harness.last_request_id += 1
+        [address] = sent_addresses(
+            harness.handle(Request(harness.last_request_id, 0, 2000.0, key=index % 97))
+        )
+        harness.advance(answer_time_ms[address[3] % 2])
+        harness.finish_attempt(harness.last_request_id, elapsed_ms=answer_time_ms[address[3] % 2])
+        sends_by_kind[address[3] % 2] += index >= 400
+    assert sends_by_kind[0] > 1.8 * sends_by_kind[1] > 60
+    sizes = [server.size for server in harness.balancer._ring]
+    # Slow answers under load must not be taken for a small machine.
+    assert max(sizes) <= 4.0 * min(sizes) + 1e-9
+
+
+def test_turns_taken_early_are_balanced_so_that_key_affinity_persists() -> None:
+    # All servers once stayed at the maximum number of turns taken early, so that no key had a preferred
+    # server.
+    harness = BalancerHarness(servers=4, warm_keys=True)
+    for index in range(400):
+        serve_request(harness, key=1 + index % 50)
+    assert min(server.ahead for server in harness.balancer._ring) < AHEAD_MOST
+    at_preferred_server = 0
+    for index in range(200):
+        job = Job(1, 0, CLASSES[0], 0, 0.0, 600.0, subject=1 + index % 50)
+        preferred_address = harness.balancer._homes(job)[0].endpoint.address
+        at_preferred_server += serve_request(harness, key=job.subject) == [preferred_address]
+    assert at_preferred_server > 110  # round robin alone gives 50
+
+
+def serve_with_failures(harness: BalancerHarness, requests: int, failing_addresses: set[bytes]) -> None:
     for _ in range(requests):
-        desk.take()
-        while desk.out:
-            number, attempt = next(iter(desk.out))
-            fails = desk.out[number, attempt] in failing
-            desk.end(number, Result.CONNECT_FAILED if fails else Result.OK, attempt)
-        desk.wait(300.0)
-
-
-def test_a_part_stays_as_it_is_where_its_servers_fail() -> None:
-    # Grown by failing servers it cost a fleet a third more connections after a lost zone, and won nothing
-    # that could be told on two seeds of zone and split and on clachan-loans.
-    desk = Desk(servers=20, instances=50)
-    before = {server.endpoint.address for server in desk.balancer._ring}
-    play(desk, 80, before)
-    assert sum(server.fails >= DOUBT_FAILS for server in desk.balancer._ring) >= 2
-    assert {server.endpoint.address for server in desk.balancer._ring} == before
-
-
-@pytest.mark.parametrize("instances, deviations", [(2, math.inf), (100, 1.5)])
-def test_chance_caps_what_all_servers_owe_to_many_instances_but_not_the_burst_of_few(
-    instances: int, deviations: float
+        harness.submit()
+        while harness.open_attempts:
+            request_id, attempt = next(iter(harness.open_attempts))
+            fails = harness.open_attempts[request_id, attempt] in failing_addresses
+            harness.finish_attempt(request_id, Result.CONNECT_FAILED if fails else Result.OK, attempt)
+        harness.advance(300.0)
+
+
+def test_subset_does_not_change_when_its_servers_fail() -> None:
+    # Extending the subset when its servers fail cost a fleet a third more connections after the loss of a
+    # zone. It brought no measurable gain on two seeds each of the scenarios zone and split, nor on
+    # clachan-loans.
+    harness = BalancerHarness(servers=20, instances=50)
+    addresses_before = {server.endpoint.address for server in harness.balancer._ring}
+    serve_with_failures(harness, 80, addresses_before)
+    assert sum(server.fails >= DOUBT_FAILS for server in harness.balancer._ring) >= 2
+    assert {server.endpoint.address for server in harness.balancer._ring} == addresses_before
+
+
+@pytest.mark.parametrize("instances, max_deviations", [(2, math.inf), (100, 1.5)])
+def test_cap_on_total_open_attempts_depends_on_the_number_of_instances(
+    instances: int, max_deviations: float
 ) -> None:
-    # At three times the usual a hundred thin ones crowded all servers for good; capped by chance, two dense
-    # ones refused what servers could take (the later panel on sockets: 0.785 in place of 0.837).
-    desk = Desk(servers=4, instances=instances)
-    desk.warm(400, gap=20.0)
-    usual = desk.balancer._served.rate(desk.now, RATE_MS) * desk.balancer._window
-    cap = desk.balancer._owe_all - 4 * OWED_SHARED / desk.balancer._sharers
-    assert usual > 0.8
-    assert cap == pytest.approx(min(3.0 * usual, usual + deviations * math.sqrt(usual)), rel=0.05)
-
-
-def test_answers_in_no_time_to_a_class_with_no_aim_break_nothing() -> None:
-    # Where no sizes are told they are compared with the usual time, which is nought there.
+    # With a cap of three times the usual number, a hundred low-traffic instances overloaded all servers
+    # permanently. With a cap by standard deviations, two high-traffic instances refused requests that the
+    # servers could take (0.785 in place of 0.837 in a later set of runs on sockets).
+    harness = BalancerHarness(servers=4, instances=instances)
+    harness.run_traffic(400, gap_ms=20.0)
+    usual_open_attempts = harness.balancer._served.rate(harness.now, RATE_MS) * harness.balancer._window
+    cap = harness.balancer._owe_all - 4 * OWED_SHARED / harness.balancer._sharers
+    assert usual_open_attempts > 0.8
+    assert cap == pytest.approx(
+        min(3.0 * usual_open_attempts, usual_open_attempts + max_deviations * math.sqrt(usual_open_attempts)),
+        rel=0.05,
+    )
+
+
+def test_zero_answer_times_in_a_class_without_target_time_are_handled() -> None:
+    # Where the list has no server sizes, answer times are compared with the usual time, which is zero here.
     classes = (RequestClass("now", Effect.SAFE, Group.ALL, 0.0, 2000.0, 0.0, 1.0),)
-    desk = Desk(servers=2, classes=classes, listed_sizes=False)
+    harness = BalancerHarness(servers=2, classes=classes, listed_sizes=False)
     for _ in range(20):
-        number, actions = desk.take()
-        assert sends(actions)
-        desk.end(number, elapsed=0.0)
-    desk.balancer._takes[0] = 0.0  # as thousands of them leave it
-    desk.balancer._size()
-    assert {server.size for server in desk.balancer._ring} == {1.0}
+        request_id, actions = harness.submit()
+        assert sent_addresses(actions)
+        harness.finish_attempt(request_id, elapsed_ms=0.0)
+    harness.balancer._takes[0] = 0.0  # the value after thousands of such answers
+    harness.balancer._size()
+    assert {server.size for server in harness.balancer._ring} == {1.0}
