--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -12,7 +12,7 @@
 from larkcrank.lab.endpoints import Keys, excess, nearness
 from larkcrank.lab.ledger import Ledger
 from larkcrank.lab.scenario import Endpoints
-from tests.test_balancer import CLASSES, VIEW, address
+from tests.test_balancer import CLASSES, VIEW, server_address
 
 DENSE = Case(
     "release", servers=2, work_ms=400.0, workers=60, fall_ms=1000.0, load=1.3, quick=True, play_ms=6500.0
@@ -54,13 +54,13 @@
         CLASSES, cold_from=cold_from, warm_after_ms=1e6, fall_multiple=multiple, fall_ms=2000.0, tick_ms=1.0
     )
     balancer, now, to_cold = Balancer(settings, Random(1), 0.0), 1.0, 0
-    lines = Endpoint(address(0)), Endpoint(address(1), started_at=1.0)
+    lines = Endpoint(server_address(0)), Endpoint(server_address(1), started_at=1.0)
     balancer.handle(now, ServerList(lines, complete=True))
     for number in range(1, 1001):
         now += 10.0
         for action in balancer.handle(now, Request(number, VIEW, 2500.0)):
             if isinstance(action, Send):
-                to_cold += action.address == address(1)
+                to_cold += action.address == server_address(1)
                 done = Outcome(number, 0, action.address, Result.OK, 1.0, True)
         balancer.handle(now + 1.0, done)
     claim = COLD_CLAIM * multiple * cold_from
