--- a/larkcrank/tiers/asking.py
+++ b/larkcrank/tiers/asking.py
@@ -1,89 +1,101 @@
-"""One address that a tier asks, and the connection to it that is kept between calls."""
+"""An HTTP client for one address that keeps its connection open between calls."""
 
 import asyncio
 from collections.abc import Iterable
 
 from larkcrank.protocol import http1
 
-CHUNK = 64 * 1024
+READ_BYTES = 64 * 1024
 
 
-class AskError(Exception):
-    """The call has failed; the message says why. `refused`: it was answered, by another status than 200."""
+class CallError(Exception):
+    """A call failed; the message says why. `refused`: it was answered with a status other than 200."""
 
     def __init__(self, reason: str, refused: bool = False) -> None:
         super().__init__(reason)
         self.refused = refused
 
 
-class Asker:
-    def __init__(self, place: tuple[str, int], connect_s: float, most: int) -> None:
-        """`most`: bytes of an answer's body."""
-        self._place, self._connect_s, self._most = place, connect_s, most
+class KeepAliveClient:
+    def __init__(self, address: tuple[str, int], connect_timeout_s: float, max_body_bytes: int) -> None:
+        self._address, self._connect_timeout_s, self._max_body_bytes = (
+            address,
+            connect_timeout_s,
+            max_body_bytes,
+        )
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        self.sent = self.received = 0  # bytes
+        self.bytes_sent = self.bytes_received = 0
 
-    async def ask(
-        self, target: bytes, timeout_s: float, lines: Iterable[bytes] = (), again: bool = True
+    async def fetch(
+        self,
+        target: bytes,
+        timeout_s: float,
+        header_lines: Iterable[bytes] = (),
+        retry_if_closed: bool = True,
     ) -> bytes:
-        """The body of an answer 200. Raises `AskError`.
+        """Return the body of a 200 response. Raises `CallError`.
 
-        `again`: a call that crosses the end of a kept connection is made once more, on a new one.
+        `retry_if_closed`: if the server closed the kept connection before the response began, send the call
+        once more on a new connection.
         """
-        host = b"Host: %s:%d" % (self._place[0].encode(), self._place[1])
-        request = http1.request_bytes(b"GET", target, (host, *lines))
+        host = b"Host: %s:%d" % (self._address[0].encode(), self._address[1])
+        request = http1.request_bytes(b"GET", target, (host, *header_lines))
         try:
             async with asyncio.timeout(timeout_s):
-                response = await self._call(request, again)
+                response = await self._call(request, retry_if_closed)
         except TimeoutError:
             self.close()
-            raise AskError("silent") from None
+            raise CallError("silent") from None
         except http1.MessageError as error:
             self.close()
-            big = f", over {self._most} bytes" if "too large" in str(error) else ""
-            raise AskError(f"malformed: {error}{big}") from None
+            limit = f", over {self._max_body_bytes} bytes" if "too large" in str(error) else ""
+            raise CallError(f"malformed: {error}{limit}") from None
         except OSError as error:
             self.close()
-            raise AskError(error.strerror or str(error) or type(error).__name__) from None
+            raise CallError(error.strerror or str(error) or type(error).__name__) from None
         except BaseException:
             self.close()
             raise
         if not response.keep_alive:
             self.close()
         if response.status != 200:
-            raise AskError(f"answered {response.status}", refused=True)
+            raise CallError(f"answered {response.status}", refused=True)
         return response.body
 
-    async def _call(self, request: bytes, again: bool) -> http1.Response:
+    async def _call(self, request: bytes, retry_if_closed: bool) -> http1.Response:
         if self._streams is not None:
             try:
-                return await self._exchange(request, kept=True)
-            except (_EndedError, ConnectionError) as error:
-                if not again:
+                return await self._exchange(request, reused=True)
+            except (_ClosedBeforeResponseError, ConnectionError) as error:
+                if not retry_if_closed:
                     raise OSError(str(error) or "ended") from None
-                self.close()  # the call crossed the end of a kept connection: once more on a new one
+                self.close()  # the server closed the kept connection: retry once on a new one
         try:
-            async with asyncio.timeout(self._connect_s):
-                self._streams = await asyncio.open_connection(*self._place)
+            async with asyncio.timeout(self._connect_timeout_s):
+                self._streams = await asyncio.open_connection(*self._address)
         except TimeoutError:
             raise OSError("not connected") from None
-        return await self._exchange(request, kept=False)
+        return await self._exchange(request, reused=False)
 
-    async def _exchange(self, request: bytes, kept: bool) -> http1.Response:
+    async def _exchange(self, request: bytes, reused: bool) -> http1.Response:
         assert self._streams is not None
         reader, writer = self._streams
         writer.write(request)
-        self.sent += len(request)
-        parser = http1.ResponseParser(max_body=self._most)
-        begun = False
+        self.bytes_sent += len(request)
+        parser = http1.ResponseParser(max_body=self._max_body_bytes)
+        response_begun = False
         while not parser.complete:
-            data = await reader.read(CHUNK)
+            data = await reader.read(READ_BYTES)
             if not data:
                 if parser.end():
                     break
-                raise OSError("ended in an answer") if begun or not kept else _EndedError
-            begun = True
-            self.received += len(data)
+                raise (
+                    OSError("ended in an answer")
+                    if response_begun or not reused
+                    else _ClosedBeforeResponseError
+                )
+            response_begun = True
+            self.bytes_received += len(data)
             parser.feed(data)
         return parser.response()
 
@@ -93,5 +105,5 @@
             self._streams = None
 
 
-class _EndedError(Exception):
-    """A kept connection had ended."""
+class _ClosedBeforeResponseError(Exception):
+    """The server closed a kept connection before any byte of the response."""
--- a/larkcrank/tiers/config.py
+++ b/larkcrank/tiers/config.py
@@ -1,4 +1,4 @@
-"""What a tier is told: one JSON file. Every fault is named by its key."""
+"""A tier's configuration: one JSON file. Every error message names the key at fault."""
 
 import math
 from dataclasses import dataclass
@@ -8,15 +8,17 @@
 
 from larkcrank.protocol.discovery import host_port
 
-Place = tuple[str, int]
-ANY = "*"
+HostPort = tuple[str, int]
+ALL_SERVICES = "*"
 
 
 class ConfigError(Exception):
-    """The configuration lacks something or holds what can't be. The message names the key."""
+    """The configuration lacks a key or has an invalid value. The message names the key."""
 
 
 class _Door(msgspec.Struct, forbid_unknown_fields=True):
+    """A listener for sidecars."""
+
     listen: str
     services: list[str]
 
@@ -28,45 +30,45 @@
 
 
 class Settings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Figures with their defaults. Times in milliseconds."""
+    """Limits and times with their defaults. Each field is a key of the configuration file."""
 
-    gather_ms: float = 100.0  # between two waves of changes at one door
-    wait_ms: int = 1000  # of own calls to sources and tiers above
-    slack_ms: float = 700.0  # a call not answered so long after its wait has failed
-    whole_ms: float = 3000.0  # a call for a whole list
+    gather_ms: float = 100.0  # between two batches of changes at one listener
+    wait_ms: int = 1000  # long-poll wait of calls to sources and parent tiers
+    slack_ms: float = 700.0  # a long poll fails this long after its wait has passed
+    whole_ms: float = 3000.0  # timeout of a call for a full list
     connect_ms: float = 500.0
-    fresh_ms: float = (
-        6000.0  # not heard for so long from one it depends on, a tier tells no newcomer its list
+    fresh_ms: float = 6000.0  # with a source or parent silent for longer, newcomers get no full list
+    deaf_ms: float = (
+        3000.0  # a parent silent for longer makes a tier stale; without sources it ends its watches
     )
-    deaf_ms: float = 3000.0  # a tier that only passes on and hears nobody for so long ends its watches
-    patience_ms: float = 30_000.0  # a source not heard for so long since the start is not waited for
-    wholes_per_s: float = 250.0  # whole answers at all doors
-    tier_wholes_per_s: float = 5.0  # whole answers for tiers
-    whole_wait_ms: float = 2000.0  # who would wait longer for its turn is refused
-    write_ms: float = 2000.0  # an answer not taken by then ends its connection
-    idle_ms: float = 10_000.0  # a connection without a call
-    longest_wait_ms: int = 60_000
+    patience_ms: float = 30_000.0  # a source silent for this long after the start is no longer waited for
+    wholes_per_s: float = 250.0  # full answers to sidecars, over all listeners
+    tier_wholes_per_s: float = 5.0  # full answers to tiers
+    whole_wait_ms: float = 2000.0  # a request that would wait longer for its full answer is refused
+    write_ms: float = 2000.0  # a connection whose peer has not read an answer by then is closed
+    idle_ms: float = 10_000.0  # a connection without a call for this long is closed
+    longest_wait_ms: int = 60_000  # maximum long-poll wait that a receiver may ask for
     connections: int = 5000
-    answer_bytes: int = 4 << 20  # the longest answer that is read
-    spread_ms: float = 500.0  # drawn up to this before a call elsewhere
-    back_min_ms: float = 20_000.0  # drawn between these: when the first place is tried again
+    answer_bytes: int = 4 << 20  # maximum size of an answer from a source or parent
+    spread_ms: float = 500.0  # upper bound of the random delay before a call to another address
+    back_min_ms: float = 20_000.0  # bounds of the random delay before the first address is tried again
     back_max_ms: float = 60_000.0
-    again_max_ms: float = 2000.0  # between calls that fail, at most
+    again_max_ms: float = 2000.0  # longest mean delay between calls that fail
     tombstones: int = 20_000
     tombstone_ms: float = 7_200_000.0
-    snapshot_ms: float = 10_000.0  # between two snapshots, where something has changed
-    snapshot_age_ms: float = 3_600_000.0  # an older snapshot is not taken up
-    left_ms: float = 600_000.0  # a sidecar cut off while it lacked something is counted so long as lacking it
-    held_ms: float = 3000.0  # told of a summary so long ago, it is none; who lags so long is logged
+    snapshot_ms: float = 10_000.0  # between two snapshots, if anything has changed
+    snapshot_age_ms: float = 3_600_000.0  # an older snapshot is not loaded
+    left_ms: float = 600_000.0  # how long a sidecar that was cut off while it lacked a change is reported
+    held_ms: float = 3000.0  # a child's summary expires after this; a sidecar that lags for longer is logged
 
 
 class _File(msgspec.Struct, forbid_unknown_fields=True):
     name: str
-    listen: str
-    own: str = ""
-    doors: list[_Door] = []
+    listen: str  # for child tiers
+    own: str = ""  # for the parent tier, which reads the records of this tier and those below it
+    doors: list[_Door] = []  # for sidecars
     sources: list[_Source] = []
-    above: list[str] = []
+    above: list[str] = []  # addresses of parent tiers
     ops: str = ""
     snapshot: str = ""
     services: list[str] = []
@@ -74,29 +76,29 @@
 
 
 @dataclass(slots=True, frozen=True)
-class DoorConfig:
-    listen: Place
+class SidecarListenerConfig:
+    listen: HostPort
     services: tuple[str, ...] | None  # None: all
 
 
 @dataclass(slots=True, frozen=True)
 class SourceConfig:
-    place: Place
-    service: str  # of lines that name none; empty: each names its own
+    address: HostPort
+    service: str  # of instances that name none; empty: each instance names its own
     may_be_empty: bool
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
     name: str
-    listen: Place
-    own: Place | None
-    doors: tuple[DoorConfig, ...]
+    child_listen: HostPort
+    parent_listen: HostPort | None
+    sidecar_listeners: tuple[SidecarListenerConfig, ...]
     sources: tuple[SourceConfig, ...]
-    above: tuple[Place, ...]
-    ops: Place | None
-    snapshot: Path | None
-    services: frozenset[str] | None  # those that there are; None: any
+    parents: tuple[HostPort, ...]  # alternatives; one is used at a time
+    ops_listen: HostPort | None
+    snapshot_path: Path | None
+    services: frozenset[str] | None  # all services that exist; None: any name is accepted
     settings: Settings
 
 
@@ -118,73 +120,87 @@
     if not 0 < len(file.name) <= 64:
         raise ConfigError(f"name: {len(file.name)} characters, not 1 to 64")
     if not file.sources and not file.above:
-        raise ConfigError("sources: none, and none in above: there is nothing to tell")
+        raise ConfigError("sources: both sources and above are empty; the tier needs at least one")
     if not file.above and not file.sources:
         raise ConfigError("above: empty")
     for key, value in msgspec.structs.asdict(file.settings).items():
         if not 0 < value < math.inf:
-            raise ConfigError(f"settings.{key}: {value} is not above 0")
+            raise ConfigError(f"settings.{key}: {value} is not a finite number above 0")
     if file.settings.back_max_ms < file.settings.back_min_ms:
-        raise ConfigError("settings.back_max_ms: under back_min_ms")
+        raise ConfigError("settings.back_max_ms: less than back_min_ms")
     if file.settings.longest_wait_ms > 60_000:
-        raise ConfigError("settings.longest_wait_ms: over 60000, the longest that discovery's protocol has")
-    doors = tuple(_door(f"doors[{i}]", door) for i, door in enumerate(file.doors))
+        raise ConfigError("settings.longest_wait_ms: over 60000, the maximum of the discovery protocol")
+    sidecar_listeners = tuple(
+        _sidecar_listener(f"doors[{i}]", listener) for i, listener in enumerate(file.doors)
+    )
     sources = tuple(
-        SourceConfig(_place(f"sources[{i}].discovery", one.discovery), one.service, one.may_be_empty)
-        for i, one in enumerate(file.sources)
+        SourceConfig(
+            _parse_address(f"sources[{i}].discovery", source.discovery), source.service, source.may_be_empty
+        )
+        for i, source in enumerate(file.sources)
     )
-    if len({one.place for one in sources}) < len(sources):
-        raise ConfigError("sources: an address stands twice")
-    above = tuple(_place(f"above[{i}]", one) for i, one in enumerate(file.above))
-    if len(set(above)) < len(above):
-        raise ConfigError("above: an address stands twice")
+    if len({source.address for source in sources}) < len(sources):
+        raise ConfigError("sources: duplicate address")
+    parents = tuple(_parse_address(f"above[{i}]", address) for i, address in enumerate(file.above))
+    if len(set(parents)) < len(parents):
+        raise ConfigError("above: duplicate address")
     config = Config(
         name=file.name,
-        listen=_place("listen", file.listen, 0),
-        own=_place("own", file.own, 0) if file.own else None,
-        doors=doors,
+        child_listen=_parse_address("listen", file.listen, 0),
+        parent_listen=_parse_address("own", file.own, 0) if file.own else None,
+        sidecar_listeners=sidecar_listeners,
         sources=sources,
-        above=above,
-        ops=_place("ops", file.ops, 0) if file.ops else None,
-        snapshot=Path(file.snapshot) if file.snapshot else None,
+        parents=parents,
+        ops_listen=_parse_address("ops", file.ops, 0) if file.ops else None,
+        snapshot_path=Path(file.snapshot) if file.snapshot else None,
         services=frozenset(file.services) or None,
         settings=file.settings,
     )
-    _check_places(config)
+    _check_consistency(config)
     return config
 
 
-def _check_places(config: Config) -> None:
-    named = [("listen", config.listen), ("own", config.own), ("ops", config.ops)]
-    named += [(f"doors[{i}].listen", door.listen) for i, door in enumerate(config.doors)]
-    seen: dict[Place, str] = {}
-    for key, place in named:
-        if place is not None and place[1]:
-            if place in seen:
-                raise ConfigError(f"{key}: the address of {seen[place]}")
-            seen[place] = key
-    for key, places in (("sources", [one.place for one in config.sources]), ("above", list(config.above))):
-        for i, place in enumerate(places):
-            if place in seen:
-                raise ConfigError(f"{key}[{i}]: this tier's own address, {seen[place]}")
+def _check_consistency(config: Config) -> None:
+    """Check that no address is used twice and that the listeners' services exist."""
+    listen_addresses = [
+        ("listen", config.child_listen),
+        ("own", config.parent_listen),
+        ("ops", config.ops_listen),
+    ]
+    listen_addresses += [
+        (f"doors[{i}].listen", listener.listen) for i, listener in enumerate(config.sidecar_listeners)
+    ]
+    key_by_address: dict[HostPort, str] = {}
+    for key, address in listen_addresses:
+        if address is not None and address[1]:
+            if address in key_by_address:
+                raise ConfigError(f"{key}: same address as {key_by_address[address]}")
+            key_by_address[address] = key
+    for key, addresses in (
+        ("sources", [source.address for source in config.sources]),
+        ("above", list(config.parents)),
+    ):
+        for i, address in enumerate(addresses):
+            if address in key_by_address:
+                raise ConfigError(f"{key}[{i}]: same address as this tier's own {key_by_address[address]}")
     if config.services is not None:
-        for i, door in enumerate(config.doors):
-            for j, service in enumerate(door.services or ()):
+        for i, listener in enumerate(config.sidecar_listeners):
+            for j, service in enumerate(listener.services or ()):
                 if service not in config.services:
                     raise ConfigError(f"doors[{i}].services[{j}]: {service!r} is not in services")
 
 
-def _door(key: str, door: _Door) -> DoorConfig:
-    if not door.services or "" in door.services:
+def _sidecar_listener(key: str, listener: _Door) -> SidecarListenerConfig:
+    if not listener.services or "" in listener.services:
         raise ConfigError(f"{key}.services: empty")
-    if ANY in door.services and len(door.services) > 1:
-        raise ConfigError(f"{key}.services: {ANY!r} beside others")
-    services = None if door.services == [ANY] else tuple(dict.fromkeys(door.services))
-    return DoorConfig(_place(f"{key}.listen", door.listen, 0), services)
+    if ALL_SERVICES in listener.services and len(listener.services) > 1:
+        raise ConfigError(f"{key}.services: {ALL_SERVICES!r} cannot be combined with other services")
+    services = None if listener.services == [ALL_SERVICES] else tuple(dict.fromkeys(listener.services))
+    return SidecarListenerConfig(_parse_address(f"{key}.listen", listener.listen, 0), services)
 
 
-def _place(key: str, text: str, lowest: int = 1) -> Place:
+def _parse_address(key: str, text: str, min_port: int = 1) -> HostPort:
     try:
-        return host_port(text, lowest)
+        return host_port(text, min_port)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -1,4 +1,4 @@
-"""What a tier hears: its discoveries, tiers below by their `own` doors, and one of the tiers above."""
+"""The inputs of a tier: its discovery services, the tiers below it, and one of the tiers above it."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -8,235 +8,266 @@
 from larkcrank.protocol.discovery import LIST_TARGET, watch_target
 from larkcrank.routing.places import Places
 from larkcrank.tiers import wire
-from larkcrank.tiers.asking import Asker, AskError
+from larkcrank.tiers.asking import CallError, KeepAliveClient
 from larkcrank.tiers.config import Settings
-from larkcrank.tiers.state import COUNTER_BITS
+from larkcrank.tiers.state import SEQUENCE_BITS
 
-Place = tuple[str, int]
-Answer: TypeAlias = wire.FromDiscovery | wire.FromTier
+HostPort = tuple[str, int]
+Answer: TypeAlias = wire.DiscoveryAnswer | wire.TierAnswer
 
 
 class Feed:
-    """Asks one service, at one of its places at a time, and hands each answer on.
+    """Watches the list of one service at one of its addresses at a time, and passes each answer on.
 
-    A call that fails changes nothing of what is held; after it the next place is asked, or the same again.
+    A failed call changes no records; the next call goes to the next address, or to the same one again.
     """
 
     def __init__(
         self,
         name: str,
-        places: Sequence[Place],
-        read: Callable[[bytes], Answer],
-        take: Callable[["Feed", Place, Answer], None],
-        lines: Callable[["Feed", Place | None], Sequence[bytes]],
+        addresses: Sequence[HostPort],
+        decode: Callable[[bytes], Answer],
+        on_answer: Callable[["Feed", HostPort, Answer], None],
+        request_headers: Callable[["Feed", HostPort | None], Sequence[bytes]],
         settings: Settings,
         rng: Random,
-        event: Callable[..., None],
+        log_event: Callable[..., None],
     ) -> None:
-        """`read` raises `AnswerError`, as `take` does for an answer that must not be taken in; `lines`:
-        header lines of a call at this place, None for one beside the watch."""
+        """`decode` raises `AnswerError`, as does `on_answer` for an answer that must not be applied.
+
+        `request_headers` returns the header lines of a call to this address; with None, of a check.
+        """
         self.name = name
-        self._read, self._take, self._lines, self._event = read, take, lines, event
+        self._decode, self._on_answer, self._request_headers, self._log_event = (
+            decode,
+            on_answer,
+            request_headers,
+            log_event,
+        )
         self._settings = settings
-        self.places = Places(
-            places,
+        self.addresses = Places(
+            addresses,
             rng,
             settings.spread_ms / 1000.0,
             (settings.back_min_ms / 1000.0, settings.back_max_ms / 1000.0),
             settings.again_max_ms / 1000.0,
         )
-        self._askers = {
-            place: Asker(place, settings.connect_ms / 1000.0, settings.answer_bytes) for place in places
+        self._clients = {
+            address: KeepAliveClient(address, settings.connect_ms / 1000.0, settings.answer_bytes)
+            for address in addresses
         }
-        self._after: dict[Place, int] = {}  # each place counts by itself
-        self._only = len(places) == 1
-        self._trouble: dict[Place, str] = {}
+        self._last_generation: dict[HostPort, int] = {}  # each address has its own generations
+        self._has_one_address = len(addresses) == 1
+        self._last_error: dict[HostPort, str] = {}
         self._rng = rng
-        self._place_stale: dict[Place, bool] = {}  # of those that have answered
-        self._restless_at: float | None = None  # while the current place is stale: when to look elsewhere
-        self._turn = 0
+        self._stale_by_address: dict[HostPort, bool] = {}  # as told in the last answer of each address
+        self._probe_at: float | None = (
+            None  # when to probe another address; set while the current one is stale
+        )
+        self._probe_count = 0
         self._probe: asyncio.Task[None] | None = None
-        self._probed: Place | None = None  # where it asks
+        self._probed_address: HostPort | None = None
         self._check: asyncio.Task[None] | None = None
-        self._beside: tuple[Place, Asker] | None = None  # for calls while the watch waits
-        self._bytes = (0, 0)  # out and in, of those that were closed
-        self._last: Place | None = None  # that answered
-        self.is_tier: bool | None = None  # None: it has not answered yet
-        self.heard_at: float | None = None  # when it last told everything it had
-        self.answered_at: float | None = None  # when it last told anything
-        self.excused = False  # not waited for at the start
-        self.may_be_empty = False  # a whole answer without a living line is believed
-        self.calls = self.failures = self.wholes = 0
-
-    def heard(self, all_it_had: bool = True) -> None:
+        self._check_client: tuple[HostPort, KeepAliveClient] | None = None
+        self._closed_client_bytes = (0, 0)  # sent and received by check clients that were closed
+        self._last_answered: HostPort | None = None
+        self.is_tier: bool | None = None  # None: no answer yet
+        self.complete_answer_at: float | None = None  # the last answer that was not provisional
+        self.answered_at: float | None = None  # the last answer of any kind
+        self.is_excused = False  # the tier completes its start without this feed
+        self.may_be_empty = False  # a full answer without a live record is accepted
+        self.calls = self.failures = self.full_requests = 0
+
+    def record_answer(self, complete: bool = True) -> None:
         self.answered_at = asyncio.get_running_loop().time()
-        if all_it_had:
-            self.heard_at = self.answered_at
+        if complete:
+            self.complete_answer_at = self.answered_at
 
     @property
-    def bytes(self) -> tuple[int, int]:
-        """Sent and received."""
-        askers = [*self._askers.values(), *([self._beside[1]] if self._beside is not None else [])]
-        sent = self._bytes[0] + sum(asker.sent for asker in askers)
-        return sent, self._bytes[1] + sum(asker.received for asker in askers)
+    def byte_counts(self) -> tuple[int, int]:
+        """Bytes sent and received."""
+        clients = [
+            *self._clients.values(),
+            *([self._check_client[1]] if self._check_client is not None else []),
+        ]
+        sent = self._closed_client_bytes[0] + sum(client.bytes_sent for client in clients)
+        return sent, self._closed_client_bytes[1] + sum(client.bytes_received for client in clients)
 
     @property
-    def place(self) -> str:
-        return "{}:{}".format(*self.places.current)
+    def current_address(self) -> str:
+        return "{}:{}".format(*self.addresses.current)
 
     @property
-    def stale(self) -> bool:
-        """The current place hears nothing from above itself."""
-        return self._place_stale.get(self.places.current, False)
+    def is_stale(self) -> bool:
+        """Whether the tier at the current address reports that its own data is stale."""
+        return self._stale_by_address.get(self.addresses.current, False)
 
     @property
     def generation(self) -> int | None:
-        """Of the current place, as last told."""
-        return self._after.get(self.places.current)
+        """The last generation received from the current address."""
+        return self._last_generation.get(self.addresses.current)
 
     @property
-    def trouble(self) -> str:
-        """Why the last call at the current place failed; empty: it did not."""
-        return self._trouble.get(self.places.current, "")
+    def current_error(self) -> str:
+        """Why the last call to the current address failed; empty if it did not."""
+        return self._last_error.get(self.addresses.current, "")
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
         try:
             while True:
-                better = self._better(loop.time())
-                if self._probe is None and better is not None:
-                    self._probe = loop.create_task(self._look(better))
-                    self._probed = better
-                place = self.places.current
-                if self._probe is not None and self._probed == place:
-                    # One connection a place: the look makes way for the watch that has come there.
+                probe_address = self._address_to_probe(loop.time())
+                if self._probe is None and probe_address is not None:
+                    self._probe = loop.create_task(self._probe_once(probe_address))
+                    self._probed_address = probe_address
+                address = self.addresses.current
+                if self._probe is not None and self._probed_address == address:
+                    # Each address has one connection: the watch takes over from the probe.
                     self._probe.cancel()
                     await asyncio.gather(self._probe, return_exceptions=True)
                     self._probe = None
-                good = await self._ask(place)
-                if place != self.places.current:
-                    continue  # back at home meanwhile
-                if good:
-                    self.places.answered()
-                    if self._last not in (None, place):
-                        self._event("tier_moved", feed=self.name, place="{}:{}".format(*place))
-                    self._last = place
+                succeeded = await self._call(address)
+                if address != self.addresses.current:
+                    continue  # a probe has moved the feed meanwhile
+                if succeeded:
+                    self.addresses.answered()
+                    if self._last_answered not in (None, address):
+                        self._log_event("tier_moved", feed=self.name, place="{}:{}".format(*address))
+                    self._last_answered = address
                 else:
-                    await asyncio.sleep(self.places.failed(loop.time()))
+                    await asyncio.sleep(self.addresses.failed(loop.time()))
         finally:
             for task in (self._probe, self._check):
                 if task is not None:
                     task.cancel()
-            for asker in (*self._askers.values(), *([self._beside[1]] if self._beside is not None else ())):
-                asker.close()
-
-    def _better(self, now: float) -> Place | None:
-        """Where to look, beside the watch: home after a while; elsewhere where the current is stale."""
-        if self.places.look_home(now):
-            return self.places.home
-        if not self.stale or self._only:
-            self._restless_at = None
+            for client in (
+                *self._clients.values(),
+                *([self._check_client[1]] if self._check_client is not None else ()),
+            ):
+                client.close()
+
+    def _address_to_probe(self, now: float) -> HostPort | None:
+        """The address to probe while the watch goes on.
+
+        That is the first one after a while away from it, or another one while the current one is stale.
+        """
+        if self.addresses.look_home(now):
+            return self.addresses.home
+        if not self.is_stale or self._has_one_address:
+            self._probe_at = None
             return None
-        if self._restless_at is None:
-            self._restless_at = now + self._rng.uniform(0.0, self._settings.spread_ms / 1000.0)
-        if now < self._restless_at:
+        if self._probe_at is None:
+            self._probe_at = now + self._rng.uniform(0.0, self._settings.spread_ms / 1000.0)
+        if now < self._probe_at:
             return None
-        others = self.places.others()
-        place = self.places.home if self.places.away else others[self._turn % len(others)]
-        self._turn += 1
-        # Who was heard before tells but what is new; of another it would be the whole list each time.
-        span = (
+        others = self.addresses.others()
+        address = self.addresses.home if self.addresses.away else others[self._probe_count % len(others)]
+        self._probe_count += 1
+        # An address with a known generation answers with a delta, any other with the full list each time.
+        interval_ms = (
             (1000.0, 3000.0)
-            if place in self._after
+            if address in self._last_generation
             else (self._settings.back_min_ms, self._settings.back_max_ms)
         )
-        self._restless_at = now + self._rng.uniform(*span) / 1000.0
-        return place
+        self._probe_at = now + self._rng.uniform(*interval_ms) / 1000.0
+        return address
 
-    async def _look(self, place: Place) -> None:
-        """Ask there beside the watch at the current place, and go there if it is the better one."""
+    async def _probe_once(self, address: HostPort) -> None:
+        """Call this address while the watch goes on, and move the feed there if it is the better one."""
         now = asyncio.get_running_loop().time()
-        stale = self.stale
-        good = await self._ask(place, wait_ms=1)  # what the watch elsewhere still tells is taken in as well
-        if good and (not self._place_stale.get(place) or (place == self.places.home and not stale)):
-            self.places.go(place, now)
-        elif place == self.places.home:
-            self.places.looked(now, False)
+        was_stale = self.is_stale
+        succeeded = await self._call(address, wait_ms=1)  # the watch's answers are still applied meanwhile
+        if succeeded and (
+            not self._stale_by_address.get(address) or (address == self.addresses.home and not was_stale)
+        ):
+            self.addresses.go(address, now)
+        elif address == self.addresses.home:
+            self.addresses.looked(now, False)
         self._probe = None
 
     def check(self) -> None:
-        """Ask at the current place what it has to tell by now, beside the watch; one such call at a time.
+        """Fetch the pending changes of the current address while the watch goes on; one check at a time.
 
-        A tier alone: its answers may come in any order. The next answer of a discovery comes soon enough.
+        Only for a tier, whose answers may be applied in any order. A discovery answers its watch soon enough.
         """
         if self.is_tier and (self._check is None or self._check.done()):
             self._check = asyncio.get_running_loop().create_task(self._check_once())
 
     async def _check_once(self) -> None:
-        place = self.places.current
-        after = self._after.get(place)
+        address = self.addresses.current
+        after = self._last_generation.get(address)
         if after is None:
             return
-        if self._beside is None or self._beside[0] != place:
-            if self._beside is not None:
-                gone = self._beside[1]
-                self._bytes = (self._bytes[0] + gone.sent, self._bytes[1] + gone.received)
-                gone.close()
-                self._beside = None
-            asker = Asker(place, self._settings.connect_ms / 1000.0, self._settings.answer_bytes)
-            self._beside = (place, asker)
+        if self._check_client is None or self._check_client[0] != address:
+            if self._check_client is not None:
+                old_client = self._check_client[1]
+                self._closed_client_bytes = (
+                    self._closed_client_bytes[0] + old_client.bytes_sent,
+                    self._closed_client_bytes[1] + old_client.bytes_received,
+                )
+                old_client.close()
+                self._check_client = None
+            client = KeepAliveClient(address, self._settings.connect_ms / 1000.0, self._settings.answer_bytes)
+            self._check_client = (address, client)
         self.calls += 1
         try:
             timeout_s = self._settings.slack_ms / 1000.0
             target = watch_target(after, 1)
-            answer = self._read(await self._beside[1].ask(target, timeout_s, self._lines(self, None)))
-            self._answered(answer, after)
-            self._take(self, place, answer)
-        except (AskError, wire.AnswerError):
-            self.failures += 1  # the watch goes on, and says more if this was no chance
-
-    async def _ask(self, place: Place, wait_ms: int | None = None) -> bool:
-        after, settings = self._after.get(place), self._settings
+            answer = self._decode(
+                await self._check_client[1].fetch(target, timeout_s, self._request_headers(self, None))
+            )
+            self._validate(answer, after)
+            self._on_answer(self, address, answer)
+        except (CallError, wire.AnswerError):
+            self.failures += 1  # the watch goes on and reports the error if it persists
+
+    async def _call(self, address: HostPort, wait_ms: int | None = None) -> bool:
+        """Make one call and pass its answer on. Returns whether the feed may stay at this address."""
+        after, settings = self._last_generation.get(address), self._settings
         target, timeout_ms = LIST_TARGET, settings.whole_ms
         if after is not None:
             wait_ms = wait_ms or settings.wait_ms
             target, timeout_ms = watch_target(after, wait_ms), wait_ms + settings.slack_ms
         self.calls += 1
-        self.wholes += after is None
+        self.full_requests += after is None
         try:
-            lines = self._lines(self, place)
-            body = await self._askers[place].ask(target, timeout_ms / 1000.0, lines, bool(self.is_tier))
-            answer = self._read(body)
-            self._answered(answer, after)
-            self._take(self, place, answer)
-        except (AskError, wire.AnswerError) as error:
+            header_lines = self._request_headers(self, address)
+            body = await self._clients[address].fetch(
+                target, timeout_ms / 1000.0, header_lines, bool(self.is_tier)
+            )
+            answer = self._decode(body)
+            self._validate(answer, after)
+            self._on_answer(self, address, answer)
+        except (CallError, wire.AnswerError) as error:
             self.failures += 1
-            # The whole is asked for next where changes may be unable to be told, and of a discovery after any
-            # failure: it may count anew, and come to the same generation with another list.
+            # Ask for the full list next if a delta may not be possible. After any failure of a discovery it
+            # may not be: the service may have restarted its generations, and reach the same generation with
+            # another list.
             if isinstance(error, wire.AnswerError) or error.refused or not self.is_tier:
-                self._after.pop(place, None)
-            self._failed(place, str(error))
+                self._last_generation.pop(address, None)
+            self._record_error(address, str(error))
             return False
-        self._after[place] = answer.generation
-        self._place_stale[place] = isinstance(answer, wire.FromTier) and answer.stale
-        if self._trouble.pop(place, None) is not None:
-            self._event("tier_call_good", feed=self.name, place="{}:{}".format(*place))
-        return not (isinstance(answer, wire.FromTier) and answer.provisional) or self._only
-
-    def _answered(self, answer: Answer, after: int | None) -> None:
-        is_tier = isinstance(answer, wire.FromTier)
+        self._last_generation[address] = answer.generation
+        self._stale_by_address[address] = isinstance(answer, wire.TierAnswer) and answer.stale
+        if self._last_error.pop(address, None) is not None:
+            self._log_event("tier_call_good", feed=self.name, place="{}:{}".format(*address))
+        return not (isinstance(answer, wire.TierAnswer) and answer.provisional) or self._has_one_address
+
+    def _validate(self, answer: Answer, after: int | None) -> None:
+        """Raises `AnswerError` if the answer does not follow from generation `after`."""
+        is_tier = isinstance(answer, wire.TierAnswer)
         if self.is_tier is None:
             self.is_tier = is_tier
         elif self.is_tier is not is_tier:
             raise wire.AnswerError("foreign: " + ("a tier's" if is_tier else "no tier's") + " answer")
         if after is None:
-            answer.whole = True
-        elif not answer.whole:
-            shift = COUNTER_BITS if is_tier else 63
+            answer.full = True
+        elif not answer.full:
+            shift = SEQUENCE_BITS if is_tier else 63
             if answer.generation < after or answer.generation >> shift != after >> shift:
                 raise wire.AnswerError(f"foreign: generation {answer.generation} after {after}")
 
-    def _failed(self, place: Place, reason: str) -> None:
-        if self._trouble.get(place) != reason:
-            self._trouble[place] = reason
-            self._event("tier_call_failed", feed=self.name, place="{}:{}".format(*place), reason=reason)
+    def _record_error(self, address: HostPort, reason: str) -> None:
+        if self._last_error.get(address) != reason:
+            self._last_error[address] = reason
+            self._log_event("tier_call_failed", feed=self.name, place="{}:{}".format(*address), reason=reason)
--- a/larkcrank/tiers/gather.py
+++ b/larkcrank/tiers/gather.py
@@ -1,39 +1,39 @@
-"""When a tier tells what it has to tell: waves of changes, and turns for whole answers. Pure; seconds."""
+"""Batches changes and limits the rate of full answers. No I/O; times in seconds."""
 
 
-class Gather:
-    """A lone change goes at once; after a wave the next one goes `gather_s` later at the earliest."""
+class ChangeBatcher:
+    """A lone change is sent at once; the next batch is sent at least `interval_s` after the one before."""
 
-    __slots__ = ("_gather_s", "_last", "due")
+    __slots__ = ("_interval_s", "_last_sent_at", "due_at")
 
-    def __init__(self, gather_s: float) -> None:
-        self._gather_s = gather_s
-        self._last = float("-inf")
-        self.due: float | None = None  # when the next wave goes; None: there is nothing to tell
+    def __init__(self, interval_s: float) -> None:
+        self._interval_s = interval_s
+        self._last_sent_at = float("-inf")
+        self.due_at: float | None = None  # when the next batch is sent; None: nothing is pending
 
-    def changed(self, now: float) -> float:
-        """Something is to be told; returns when."""
-        if self.due is None:
-            self.due = max(now, self._last + self._gather_s)
-        return self.due
+    def schedule(self, now: float) -> float:
+        """Record that there is a change to send; returns when."""
+        if self.due_at is None:
+            self.due_at = max(now, self._last_sent_at + self._interval_s)
+        return self.due_at
 
-    def went(self, now: float) -> None:
-        """The wave has gone."""
-        self._last, self.due = now, None
+    def sent(self, now: float) -> None:
+        """Record that the batch was sent."""
+        self._last_sent_at, self.due_at = now, None
 
 
-class Turns:
-    """Whole answers at `rate` a second, one after the other; who would wait over `wait_s` is refused."""
+class FullAnswerLimiter:
+    """Spaces full answers evenly at `rate_per_s`; one that would wait longer than `max_wait_s` is refused."""
 
-    def __init__(self, rate: float, wait_s: float) -> None:
-        self._step_s = 1.0 / rate
-        self._wait_s = wait_s
-        self._next = float("-inf")
+    def __init__(self, rate_per_s: float, max_wait_s: float) -> None:
+        self._interval_s = 1.0 / rate_per_s
+        self._max_wait_s = max_wait_s
+        self._next_at = float("-inf")
 
-    def ask(self, now: float) -> float | None:
-        """When the answer may be given, from `now` on; None: not within the wait."""
-        at = max(self._next, now)
-        if at - now > self._wait_s:
+    def reserve(self, now: float) -> float | None:
+        """When the answer may be sent, at `now` or later; None: not within the maximum wait."""
+        at = max(self._next_at, now)
+        if at - now > self._max_wait_s:
             return None
-        self._next = at + self._step_s
+        self._next_at = at + self._interval_s
         return at
--- a/larkcrank/tiers/held.py
+++ b/larkcrank/tiers/held.py
@@ -1,8 +1,8 @@
-"""What is in force: who holds which generation, summed up the tiers. Pure; times in seconds.
+"""Tracks which generation each sidecar holds and sums this up from tier to tier. No I/O; times in seconds.
 
-A call with `after` acknowledges that generation. Each tier counts its sidecars by its own count of
-generations, and tells the tier above a summary in that one's generations: who holds everything of mine
-up to the count at which I had merged yours, holds yours.
+A call with `after` acknowledges that generation. Each tier counts its sidecars by its own sequence numbers
+and sends its parent a summary in the parent's generations: a sidecar that holds everything of this tier up to
+the sequence number at which a parent generation was merged holds that parent generation.
 """
 
 from collections import deque
@@ -11,34 +11,35 @@
 
 import msgspec
 
-MOST_STEPS = 16  # of a histogram; what is lower is counted with the lowest
-MOST_LATE = 20
-MOST_BELOW = 256  # tiers whose summaries are kept
-MOST_MARKS = 512
-FORGET_S = 3600.0  # a tier that has told nothing for so long is no longer missed
-_MARK_S = 0.25  # changes closer together are one mark
-AGAIN_S = 30.0  # between two events on the same lag
+MAX_SUMMARY_BUCKETS = 16  # lower generations are counted with the lowest bucket
+MAX_LAGGARDS = 20
+MAX_CHILD_SUMMARIES = 256
+MAX_CHANGES = 512  # changes whose times or generations are remembered
+FORGET_CHILD_S = 3600.0  # a child tier without a summary for this long is no longer reported as silent
+_COALESCE_S = 0.25  # changes closer together than this count as one
+LAG_REPEAT_S = 30.0  # between two log events about the same lag
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 Name = Annotated[str, msgspec.Meta(max_length=128)]
 
 
-class Late(msgspec.Struct, array_like=True, frozen=True):
-    """A sidecar that lacks something: at which tier and door, from where, what it holds and for how long."""
+class Laggard(msgspec.Struct, array_like=True, frozen=True):
+    """A sidecar that lacks a change. The field names appear in log events and operators' answers."""
 
     tier: Name
-    door: Name
-    peer: Name
-    generation: Count  # 0: nothing is known of what it holds
-    since_s: float
+    door: Name  # the listener that the sidecar is connected to
+    peer: Name  # the sidecar's address
+    generation: Count  # that it holds; 0: unknown
+    since_s: float  # how long it has lacked a change
 
 
 class Summary(msgspec.Struct, array_like=True, frozen=True):
-    """Of the sidecars below one tier: how many hold at least each generation's text, of the tier above."""
+    """How many sidecars below one tier hold which generation of its parent."""
 
     tier: Name
-    held: Annotated[list[tuple[Count, Count]], msgspec.Meta(max_length=MOST_STEPS)]
-    late: Annotated[list[Late], msgspec.Meta(max_length=MOST_LATE)]
+    # Pairs of a generation and the number of sidecars that hold it and no later one.
+    holders: Annotated[list[tuple[Count, Count]], msgspec.Meta(max_length=MAX_SUMMARY_BUCKETS)]
+    laggards: Annotated[list[Laggard], msgspec.Meta(max_length=MAX_LAGGARDS)]
 
 
 _encoder = msgspec.json.Encoder()
@@ -50,168 +51,175 @@
 
 
 def decode(text: bytes) -> Summary | None:
-    """None where it is none."""
+    """None if the text is not a valid summary."""
     try:
         return _decoder.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
 
 
-class Steps:
-    """At which own count which generation of the tier above had been merged."""
+class ParentGenerations:
+    """Which generation of the parent had been merged at which sequence number of this tier."""
 
     def __init__(self) -> None:
-        self._steps: deque[tuple[int, int]] = deque(maxlen=MOST_MARKS)
+        self._merged: deque[tuple[int, int]] = deque(maxlen=MAX_CHANGES)  # sequence number, generation
 
-    def heard(self, count: int, generation: int) -> None:
-        if self._steps and self._steps[-1][0] >= count:
-            self._steps.pop()  # whoever holds the count holds the later generation too
-        self._steps.append((count, generation))
+    def record(self, sequence: int, generation: int) -> None:
+        if self._merged and self._merged[-1][0] >= sequence:
+            self._merged.pop()  # a holder of this sequence number also holds the later generation
+        self._merged.append((sequence, generation))
 
     def clear(self) -> None:
-        self._steps.clear()
+        self._merged.clear()
 
-    def at(self, count: int) -> int:
-        """The generation of above that is held with this own count; 0: none that is remembered."""
-        for own, generation in reversed(self._steps):
-            if own <= count:
+    def at(self, sequence: int) -> int:
+        """The parent generation that a holder of `sequence` holds; 0: none is remembered."""
+        for merged_at, generation in reversed(self._merged):
+            if merged_at <= sequence:
                 return generation
         return 0
 
 
-class Marks:
-    """When the last changes came, to say since when one is missing."""
+class ChangeTimes:
+    """When the latest changes came, to tell since when a sidecar lacks one."""
 
     def __init__(self) -> None:
-        self._marks: deque[tuple[int, float]] = deque(maxlen=MOST_MARKS)
+        self._changes: deque[tuple[int, float]] = deque(maxlen=MAX_CHANGES)  # sequence number, time
 
-    def changed(self, count: int, now: float) -> None:
-        if self._marks and now - self._marks[-1][1] < _MARK_S:
-            count, now = count, self._marks.pop()[1]
-        self._marks.append((count, now))
+    def record(self, sequence: int, now: float) -> None:
+        if self._changes and now - self._changes[-1][1] < _COALESCE_S:
+            sequence, now = sequence, self._changes.pop()[1]
+        self._changes.append((sequence, now))
 
     def clear(self) -> None:
-        self._marks.clear()
+        self._changes.clear()
 
-    def after(self, count: int) -> float | None:
-        """When the first change came that this count lacks; None: there is none."""
+    def first_after(self, sequence: int) -> float | None:
+        """The time of the first change after `sequence`; None: there is none."""
         found = None
-        for mark, at in reversed(self._marks):
-            if mark <= count:
+        for changed_seq, at in reversed(self._changes):
+            if changed_seq <= sequence:
                 break
             found = at
         return found
 
 
-class Below:
-    """The last summary of each tier below, for as long as it counts."""
+class ChildSummaries:
+    """The latest summary of each child tier, valid for `valid_s`."""
 
-    def __init__(self, keep_s: float) -> None:
-        self._keep_s = keep_s
-        self._told: dict[str, tuple[Summary, float]] = {}
+    def __init__(self, valid_s: float) -> None:
+        self._valid_s = valid_s
+        self._received: dict[str, tuple[Summary, float]] = {}  # by tier, with the time; the oldest first
 
-    def told(self, summary: Summary, now: float) -> None:
-        self._told.pop(summary.tier, None)
-        if len(self._told) >= MOST_BELOW:
-            del self._told[next(iter(self._told))]
-        self._told[summary.tier] = (summary, now)
+    def add(self, summary: Summary, now: float) -> None:
+        self._received.pop(summary.tier, None)
+        if len(self._received) >= MAX_CHILD_SUMMARIES:
+            del self._received[next(iter(self._received))]
+        self._received[summary.tier] = (summary, now)
 
-    def now(self, now: float) -> list[Summary]:
-        """Those that count."""
-        return [summary for summary, at in self._told.values() if now - at <= self._keep_s]
+    def valid(self, now: float) -> list[Summary]:
+        return [summary for summary, at in self._received.values() if now - at <= self._valid_s]
 
     def silent(self, now: float) -> dict[str, float]:
-        """Tiers that told a summary within the last hour and no longer do: for how long."""
-        for tier in [tier for tier, (_, at) in self._told.items() if now - at > FORGET_S]:
-            del self._told[tier]
-        return {tier: now - at for tier, (_, at) in self._told.items() if now - at > self._keep_s}
+        """Child tiers whose summary has expired within the last hour, with the seconds since it came."""
+        for tier in [tier for tier, (_, at) in self._received.items() if now - at > FORGET_CHILD_S]:
+            del self._received[tier]
+        return {tier: now - at for tier, (_, at) in self._received.items() if now - at > self._valid_s}
 
 
-class Standing:
-    """All sidecars below one tier by its own count: how many hold what, and who is late."""
+class SidecarProgress:
+    """How far all sidecars below one tier have come, in this tier's sequence numbers."""
 
     def __init__(self) -> None:
-        self.counts: dict[int, int] = {}  # own count held (-1: nothing known): how many
-        self.late: list[tuple[int, Late]] = []
+        self.counts: dict[int, int] = {}  # sidecars by the sequence number that they hold; -1: unknown
+        self.laggards: list[tuple[int, Laggard]] = []  # with the sequence number that they hold
 
-    def add(self, count: int, number: int = 1) -> None:
-        self.counts[count] = self.counts.get(count, 0) + number
+    def add(self, sequence: int, count: int = 1) -> None:
+        self.counts[sequence] = self.counts.get(sequence, 0) + count
 
     @property
     def total(self) -> int:
         return sum(self.counts.values())
 
     @property
-    def least(self) -> int | None:
-        """What all hold; None where there is nobody."""
-        return min((count for count, number in self.counts.items() if number), default=None)
-
-    def holding(self, count: int) -> int:
-        return sum(number for held, number in self.counts.items() if held >= count)
-
-    def latest(self, most: int = MOST_LATE, count: int | None = None) -> list[tuple[int, Late]]:
-        """Those that lack something for longest, of those that lack this count where one is given."""
-        late = [(held, one) for held, one in self.late if count is None or held < count]
-        return sorted(late, key=lambda pair: -pair[1].since_s)[:most]
-
-
-def summary(tier: str, standing: Standing, steps: Steps) -> Summary:
-    """For the tier above, in its generations."""
-    held: dict[int, int] = {}
-    for count, number in standing.counts.items():
-        generation = steps.at(count)
-        held[generation] = held.get(generation, 0) + number
-    late = [
-        msgspec.structs.replace(one, generation=steps.at(count)) for count, one in standing.latest(MOST_LATE)
+    def lowest(self) -> int | None:
+        """The sequence number that all sidecars hold; None: there are no sidecars."""
+        return min((sequence for sequence, count in self.counts.items() if count), default=None)
+
+    def holding(self, sequence: int) -> int:
+        """The number of sidecars that hold `sequence`."""
+        return sum(count for held, count in self.counts.items() if held >= sequence)
+
+    def longest_lagging(
+        self, limit: int = MAX_LAGGARDS, sequence: int | None = None
+    ) -> list[tuple[int, Laggard]]:
+        """The sidecars that have lacked a change for longest; with `sequence` only those that lack it."""
+        laggards = [(held, laggard) for held, laggard in self.laggards if sequence is None or held < sequence]
+        return sorted(laggards, key=lambda pair: -pair[1].since_s)[:limit]
+
+
+def summarize(tier: str, progress: SidecarProgress, parent_generations: ParentGenerations) -> Summary:
+    """The summary for the parent, in the parent's generations."""
+    holders: dict[int, int] = {}
+    for sequence, count in progress.counts.items():
+        generation = parent_generations.at(sequence)
+        holders[generation] = holders.get(generation, 0) + count
+    laggards = [
+        msgspec.structs.replace(laggard, generation=parent_generations.at(sequence))
+        for sequence, laggard in progress.longest_lagging(MAX_LAGGARDS)
     ]
-    return Summary(tier, _steps(held.items()), late)
+    return Summary(tier, _limit_buckets(holders.items()), laggards)
 
 
-def _steps(held: Iterable[tuple[int, int]]) -> list[tuple[int, int]]:
-    """The highest steps, and the rest as one that holds as little as the least of them."""
-    rising: Sequence[tuple[int, int]] = sorted(held)
-    extra = len(rising) - MOST_STEPS
-    if extra <= 0:
-        return list(rising)
-    lowest = (rising[0][0], sum(number for _, number in rising[: extra + 1]))
-    return [lowest, *rising[extra + 1 :]]
+def _limit_buckets(holders: Iterable[tuple[int, int]]) -> list[tuple[int, int]]:
+    """The highest buckets, and one for all lower ones, with the lowest of their generations."""
+    ascending: Sequence[tuple[int, int]] = sorted(holders)
+    excess = len(ascending) - MAX_SUMMARY_BUCKETS
+    if excess <= 0:
+        return list(ascending)
+    lowest = (ascending[0][0], sum(count for _, count in ascending[: excess + 1]))
+    return [lowest, *ascending[excess + 1 :]]
 
 
-class Watch:
-    """Says when all hold what was changed, and when some have lacked it for too long."""
+class PropagationMonitor:
+    """Reports when all sidecars hold a change, and when some have lacked one for longer than `max_lag_s`."""
 
-    def __init__(self, late_s: float) -> None:
-        self._late_s = late_s
-        self._open: deque[tuple[int, float]] = deque(maxlen=MOST_MARKS)  # changes that not all hold yet
-        self._said: float | None = None
+    def __init__(self, max_lag_s: float) -> None:
+        self._max_lag_s = max_lag_s
+        # Changes that not all sidecars hold yet: sequence number and time.
+        self._pending: deque[tuple[int, float]] = deque(maxlen=MAX_CHANGES)
+        self._lag_reported_at: float | None = None
 
-    def changed(self, count: int, now: float) -> None:
-        if self._open and now - self._open[-1][1] < _MARK_S:
-            now = self._open.pop()[1]
-        self._open.append((count, now))
+    def record(self, sequence: int, now: float) -> None:
+        if self._pending and now - self._pending[-1][1] < _COALESCE_S:
+            now = self._pending.pop()[1]
+        self._pending.append((sequence, now))
 
     def clear(self) -> None:
-        self._open.clear()
-        self._said = None
+        self._pending.clear()
+        self._lag_reported_at = None
 
     @property
-    def is_open(self) -> bool:
-        return bool(self._open)
+    def has_pending(self) -> bool:
+        return bool(self._pending)
 
-    def look(self, least: int | None, now: float) -> tuple[str, int, float] | None:
-        """`held` or `lagging`, the count in question, and how long it took or takes; None: nothing new."""
-        if least is None:
+    def check(self, lowest: int | None, now: float) -> tuple[str, int, float] | None:
+        """Compare the pending changes with the `lowest` sequence number that any sidecar holds.
+
+        Returns `held` or `lagging`, the sequence number, and the seconds since the change; None: nothing new.
+        """
+        if lowest is None:
             self.clear()
             return None
-        began = None
-        while self._open and self._open[0][0] <= least:
-            count, at = self._open.popleft()
-            began = at if began is None else began
-        if began is not None:
-            self._said = None
-            return ("held", count, now - began)
-        late = bool(self._open) and now - self._open[0][1] > self._late_s
-        if late and (self._said is None or now - self._said >= AGAIN_S):
-            self._said = now
-            return ("lagging", self._open[0][0], now - self._open[0][1])
+        first_changed_at = None
+        while self._pending and self._pending[0][0] <= lowest:
+            sequence, at = self._pending.popleft()
+            first_changed_at = at if first_changed_at is None else first_changed_at
+        if first_changed_at is not None:
+            self._lag_reported_at = None
+            return ("held", sequence, now - first_changed_at)
+        is_lagging = bool(self._pending) and now - self._pending[0][1] > self._max_lag_s
+        if is_lagging and (self._lag_reported_at is None or now - self._lag_reported_at >= LAG_REPEAT_S):
+            self._lag_reported_at = now
+            return ("lagging", self._pending[0][0], now - self._pending[0][1])
         return None
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -1,4 +1,4 @@
-"""A tier's parts put together: sockets, time, start and end. `python -m larkcrank tier CONFIG.json`."""
+"""The process of a tier: sockets, timers, start and stop. `python -m larkcrank tier CONFIG.json`"""
 
 import asyncio
 import gc
@@ -17,27 +17,29 @@
 from larkcrank.program.log import Log
 from larkcrank.protocol import http1
 from larkcrank.tiers import held, snapshot, wire
-from larkcrank.tiers.config import Config, ConfigError, Place, SourceConfig, load
+from larkcrank.tiers.config import Config, ConfigError, HostPort, SourceConfig, load
 from larkcrank.tiers.feeds import Answer, Feed
-from larkcrank.tiers.gather import Turns
-from larkcrank.tiers.receivers import SLICE, Door, Kind, Receiver
-from larkcrank.tiers.state import Changes, State, identity
-
-BACKLOG = 4096
-SPARE_DESCRIPTORS = 64  # of the process's limit: for calls, listeners, files
-LOOK_S = 0.25  # between looks at what is late
-ABOVE = "above"
-HELD = b"Held"
-ASIDE = b"Held-Aside"  # a tier's call beside its watch: it is no sidecar
-LOGGED_LATE = 5
-MOST_LEFT = 20
-OPS_LINE = 128
-OPS_SILENT_S = 2.0
-OPS_MOST = 16
+from larkcrank.tiers.gather import FullAnswerLimiter
+from larkcrank.tiers.receivers import BATCH_SIZE, Listener, ListenerKind, Receiver
+from larkcrank.tiers.state import Changes, InstanceTable, new_generation_prefix
+
+LISTEN_BACKLOG = 4096
+RESERVED_DESCRIPTORS = 64  # of the process's limit: for calls, listeners, files
+CHECK_INTERVAL_S = 0.25  # between checks for timeouts, freshness and lag
+PARENT_FEED_NAME = "above"
+SUMMARY_HEADER = b"Held"  # a call's summary of what the sidecars below hold
+CHECK_HEADER = (
+    b"Held-Aside"  # marks a tier's check, which carries no summary, so that it counts as no sidecar
+)
+MAX_LOGGED_LAGGARDS = 5
+MAX_CUT_OFF_LAGGARDS = 20
+OPS_MAX_LINE_BYTES = 128
+OPS_TIMEOUT_S = 2.0
+OPS_MAX_CONNECTIONS = 16
 
 
 class Tier:
-    """One tier on the running loop. `start` listens and begins to ask; `stop` ends all of it."""
+    """One tier on the running event loop. `start` opens its listeners and feeds; `stop` closes them."""
 
     def __init__(self, config: Config, log: Log, rng: Random | None = None) -> None:
         self.config, self.log = config, log
@@ -45,151 +47,172 @@
         settings = self._settings = config.settings
         self._loop = asyncio.get_running_loop()
         now = time.time()
-        self.state = State(
+        self.table = InstanceTable(
             config.name,
             int(now * 1000.0),
-            identity(now, self._rng.getrandbits(12)),
+            new_generation_prefix(now, self._rng.getrandbits(12)),
             settings.tombstones,
             settings.tombstone_ms,
         )
-        gather_s = settings.gather_ms / 1000.0
-        self.listen = Door("listen", Kind.WHOLE, None, self.state, gather_s)
-        self.own = Door("own", Kind.OWN, None, self.state, gather_s) if config.own is not None else None
-        self.doors = [
-            Door(f"doors[{i}]", Kind.PART, door.services, self.state, gather_s)
-            for i, door in enumerate(config.doors)
+        batch_interval_s = settings.gather_ms / 1000.0
+        self.child_listener = Listener("listen", ListenerKind.CHILD_TIERS, None, self.table, batch_interval_s)
+        self.parent_listener = (
+            Listener("own", ListenerKind.PARENT_TIER, None, self.table, batch_interval_s)
+            if config.parent_listen is not None
+            else None
+        )
+        self.sidecar_listeners = [
+            Listener(f"doors[{i}]", ListenerKind.SIDECARS, listener.services, self.table, batch_interval_s)
+            for i, listener in enumerate(config.sidecar_listeners)
         ]
-        self._by_service: dict[str, list[Door]] = {}
-        self._any_service: list[Door] = []
-        for door in self.doors:
-            if door.services is None:
-                self._any_service.append(door)
-            for service in door.services or ():
-                self._by_service.setdefault(service, []).append(door)
-        self._turns = Turns(settings.wholes_per_s, settings.whole_wait_ms / 1000.0)
-        self._tier_turns = Turns(settings.tier_wholes_per_s, settings.whole_wait_ms / 1000.0)
-        self.longest_wait_ms = settings.longest_wait_ms
+        self._listeners_by_service: dict[str, list[Listener]] = {}
+        self._all_services_listeners: list[Listener] = []
+        for listener in self.sidecar_listeners:
+            if listener.services is None:
+                self._all_services_listeners.append(listener)
+            for service in listener.services or ():
+                self._listeners_by_service.setdefault(service, []).append(listener)
+        self._sidecar_limiter = FullAnswerLimiter(settings.wholes_per_s, settings.whole_wait_ms / 1000.0)
+        self._tier_limiter = FullAnswerLimiter(settings.tier_wholes_per_s, settings.whole_wait_ms / 1000.0)
+        self.max_wait_ms = settings.longest_wait_ms
         self.receivers: set[Receiver] = set()
-        self._slow: dict[Receiver, float] = {}
-        self._newcomers: dict[Receiver, float] = {}  # with a list of another tier, and when they asked
-        self._left: dict[tuple[str, str], tuple[int, float, str]] = {}  # cut off while they lacked something
-        self._deaf = False  # it has nothing to tell and hears nobody
-        limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
-        self._most = max(min(settings.connections, limit - SPARE_DESCRIPTORS), 1)
-        self.sources: list[Feed] = [self._source(one) for one in config.sources]
-        self.above: Feed | None = None
-        if config.above:
-            read = partial(wire.read, services=config.services)
-            self.above = self._feed(ABOVE, config.above, read)
+        self._blocked_until: dict[Receiver, float] = {}  # peers that do not read, and when they are cut off
+        # Receivers with another tier's list that wait until this tier is up to date, and when they called.
+        self._newcomers: dict[Receiver, float] = {}
+        # Peers that were cut off while they lacked a change, by listener and host: the sequence number that
+        # they held, the time of the first change that they lacked, and the address.
+        self._cut_off_laggards: dict[tuple[str, str], tuple[int, float, str]] = {}
+        self._is_isolated = False  # the tier has no sources, and its parent is silent
+        descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+        self._max_connections = max(min(settings.connections, descriptor_limit - RESERVED_DESCRIPTORS), 1)
+        self.sources: list[Feed] = [self._create_source_feed(source) for source in config.sources]
+        self.parent: Feed | None = None
+        if config.parents:
+            decode = partial(wire.decode_answer, services=config.services)
+            self.parent = self._create_feed(PARENT_FEED_NAME, config.parents, decode)
         self._tasks: list[asyncio.Task[None]] = []
         self._servers: list[asyncio.Server] = []
-        self.ops_place: tuple[str, int] | None = None
-        self._operators: set[Operator] = set()
-        self._began = self._loop.time()
-        self._identity_told = self.state.identity
-        held_s = settings.held_ms / 1000.0
-        self._steps, self._marks, self._below = held.Steps(), held.Marks(), held.Below(held_s)
-        self._steps_of: Place | None = None  # the place above whose generations these are
-        self._watch = held.Watch(held_s)
-        self.own_complete = self.complete = False  # heard from all sources; and from above
+        self.ops_address: tuple[str, int] | None = None
+        self._operators: set[OperatorConnection] = set()
+        self._started_at = self._loop.time()
+        self._announced_prefix = self.table.generation_prefix
+        max_lag_s = settings.held_ms / 1000.0
+        self._parent_generations, self._change_times, self._child_summaries = (
+            held.ParentGenerations(),
+            held.ChangeTimes(),
+            held.ChildSummaries(max_lag_s),
+        )
+        self._parent_generations_from: HostPort | None = None  # the parent that counts these generations
+        self._propagation = held.PropagationMonitor(max_lag_s)
+        # Complete: heard from all sources since the start; and from the parent as well.
+        self.sources_complete = self.is_complete = False
         self._was_fresh = False
-        self._saved = 0  # the count of the last snapshot
-        self._take_up()
-        self.refused = self.wholes = self.answers = self.turned_away = self.cut = self.foreign = 0
+        self._saved_seq = 0  # the sequence number of the last snapshot
+        self._load_snapshot()
+        self.refused_calls = self.full_answers = self.delta_answers = self.rejected_connections = (
+            self.cut_connections
+        ) = self.bad_summaries = 0
         self.calls = self.bytes_out = 0
 
-    def _feed(self, name: str, places: Sequence[tuple[str, int]], read: Any) -> Feed:
+    def _create_feed(self, name: str, addresses: Sequence[tuple[str, int]], decode: Any) -> Feed:
         return Feed(
             name,
-            places,
-            read,
-            self._take,
-            self._lines,
+            addresses,
+            decode,
+            self._apply_answer,
+            self._request_headers,
             self._settings,
             Random(self._rng.getrandbits(64)),
             self.log.event,
         )
 
-    def _source(self, one: SourceConfig) -> Feed:
+    def _create_source_feed(self, source: SourceConfig) -> Feed:
         services = self.config.services
-        read = partial(wire.read, service=one.service, services=services)
-        feed = self._feed("{}:{}".format(*one.place), (one.place,), read)
-        feed.may_be_empty = one.may_be_empty
+        decode = partial(wire.decode_answer, service=source.service, services=services)
+        feed = self._create_feed("{}:{}".format(*source.address), (source.address,), decode)
+        feed.may_be_empty = source.may_be_empty
         return feed
 
     # The snapshot.
 
-    def _take_up(self) -> None:
-        """Begin with what an earlier process held. A file that can't be used is logged."""
-        path, now_ms = self.config.snapshot, time.time() * 1000.0
+    def _load_snapshot(self) -> None:
+        """Load what an earlier process saved. A file that cannot be used is logged."""
+        path, now_ms = self.config.snapshot_path, time.time() * 1000.0
         if path is None:
             return
         try:
-            kept = snapshot.read(path, self.config.name, now_ms, self._settings.snapshot_age_ms)
+            saved = snapshot.read(path, self.config.name, now_ms, self._settings.snapshot_age_ms)
         except snapshot.SnapshotError as error:
             self.log.event("tier_snapshot_unusable", why=error.why, message=str(error))
             return
-        self.state.restore(kept.lines, kept.known, now_ms)
-        for door in self._all_doors:
-            door.changed = self.state.count
-        self.log.event("tier_snapshot_taken", lines=self.state.living, age_s=round(kept.age_ms / 1000.0, 1))
-
-    async def _save(self) -> None:
-        """Keep the snapshot current. While not all has been heard the older one is the better one."""
-        path = self.config.snapshot
+        self.table.restore(saved.lines, saved.known, now_ms)
+        for listener in self._all_listeners:
+            listener.changed_seq = self.table.sequence
+        self.log.event(
+            "tier_snapshot_taken", lines=self.table.live_count, age_s=round(saved.age_ms / 1000.0, 1)
+        )
+
+    async def _save_periodically(self) -> None:
+        """Save a snapshot at intervals. Until the table is complete, the old snapshot is the better one."""
+        path = self.config.snapshot_path
         while path is not None:
             await asyncio.sleep(self._settings.snapshot_ms / 1000.0)
-            if self.complete and self.state.count != self._saved:
-                count, data = self.state.count, snapshot.encode(self.state, time.time() * 1000.0)
+            if self.is_complete and self.table.sequence != self._saved_seq:
+                sequence, data = self.table.sequence, snapshot.encode(self.table, time.time() * 1000.0)
                 try:
                     await asyncio.to_thread(snapshot.write, path, data)
-                    self._saved = count
+                    self._saved_seq = sequence
                 except OSError as error:
                     self.log.event("tier_snapshot_not_written", message=error.strerror or str(error))
 
-    def _save_last(self) -> None:
-        if self.config.snapshot is not None and self.complete:
+    def _save_at_stop(self) -> None:
+        if self.config.snapshot_path is not None and self.is_complete:
             try:
-                snapshot.write(self.config.snapshot, snapshot.encode(self.state, time.time() * 1000.0))
+                snapshot.write(self.config.snapshot_path, snapshot.encode(self.table, time.time() * 1000.0))
             except OSError as error:
                 self.log.event("tier_snapshot_not_written", message=error.strerror or str(error))
 
-    # Start and end.
+    # Start and stop.
 
     async def start(self) -> None:
-        """Raises `OSError` where an address can't be listened on."""
+        """Raises `OSError` if an address cannot be listened on."""
         config = self.config
-        await self._listen(self.listen, config.listen)
-        if self.own is not None and config.own is not None:
-            await self._listen(self.own, config.own)
-        for door, told in zip(self.doors, config.doors, strict=True):
-            await self._listen(door, told.listen)
-        if config.ops is not None:
-            sock = _bound(config.ops)
-            self.ops_place = sock.getsockname()[:2]
+        await self._listen(self.child_listener, config.child_listen)
+        if self.parent_listener is not None and config.parent_listen is not None:
+            await self._listen(self.parent_listener, config.parent_listen)
+        for listener, listener_config in zip(self.sidecar_listeners, config.sidecar_listeners, strict=True):
+            await self._listen(listener, listener_config.listen)
+        if config.ops_listen is not None:
+            sock = _bind_socket(config.ops_listen)
+            self.ops_address = sock.getsockname()[:2]
             self._servers.append(
-                await self._loop.create_server(lambda: Operator(self), sock=sock, backlog=OPS_MOST)
+                await self._loop.create_server(
+                    lambda: OperatorConnection(self), sock=sock, backlog=OPS_MAX_CONNECTIONS
+                )
             )
-        more = {} if self.ops_place is None else {"ops": _text(self.ops_place)}
-        if self.own is not None:
-            more["own"] = _text(self.own.place)
+        optional_fields = {} if self.ops_address is None else {"ops": _format_address(self.ops_address)}
+        if self.parent_listener is not None:
+            optional_fields["own"] = _format_address(self.parent_listener.address)
         self.log.event(
             "tier_listening",
-            listen=_text(self.listen.place),
-            doors=[_text(door.place) for door in self.doors],
-            connections=self._most,
-            **more,
+            listen=_format_address(self.child_listener.address),
+            doors=[_format_address(listener.address) for listener in self.sidecar_listeners],
+            connections=self._max_connections,
+            **optional_fields,
         )
-        feeds = [*self.sources, *([self.above] if self.above is not None else [])]
-        self._tasks += [self._loop.create_task(self._keep(feed)) for feed in feeds]
-        self._tasks += [self._loop.create_task(self._look()), self._loop.create_task(self._save())]
+        feeds = [*self.sources, *([self.parent] if self.parent is not None else [])]
+        self._tasks += [self._loop.create_task(self._run_feed(feed)) for feed in feeds]
+        self._tasks += [
+            self._loop.create_task(self._run_checks()),
+            self._loop.create_task(self._save_periodically()),
+        ]
 
-    async def _listen(self, door: Door, place: tuple[str, int]) -> None:
-        sock = _bound(place)
-        door.place = sock.getsockname()[:2]
+    async def _listen(self, listener: Listener, address: tuple[str, int]) -> None:
+        sock = _bind_socket(address)
+        listener.address = sock.getsockname()[:2]
         self._servers.append(
             await self._loop.create_server(
-                lambda: Receiver(self, door, self._loop), sock=sock, backlog=BACKLOG
+                lambda: Receiver(self, listener, self._loop), sock=sock, backlog=LISTEN_BACKLOG
             )
         )
 
@@ -199,15 +222,15 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        self._save_last()
+        self._save_at_stop()
         for receiver in list(self.receivers):
             receiver.abort()
         for operator in list(self._operators):
             operator.abort()
         await asyncio.sleep(0)
 
-    async def _keep(self, feed: Feed) -> None:
-        """A defect ends one call, not the feed."""
+    async def _run_feed(self, feed: Feed) -> None:
+        """Run the feed, and restart it after an unexpected exception."""
         while True:
             try:
                 await feed.run()
@@ -215,493 +238,537 @@
                 self.log.failure(f"feed {feed.name}", error)
                 await asyncio.sleep(1.0)
 
-    # What is heard.
+    # Answers from sources and the parent.
 
-    def _lines(self, feed: Feed, place: Place | None) -> Sequence[bytes]:
-        """What goes up with a call: who holds what below."""
-        if feed is not self.above:
+    def _request_headers(self, feed: Feed, address: HostPort | None) -> Sequence[bytes]:
+        """Header lines of a call: to the parent, what the sidecars below hold, or the mark of a check."""
+        if feed is not self.parent:
             return ()
-        if place is None:
-            return (ASIDE + b": 1",)
-        told = held.Summary(self.config.name, [], [])
-        if place == self._steps_of:
-            told = held.summary(self.config.name, self.standing(), self._steps)
-        return (HELD + b": " + held.encode(told),)
-
-    def _take(self, feed: Feed, place: Place, answer: Answer) -> None:
+        if address is None:
+            return (CHECK_HEADER + b": 1",)
+        summary = held.Summary(self.config.name, [], [])
+        if address == self._parent_generations_from:
+            summary = held.summarize(self.config.name, self.sidecar_progress(), self._parent_generations)
+        return (SUMMARY_HEADER + b": " + held.encode(summary),)
+
+    def _apply_answer(self, feed: Feed, address: HostPort, answer: Answer) -> None:
         """Raises `AnswerError` before anything is changed."""
-        state, now_ms = self.state, time.time() * 1000.0
-        empty = answer.whole and not any(not line.gone for line in answer.lines)
-        if empty and not feed.may_be_empty:
+        table, now_ms = self.table, time.time() * 1000.0
+        is_empty = answer.full and not any(not record.gone for record in answer.records)
+        if is_empty and not feed.may_be_empty:
             raise wire.AnswerError("empty")
-        if isinstance(answer, wire.FromDiscovery):
-            if feed is self.above:
+        if isinstance(answer, wire.DiscoveryAnswer):
+            if feed is self.parent:
                 raise wire.AnswerError("foreign: no tier's answer")
-            changes = state.tell(feed.name, answer.lines, answer.whole, now_ms)
-            feed.heard()
+            changes = table.apply_discovery(feed.name, answer.records, answer.full, now_ms)
+            feed.record_answer()
         else:
-            if feed is not self.above:
-                state.subtree |= answer.known.keys() - {self.config.name}
-            changes = state.merge(answer.lines, answer.known, answer.whole, now_ms)
-            mine = answer.known.get(state.name)
-            if mine is not None and mine > (state.epoch, state.counter):
-                self.log.event("tier_epoch_raised", heard=mine, own=state.epoch)
-                more = state.raise_above(mine, self._identity(), now_ms)
-                self._renewed()
-                self._changed(more)
-            feed.heard(not answer.provisional)
-        self._changed(changes)
-        if feed is self.above and place == feed.places.current:
-            if place != self._steps_of:
-                self._steps.clear()
-                self._steps_of = place
-            self._steps.heard(state.count, answer.generation)
-        if not self.complete or not state.knows_mine:
-            self._progress()
-        self._deaf = self._deaf and self._hears_nobody
-        self._admit()
-
-    def _identity(self) -> int:
-        return identity(time.time(), self._rng.getrandbits(12))
-
-    def _progress(self) -> None:
-        """Whether all that this tier depends on has been heard since its start."""
-        state = self.state
-        own = all(feed.heard_at is not None or feed.excused for feed in self.sources)
-        mine = all(feed.heard_at is not None for feed in self.sources)
-        complete = own and (self.above is None or self.above.heard_at is not None)
-        news = (mine and not state.knows_mine) or (own and not self.own_complete)
-        if news or (complete and not self.complete):
-            self.own_complete = own
-            if mine and not state.knows_mine:
-                state.knows_mine = True
+            if feed is not self.parent:
+                table.subtree_owners |= answer.known_versions.keys() - {self.config.name}
+            changes = table.merge(answer.records, answer.known_versions, answer.full, now_ms)
+            own_version = answer.known_versions.get(table.name)
+            if own_version is not None and own_version > (table.epoch, table.version_counter):
+                self.log.event("tier_epoch_raised", heard=own_version, own=table.epoch)
+                own_changes = table.supersede_version(own_version, self._new_generation_prefix(), now_ms)
+                self._announce_new_prefix()
+                self._announce_changes(own_changes)
+            feed.record_answer(not answer.provisional)
+        self._announce_changes(changes)
+        if feed is self.parent and address == feed.addresses.current:
+            if address != self._parent_generations_from:
+                self._parent_generations.clear()
+                self._parent_generations_from = address
+            self._parent_generations.record(table.sequence, answer.generation)
+        if not self.is_complete or not table.own_records_complete:
+            self._update_completeness()
+        self._is_isolated = self._is_isolated and self._has_lost_all_input
+        self._release_newcomers()
+
+    def _new_generation_prefix(self) -> int:
+        return new_generation_prefix(time.time(), self._rng.getrandbits(12))
+
+    def _update_completeness(self) -> None:
+        """Check whether everything that this tier depends on has answered since the start."""
+        table = self.table
+        sources_complete = all(
+            feed.complete_answer_at is not None or feed.is_excused for feed in self.sources
+        )
+        own_complete = all(feed.complete_answer_at is not None for feed in self.sources)
+        is_complete = sources_complete and (self.parent is None or self.parent.complete_answer_at is not None)
+        has_progressed = (own_complete and not table.own_records_complete) or (
+            sources_complete and not self.sources_complete
+        )
+        if has_progressed or (is_complete and not self.is_complete):
+            self.sources_complete = sources_complete
+            if own_complete and not table.own_records_complete:
+                table.own_records_complete = True
                 names = {feed.name for feed in self.sources}
-                self._changed(state.forget_sources(names, time.time() * 1000.0))
-            state.renew(self._identity())
-            first, self.complete = complete and not self.complete, complete
-            self._renewed()
-            if first:
-                self.log.event("tier_complete", lines=state.living, generation=state.generation)
-
-    def _renewed(self) -> None:
-        """The generations have another identity: tiers that wait get the whole; sidecars missed nothing."""
-        self._identity_told = self.state.identity
-        for door in (self.listen, self.own):
-            if door is not None:
-                for receiver in list(door.waiting):
-                    self._turn(receiver)
-
-    def _changed(self, changes: Changes) -> None:
+                self._announce_changes(table.remove_other_sources(names, time.time() * 1000.0))
+            table.replace_generation_prefix(self._new_generation_prefix())
+            first_time, self.is_complete = is_complete and not self.is_complete, is_complete
+            self._announce_new_prefix()
+            if first_time:
+                self.log.event("tier_complete", lines=table.live_count, generation=table.generation)
+
+    def _announce_new_prefix(self) -> None:
+        """Send waiting tiers a full answer after the prefix was replaced. Waiting sidecars lack nothing."""
+        self._announced_prefix = self.table.generation_prefix
+        for listener in (self.child_listener, self.parent_listener):
+            if listener is not None:
+                for receiver in list(listener.waiting):
+                    self._schedule_full_answer(receiver)
+
+    def _announce_changes(self, changes: Changes) -> None:
+        """Schedule answers to the receivers that these changes concern."""
         if not changes:
             return
-        now, count = self._loop.time(), self.state.count
-        if self.state.identity != self._identity_told:  # the count has run over: it begins anew
-            self._renewed()
-            self._marks.clear()
-            self._watch.clear()
-            self._steps.clear()
-            self._left.clear()
-            for door in self.doors:
-                for receiver in list(door.waiting):
-                    self._turn(receiver)
-        self._marks.changed(count, now)
-        if not self.config.above:
-            self._watch.changed(count, now)
-        concerned = {self.listen: None}
-        if self.own is not None and not changes.owners.isdisjoint(self.state.subtree):
-            concerned[self.own] = None
+        now, sequence = self._loop.time(), self.table.sequence
+        if self.table.generation_prefix != self._announced_prefix:  # the sequence number has wrapped around
+            self._announce_new_prefix()
+            self._change_times.clear()
+            self._propagation.clear()
+            self._parent_generations.clear()
+            self._cut_off_laggards.clear()
+            for listener in self.sidecar_listeners:
+                for receiver in list(listener.waiting):
+                    self._schedule_full_answer(receiver)
+        self._change_times.record(sequence, now)
+        if not self.config.parents:
+            self._propagation.record(sequence, now)
+        concerned = {self.child_listener: None}
+        if self.parent_listener is not None and not changes.owners.isdisjoint(self.table.subtree_owners):
+            concerned[self.parent_listener] = None
         if changes.services:
-            concerned.update(dict.fromkeys(self._any_service))
+            concerned.update(dict.fromkeys(self._all_services_listeners))
         for service in changes.services:
-            concerned.update(dict.fromkeys(self._by_service.get(service, ())))
-        for door in concerned:
-            door.changed = count
-            if door.gather.due is None:
-                due = door.gather.changed(now)
-                if due <= now:
-                    self._loop.call_soon(self._wave, door)
+            concerned.update(dict.fromkeys(self._listeners_by_service.get(service, ())))
+        for listener in concerned:
+            listener.changed_seq = sequence
+            if listener.batcher.due_at is None:
+                due_at = listener.batcher.schedule(now)
+                if due_at <= now:
+                    self._loop.call_soon(self._send_batch, listener)
                 else:
-                    self._loop.call_at(due, self._wave, door)
+                    self._loop.call_at(due_at, self._send_batch, listener)
 
-    def _wave(self, door: Door) -> None:
-        door.gather.went(self._loop.time())
-        self._tell(door, [receiver for receiver in door.waiting if receiver.count < door.changed])
+    def _send_batch(self, listener: Listener) -> None:
+        listener.batcher.sent(self._loop.time())
+        self._send_deltas(
+            listener,
+            [receiver for receiver in listener.waiting if receiver.sequence < listener.changed_seq],
+        )
 
-    def _tell(self, door: Door, receivers: list[Receiver]) -> None:
-        """Tell these what they have not; so many a turn of the loop, so that nobody else waits for them."""
-        for receiver in receivers[:SLICE]:
-            if receiver in door.waiting:
-                self._answer_since(receiver)
-        if len(receivers) > SLICE:
-            self._loop.call_soon(self._tell, door, receivers[SLICE:])
+    def _send_deltas(self, listener: Listener, receivers: list[Receiver]) -> None:
+        """Answer these receivers, `BATCH_SIZE` in each loop iteration so that other work is not delayed."""
+        for receiver in receivers[:BATCH_SIZE]:
+            if receiver in listener.waiting:
+                self._send_delta(receiver)
+        if len(receivers) > BATCH_SIZE:
+            self._loop.call_soon(self._send_deltas, listener, receivers[BATCH_SIZE:])
 
     # Receivers.
 
-    def opened(self, receiver: Receiver) -> bool:
-        if len(self.receivers) >= self._most:
-            self.turned_away += 1
+    def receiver_opened(self, receiver: Receiver) -> bool:
+        if len(self.receivers) >= self._max_connections:
+            self.rejected_connections += 1
             return False
         self.receivers.add(receiver)
-        receiver.door.receivers.add(receiver)
+        receiver.listener.receivers.add(receiver)
         return True
 
-    def closed(self, receiver: Receiver) -> None:
+    def receiver_closed(self, receiver: Receiver) -> None:
         self.receivers.discard(receiver)
-        receiver.door.receivers.discard(receiver)
-        receiver.door.waiting.discard(receiver)
-        self._slow.pop(receiver, None)
+        receiver.listener.receivers.discard(receiver)
+        receiver.listener.waiting.discard(receiver)
+        self._blocked_until.pop(receiver, None)
         self._newcomers.pop(receiver, None)
 
-    def slow(self, receiver: Receiver, is_slow: bool) -> None:
-        if is_slow:
-            self._slow[receiver] = self._loop.time() + self._settings.write_ms / 1000.0
+    def receiver_blocked(self, receiver: Receiver, is_blocked: bool) -> None:
+        if is_blocked:
+            self._blocked_until[receiver] = self._loop.time() + self._settings.write_ms / 1000.0
         else:
-            self._slow.pop(receiver, None)
+            self._blocked_until.pop(receiver, None)
 
-    def called(self, receiver: Receiver, after: int | None, wait_ms: int, fields: http1.Fields) -> None:
-        door, state, now = receiver.door, self.state, self._loop.time()
+    def receiver_called(
+        self, receiver: Receiver, after: int | None, wait_ms: int, fields: http1.Fields
+    ) -> None:
+        listener, table, now = receiver.listener, self.table, self._loop.time()
         self.calls += 1
-        if self._left:
-            self._left.pop(self._who(receiver), None)
-        if not door.is_plain:
-            self._summary(receiver, fields)
-        count = None if after is None else state.count_of(after)
-        if count is None:
-            receiver.count = -1
-            if after is not None and not self.is_fresh(door):
+        if self._cut_off_laggards:
+            self._cut_off_laggards.pop(self._laggard_key(receiver), None)
+        if not listener.is_for_sidecars:
+            self._read_summary(receiver, fields)
+        sequence = None if after is None else table.sequence_of(after)
+        if sequence is None:
+            receiver.sequence = -1
+            if after is not None and not self.is_fresh(listener):
                 self._refuse(receiver)
-            elif after is not None and door.is_plain:
-                self._newcomer(receiver, now)
+            elif after is not None and listener.is_for_sidecars:
+                self._hold_newcomer(receiver, now)
             else:
-                self._turn(receiver)
+                self._schedule_full_answer(receiver)
             return
-        receiver.count = count
-        if self._deaf:
+        receiver.sequence = sequence
+        if self._is_isolated:
             self._refuse(receiver)
-        elif not state.can_tell_since(count, not door.is_plain):
-            self._turn(receiver)
-        elif door.changed > count and door.gather.due is None:
-            self._answer_since(receiver)
+        elif not table.can_answer_since(sequence, not listener.is_for_sidecars):
+            self._schedule_full_answer(receiver)
+        elif listener.changed_seq > sequence and listener.batcher.due_at is None:
+            self._send_delta(receiver)
         else:
-            door.waiting.add(receiver)
-            receiver.wait(now + wait_ms / 1000.0, self._answer_since)
+            listener.waiting.add(receiver)
+            receiver.start_timer(now + wait_ms / 1000.0, self._send_delta)
 
-    def _complete(self, door: Door) -> bool:
-        return self.own_complete if door.kind is Kind.OWN else self.complete
+    def _is_complete_for(self, listener: Listener) -> bool:
+        return self.sources_complete if listener.kind is ListenerKind.PARENT_TIER else self.is_complete
 
-    def is_fresh(self, door: Door) -> bool:
-        """Whether what is told here was heard lately from all that it depends on."""
-        if not self._complete(door):
+    def is_fresh(self, listener: Listener) -> bool:
+        """Whether every feed that this listener's content depends on has answered lately."""
+        if not self._is_complete_for(listener):
             return False
-        feeds = [feed for feed in self.sources if not feed.excused]
-        if door.kind is not Kind.OWN and self.above is not None:
-            feeds.append(self.above)
+        feeds = [feed for feed in self.sources if not feed.is_excused]
+        if listener.kind is not ListenerKind.PARENT_TIER and self.parent is not None:
+            feeds.append(self.parent)
         since = self._loop.time() - self._settings.fresh_ms / 1000.0
-        return all(feed.heard_at is not None and feed.heard_at >= since for feed in feeds)
+        return all(feed.complete_answer_at is not None and feed.complete_answer_at >= since for feed in feeds)
+
+    def _hold_newcomer(self, receiver: Receiver, now: float) -> None:
+        """Delay the answer to a receiver whose list came from another tier, and check all feeds first.
 
-    def _newcomer(self, receiver: Receiver, now: float) -> None:
-        """It holds a list of another tier, which may have told it more than is here: ask above first."""
+        The other tier may have been ahead of this one, so that an answer now could undo changes.
+        """
         self._newcomers[receiver] = now
-        receiver.wait(now + self._settings.whole_wait_ms / 1000.0, self._refuse)
+        receiver.start_timer(now + self._settings.whole_wait_ms / 1000.0, self._refuse)
         for feed in self._feeds:
             feed.check()
 
-    def _admit(self) -> None:
-        """Those newcomers get their turn since whose call all has been heard."""
+    def _release_newcomers(self) -> None:
+        """Answer the newcomers since whose call every feed has answered."""
         if not self._newcomers:
             return
-        heard = [feed.heard_at for feed in self._feeds if not feed.excused]
-        since = min((at or 0.0 for at in heard), default=0.0)
-        for receiver in [one for one, at in self._newcomers.items() if at <= since]:
+        answered_at = [feed.complete_answer_at for feed in self._feeds if not feed.is_excused]
+        all_answered_at = min((at or 0.0 for at in answered_at), default=0.0)
+        for receiver in [connection for connection, at in self._newcomers.items() if at <= all_answered_at]:
             del self._newcomers[receiver]
-            self._turn(receiver)
+            self._schedule_full_answer(receiver)
         for feed in self._feeds:
             if self._newcomers:
                 feed.check()
 
-    def _turn(self, receiver: Receiver) -> None:
-        """The whole, once it is this receiver's turn."""
-        door, now = receiver.door, self._loop.time()
-        door.waiting.discard(receiver)
-        if door.is_empty and not self._may_be_empty:
-            self._refuse(receiver)  # no empty list spreads
+    def _schedule_full_answer(self, receiver: Receiver) -> None:
+        """Send a full answer as soon as the rate limit allows, or refuse the call."""
+        listener, now = receiver.listener, self._loop.time()
+        listener.waiting.discard(receiver)
+        if listener.is_empty and not self._may_be_empty:
+            self._refuse(receiver)  # an empty list is probably a fault and must not spread
             return
-        at = (self._turns if door.is_plain else self._tier_turns).ask(now)
+        at = (self._sidecar_limiter if listener.is_for_sidecars else self._tier_limiter).reserve(now)
         if at is None:
             self._refuse(receiver)
         elif at <= now:
-            self._answer_whole(receiver)
+            self._send_full(receiver)
         else:
-            receiver.wait(at, self._answer_whole)
+            receiver.start_timer(at, self._send_full)
 
     @property
     def _may_be_empty(self) -> bool:
-        return bool(self.sources) and self.above is None and all(feed.may_be_empty for feed in self.sources)
+        return bool(self.sources) and self.parent is None and all(feed.may_be_empty for feed in self.sources)
 
     def _refuse(self, receiver: Receiver) -> None:
-        self.refused += 1
+        self.refused_calls += 1
         self._newcomers.pop(receiver, None)
-        receiver.door.waiting.discard(receiver)
-        receiver.refuse(503)
-
-    def _answer_whole(self, receiver: Receiver) -> None:
-        self.wholes += 1
-        door = receiver.door
-        receiver.answer(door.whole(not self._complete(door)))
-
-    def _answer_since(self, receiver: Receiver) -> None:
-        self.answers += 1
-        door = receiver.door
-        door.waiting.discard(receiver)
-        receiver.answer(door.since(receiver.count, not self._complete(door)))
-
-    # What is held.
-
-    def _summary(self, receiver: Receiver, fields: http1.Fields) -> None:
-        text = fields.all(HELD.lower())
-        found = held.decode(text[0]) if text else None
-        if found is not None:
+        receiver.listener.waiting.discard(receiver)
+        receiver.send_error(503)
+
+    def _send_full(self, receiver: Receiver) -> None:
+        self.full_answers += 1
+        listener = receiver.listener
+        receiver.send(listener.full_response(not self._is_complete_for(listener)))
+
+    def _send_delta(self, receiver: Receiver) -> None:
+        self.delta_answers += 1
+        listener = receiver.listener
+        listener.waiting.discard(receiver)
+        receiver.send(listener.delta_response(receiver.sequence, not self._is_complete_for(listener)))
+
+    # Propagation: which generation the sidecars hold.
+
+    def _read_summary(self, receiver: Receiver, fields: http1.Fields) -> None:
+        values = fields.all(SUMMARY_HEADER.lower())
+        summary = held.decode(values[0]) if values else None
+        if summary is not None:
             receiver.is_tier = True
-            self._below.told(found, self._loop.time())
-        elif text:
-            self.foreign += 1
-        receiver.is_tier = receiver.is_tier or bool(fields.all(ASIDE.lower()))
-
-    def standing(self) -> held.Standing:
-        """What the sidecars at the doors and below hold, by the own count."""
-        standing, state, now = held.Standing(), self.state, self._loop.time()
-        for door in (self.listen, *self.doors):
-            for receiver in door.receivers:
+            self._child_summaries.add(summary, self._loop.time())
+        elif values:
+            self.bad_summaries += 1
+        receiver.is_tier = receiver.is_tier or bool(fields.all(CHECK_HEADER.lower()))
+
+    def sidecar_progress(self) -> held.SidecarProgress:
+        """What the sidecars of this tier and of the tiers below hold, in this tier's sequence numbers."""
+        progress, table, now = held.SidecarProgress(), self.table, self._loop.time()
+        for listener in (self.child_listener, *self.sidecar_listeners):
+            for receiver in listener.receivers:
                 if receiver.is_tier or not receiver.has_called:
                     continue
-                count = door.holds(receiver.count)
-                standing.add(count)
-                if count < state.count:
-                    since = receiver.quiet_since if count < 0 else self._marks.after(count)
-                    late_s = round(now - (now if since is None else since), 3)
-                    generation = 0 if count < 0 else state.generation - state.count + count
-                    late = held.Late(self.config.name, door.name, receiver.peer, generation, late_s)
-                    standing.late.append((count, late))
-        for (door_name, _), (count, at, peer) in list(self._left.items()):
+                sequence = listener.held_up_to(receiver.sequence)
+                progress.add(sequence)
+                if sequence < table.sequence:
+                    since = receiver.idle_since if sequence < 0 else self._change_times.first_after(sequence)
+                    lag_s = round(now - (now if since is None else since), 3)
+                    generation = 0 if sequence < 0 else table.generation - table.sequence + sequence
+                    laggard = held.Laggard(self.config.name, listener.name, receiver.peer, generation, lag_s)
+                    progress.laggards.append((sequence, laggard))
+        for (listener_name, _), (sequence, at, peer) in list(self._cut_off_laggards.items()):
             if now - at > self._settings.left_ms / 1000.0:
-                del self._left[door_name, peer.rpartition(":")[0]]
+                del self._cut_off_laggards[listener_name, peer.rpartition(":")[0]]
                 continue
-            standing.add(count)
-            generation = 0 if count < 0 else state.generation - state.count + count
-            gone = held.Late(self.config.name, f"{door_name} (left)", peer, generation, round(now - at, 3))
-            standing.late.append((count, gone))
-        for summary in self._below.now(now):
-            for generation, number in summary.held:
-                count_below = state.count_of(generation)
-                standing.add(-1 if count_below is None else count_below, number)
-            for late in summary.late:
-                count_below = state.count_of(late.generation)
-                standing.late.append((-1 if count_below is None else count_below, late))
-        return standing
-
-    def held(self, generation: int | None) -> tuple[bool, str]:
-        """Who holds this generation of this tier, or its latest."""
-        state = self.state
-        count = state.count if generation is None else state.count_of(generation)
-        if count is None:
-            return False, "no generation of this tier, or of an earlier life of it"
-        standing = self.standing()
-        holding = standing.holding(count)
-        told = {
-            "generation": state.generation - state.count + count,
+            progress.add(sequence)
+            generation = 0 if sequence < 0 else table.generation - table.sequence + sequence
+            cut_off_laggard = held.Laggard(
+                self.config.name, f"{listener_name} (left)", peer, generation, round(now - at, 3)
+            )
+            progress.laggards.append((sequence, cut_off_laggard))
+        for summary in self._child_summaries.valid(now):
+            for generation, count in summary.holders:
+                held_sequence = table.sequence_of(generation)
+                progress.add(-1 if held_sequence is None else held_sequence, count)
+            for laggard in summary.laggards:
+                held_sequence = table.sequence_of(laggard.generation)
+                progress.laggards.append((-1 if held_sequence is None else held_sequence, laggard))
+        return progress
+
+    def propagation_report(self, generation: int | None) -> tuple[bool, str]:
+        """How many sidecars hold this generation (None: the latest): True and JSON, or False and an error."""
+        table = self.table
+        sequence = table.sequence if generation is None else table.sequence_of(generation)
+        if sequence is None:
+            return False, "not a generation of this tier's running process"
+        progress = self.sidecar_progress()
+        holding = progress.holding(sequence)
+        report = {
+            "generation": table.generation - table.sequence + sequence,
             "held": holding,
-            "not_held": standing.total - holding,
-            "late": [msgspec.structs.asdict(one) for _, one in standing.latest(count=count)],
-            "silent": {tier: round(s, 3) for tier, s in self._below.silent(self._loop.time()).items()},
+            "not_held": progress.total - holding,
+            "late": [
+                msgspec.structs.asdict(laggard) for _, laggard in progress.longest_lagging(sequence=sequence)
+            ],
+            "silent": {
+                tier: round(s, 3) for tier, s in self._child_summaries.silent(self._loop.time()).items()
+            },
         }
-        return True, msgspec.json.encode(told).decode()
+        return True, msgspec.json.encode(report).decode()
 
-    def _say_held(self, now: float) -> None:
-        standing = self.standing()
-        said = self._watch.look(standing.least, now)
-        if said is None:
+    def _log_propagation(self, now: float) -> None:
+        progress = self.sidecar_progress()
+        news = self._propagation.check(progress.lowest, now)
+        if news is None:
             return
-        what, count, took_s = said
-        more: dict[str, Any] = {}
+        what, sequence, elapsed_s = news
+        lag_fields: dict[str, Any] = {}
         if what == "lagging":
-            more["not_held"] = standing.total - standing.holding(count)
-            more["late"] = [msgspec.structs.asdict(one) for _, one in standing.latest(LOGGED_LATE, count)]
-        generation = self.state.generation - self.state.count + count
+            lag_fields["not_held"] = progress.total - progress.holding(sequence)
+            lag_fields["late"] = [
+                msgspec.structs.asdict(laggard)
+                for _, laggard in progress.longest_lagging(MAX_LOGGED_LAGGARDS, sequence)
+            ]
+        generation = self.table.generation - self.table.sequence + sequence
         self.log.event(
-            f"tier_{what}", generation=generation, sidecars=standing.total, after_s=round(took_s, 3), **more
+            f"tier_{what}",
+            generation=generation,
+            sidecars=progress.total,
+            after_s=round(elapsed_s, 3),
+            **lag_fields,
         )
 
-    # What is late.
+    # Periodic checks.
 
-    async def _look(self) -> None:
+    async def _run_checks(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CHECK_INTERVAL_S)
             try:
-                self._look_once()
+                self._check_once()
             except Exception as error:
                 self.log.failure("look", error)
 
-    def _look_once(self) -> None:
+    def _check_once(self) -> None:
         now = self._loop.time()
-        self.listen.stale = self.is_stale
-        for receiver in [one for one, until in self._slow.items() if until <= now]:
-            self.cut += 1
-            self._cut_off(receiver)
-        quiet = now - self._settings.idle_ms / 1000.0
-        for receiver in [one for one in self.receivers if not one.asks and one.quiet_since < quiet]:
-            self._cut_off(receiver)
-        if not self.complete:
-            if now - self._began > self._settings.patience_ms / 1000.0:
-                self._excuse()
-            self._progress()
-        if self._watch.is_open:
-            self._say_held(now)
-        self._admit()
-        if not self._deaf and self._hears_nobody:
-            self._deaf = True
-            self.log.event("tier_deaf", watches=sum(len(door.waiting) for door in self._all_doors))
-            self._end_watches([one for door in self._all_doors for one in door.waiting])
-        fresh = self.is_fresh(self.listen)
-        if fresh is not self._was_fresh:
-            self._was_fresh = fresh
-            late = [feed.name for feed in self._feeds if not feed.excused and not self._is_heard(feed)]
-            self.log.event("tier_fresh" if fresh else "tier_stale", not_heard=late)
-
-    def _cut_off(self, receiver: Receiver) -> None:
-        """End a connection that is stuck; who lacks something is remembered until he comes again."""
-        if receiver.has_called and not receiver.is_tier and receiver.door is not self.own:
-            count = receiver.door.holds(receiver.count)
-            if count < self.state.count:
-                since = receiver.quiet_since if count < 0 else self._marks.after(count)
+        self.child_listener.reports_stale = self.is_stale
+        for receiver in [connection for connection, until in self._blocked_until.items() if until <= now]:
+            self.cut_connections += 1
+            self._cut_connection(receiver)
+        idle_limit = now - self._settings.idle_ms / 1000.0
+        for receiver in [
+            connection
+            for connection in self.receivers
+            if not connection.is_calling and connection.idle_since < idle_limit
+        ]:
+            self._cut_connection(receiver)
+        if not self.is_complete:
+            if now - self._started_at > self._settings.patience_ms / 1000.0:
+                self._excuse_silent_sources()
+            self._update_completeness()
+        if self._propagation.has_pending:
+            self._log_propagation(now)
+        self._release_newcomers()
+        if not self._is_isolated and self._has_lost_all_input:
+            self._is_isolated = True
+            self.log.event(
+                "tier_deaf", watches=sum(len(listener.waiting) for listener in self._all_listeners)
+            )
+            self._refuse_waiting(
+                [connection for listener in self._all_listeners for connection in listener.waiting]
+            )
+        is_fresh = self.is_fresh(self.child_listener)
+        if is_fresh is not self._was_fresh:
+            self._was_fresh = is_fresh
+            silent_feeds = [
+                feed.name for feed in self._feeds if not feed.is_excused and not self._is_feed_fresh(feed)
+            ]
+            self.log.event("tier_fresh" if is_fresh else "tier_stale", not_heard=silent_feeds)
+
+    def _cut_connection(self, receiver: Receiver) -> None:
+        """Abort a blocked or idle connection. A sidecar that lacks a change is reported until it calls."""
+        if receiver.has_called and not receiver.is_tier and receiver.listener is not self.parent_listener:
+            sequence = receiver.listener.held_up_to(receiver.sequence)
+            if sequence < self.table.sequence:
+                since = receiver.idle_since if sequence < 0 else self._change_times.first_after(sequence)
                 at = self._loop.time() if since is None else since
-                self._left.pop(self._who(receiver), None)
-                self._left[self._who(receiver)] = (count, at, receiver.peer)
-                if len(self._left) > MOST_LEFT:
-                    del self._left[next(iter(self._left))]
+                self._cut_off_laggards.pop(self._laggard_key(receiver), None)
+                self._cut_off_laggards[self._laggard_key(receiver)] = (sequence, at, receiver.peer)
+                if len(self._cut_off_laggards) > MAX_CUT_OFF_LAGGARDS:
+                    del self._cut_off_laggards[next(iter(self._cut_off_laggards))]
         receiver.abort()
 
     @staticmethod
-    def _who(receiver: Receiver) -> tuple[str, str]:
-        return receiver.door.name, receiver.peer.rpartition(":")[0]
+    def _laggard_key(receiver: Receiver) -> tuple[str, str]:
+        return receiver.listener.name, receiver.peer.rpartition(":")[0]
 
     @property
     def is_stale(self) -> bool:
-        """Whether this tier, or one above it, hears nothing from above."""
-        if self.above is None:
+        """Whether this tier, or one above it, has had no complete answer from its parent for `deaf_ms`."""
+        if self.parent is None:
             return False
-        at = self.above.heard_at
-        silent = at is None or self._loop.time() - at > self._settings.deaf_ms / 1000.0
-        return silent or self.above.stale
+        at = self.parent.complete_answer_at
+        is_silent = at is None or self._loop.time() - at > self._settings.deaf_ms / 1000.0
+        return is_silent or self.parent.is_stale
 
     @property
-    def _hears_nobody(self) -> bool:
-        """A tier with discoveries of its own always has something to tell; who only passes on has not."""
-        if self.sources or self.above is None:
+    def _has_lost_all_input(self) -> bool:
+        """Whether the only input is a parent that has become silent; a tier with sources always has input."""
+        if self.sources or self.parent is None:
             return False
-        at = self.above.answered_at
+        at = self.parent.answered_at
         return at is not None and self._loop.time() - at > self._settings.deaf_ms / 1000.0
 
-    def _end_watches(self, receivers: list[Receiver]) -> None:
-        for receiver in receivers[:SLICE]:
-            if receiver in receiver.door.waiting and self._deaf:
+    def _refuse_waiting(self, receivers: list[Receiver]) -> None:
+        for receiver in receivers[:BATCH_SIZE]:
+            if receiver in receiver.listener.waiting and self._is_isolated:
                 self._refuse(receiver)
-        if len(receivers) > SLICE:
-            self._loop.call_soon(self._end_watches, receivers[SLICE:])
+        if len(receivers) > BATCH_SIZE:
+            self._loop.call_soon(self._refuse_waiting, receivers[BATCH_SIZE:])
 
     @property
-    def _all_doors(self) -> list[Door]:
-        return [self.listen, *([self.own] if self.own is not None else []), *self.doors]
+    def _all_listeners(self) -> list[Listener]:
+        return [
+            self.child_listener,
+            *([self.parent_listener] if self.parent_listener is not None else []),
+            *self.sidecar_listeners,
+        ]
 
     @property
     def _feeds(self) -> list[Feed]:
-        return [*self.sources, *([self.above] if self.above is not None else [])]
+        return [*self.sources, *([self.parent] if self.parent is not None else [])]
 
-    def _is_heard(self, feed: Feed) -> bool:
+    def _is_feed_fresh(self, feed: Feed) -> bool:
         since = self._loop.time() - self._settings.fresh_ms / 1000.0
-        return feed.heard_at is not None and feed.heard_at >= since
+        return feed.complete_answer_at is not None and feed.complete_answer_at >= since
 
-    def _excuse(self) -> None:
-        """Some source is silent since the start: go on without it, as long as any was heard."""
-        if not any(feed.heard_at is not None for feed in self.sources):
+    def _excuse_silent_sources(self) -> None:
+        """Stop waiting for sources that have not answered since the start, provided that another one has."""
+        if not any(feed.complete_answer_at is not None for feed in self.sources):
             return
         for feed in self.sources:
-            if feed.heard_at is None and not feed.excused:
-                feed.excused = True
+            if feed.complete_answer_at is None and not feed.is_excused:
+                feed.is_excused = True
                 self.log.event("tier_excused", feed=feed.name)
 
-    # Operators.
-
-    def call(self, line: str) -> tuple[bool, str]:
-        """An operators' call: whether it was carried out, and what is said."""
-        word, _, rest = line.partition(" ")
-        if word == "PING" and not rest:
-            fresh = self.is_fresh(self.listen)
-            return fresh, "fresh" if fresh else "stale" if self.complete else "starting"
-        if word == "HELD" and (not rest or (rest.isascii() and rest.isdigit() and len(rest) < 20)):
-            return self.held(int(rest) if rest else None)
-        if word == "STATE" and not rest:
-            return True, msgspec.json.encode(self.picture()).decode()
-        return False, "unknown call; known are PING, HELD [generation], STATE"
-
-    def picture(self) -> dict[str, Any]:
-        now, state = self._loop.time(), self.state
+    # Operators' calls.
+
+    def operator_call(self, line: str) -> tuple[bool, str]:
+        """Carry out an operator's call. Returns whether it succeeded, and the answer."""
+        command, _, argument = line.partition(" ")
+        if command == "PING" and not argument:
+            is_fresh = self.is_fresh(self.child_listener)
+            return is_fresh, "fresh" if is_fresh else "stale" if self.is_complete else "starting"
+        if command == "HELD" and (
+            not argument or (argument.isascii() and argument.isdigit() and len(argument) < 20)
+        ):
+            return self.propagation_report(int(argument) if argument else None)
+        if command == "STATE" and not argument:
+            return True, msgspec.json.encode(self.status()).decode()
+        return False, "unknown call; the known ones are PING, HELD [generation], STATE"
+
+    def status(self) -> dict[str, Any]:
+        now, table = self._loop.time(), self.table
         return {
             "name": self.config.name,
-            "generation": state.generation,
-            "complete": self.complete,
-            "deaf": self._deaf,
+            "generation": table.generation,
+            "complete": self.is_complete,
+            "deaf": self._is_isolated,
             "stale": self.is_stale,
-            "fresh": self.is_fresh(self.listen),
-            "lines": state.living,
-            "tombstones": state.tombstones,
-            "known": state.known_of(),
+            "fresh": self.is_fresh(self.child_listener),
+            "lines": table.live_count,
+            "tombstones": table.tombstone_count,
+            "known": table.known_versions_of(),
             "feeds": [
                 {
                     "feed": feed.name,
-                    "place": feed.place,
+                    "place": feed.current_address,
                     "generation": feed.generation,
-                    "heard_s": None if feed.heard_at is None else round(now - feed.heard_at, 3),
-                    "trouble": feed.trouble,
-                    "excused": feed.excused,
+                    "heard_s": None
+                    if feed.complete_answer_at is None
+                    else round(now - feed.complete_answer_at, 3),
+                    "trouble": feed.current_error,
+                    "excused": feed.is_excused,
                     "calls": feed.calls,
                     "failures": feed.failures,
-                    "wholes": feed.wholes,
+                    "wholes": feed.full_requests,
                 }
                 for feed in self._feeds
             ],
             "doors": [
                 {
-                    "door": door.name,
-                    "listen": _text(door.place),
-                    "connections": len(door.receivers),
-                    "waiting": len(door.waiting),
+                    "door": listener.name,
+                    "listen": _format_address(listener.address),
+                    "connections": len(listener.receivers),
+                    "waiting": len(listener.waiting),
                 }
-                for door in self._all_doors
+                for listener in self._all_listeners
             ],
             "calls": self.calls,
             "bytes_out": self.bytes_out,
-            "bytes_in": sum(feed.bytes[1] for feed in self._feeds),
-            "bytes_up": sum(feed.bytes[0] for feed in self._feeds),
-            "answers": self.answers,
-            "wholes": self.wholes,
-            "refused": self.refused,
-            "turned_away": self.turned_away,
-            "cut": self.cut,
-            "bad_summaries": self.foreign,
+            "bytes_in": sum(feed.byte_counts[1] for feed in self._feeds),
+            "bytes_up": sum(feed.byte_counts[0] for feed in self._feeds),
+            "answers": self.delta_answers,
+            "wholes": self.full_answers,
+            "refused": self.refused_calls,
+            "turned_away": self.rejected_connections,
+            "cut": self.cut_connections,
+            "bad_summaries": self.bad_summaries,
         }
 
-    def operator_opened(self, operator: "Operator") -> bool:
-        if len(self._operators) >= OPS_MOST:
+    def operator_opened(self, operator: "OperatorConnection") -> bool:
+        if len(self._operators) >= OPS_MAX_CONNECTIONS:
             return False
         self._operators.add(operator)
         return True
 
-    def operator_closed(self, operator: "Operator") -> None:
+    def operator_closed(self, operator: "OperatorConnection") -> None:
         self._operators.discard(operator)
 
 
-class Operator(asyncio.Protocol):
-    """One connection of an operator: one line in, one line out."""
+class OperatorConnection(asyncio.Protocol):
+    """A connection of an operator: reads one line, answers with one line, and closes."""
 
     def __init__(self, tier: Tier) -> None:
         self._tier = tier
@@ -712,7 +779,7 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._timer = asyncio.get_running_loop().call_later(OPS_SILENT_S, self.abort)
+        self._timer = asyncio.get_running_loop().call_later(OPS_TIMEOUT_S, self.abort)
         if not self._tier.operator_opened(self):
             transport.abort()
 
@@ -724,21 +791,21 @@
 
     def data_received(self, data: bytes) -> None:
         self._buffer += data
-        line, end, _ = self._buffer.partition(b"\n")
+        line, newline, _ = self._buffer.partition(b"\n")
         if self._transport is None or self._transport.is_closing():
             return
-        if len(line) > OPS_LINE:
-            self._say(False, f"a call is a line of at most {OPS_LINE} bytes")
-        elif end:
+        if len(line) > OPS_MAX_LINE_BYTES:
+            self._reply(False, f"a call is one line of at most {OPS_MAX_LINE_BYTES} bytes")
+        elif newline:
             try:
-                self._say(*self._tier.call(line.removesuffix(b"\r").decode("ascii", "replace")))
+                self._reply(*self._tier.operator_call(line.removesuffix(b"\r").decode("ascii", "replace")))
             except Exception as error:
                 self._tier.log.failure("operators' call", error)
                 self.abort()
 
-    def _say(self, done: bool, text: str) -> None:
+    def _reply(self, succeeded: bool, text: str) -> None:
         assert self._transport is not None
-        self._transport.write(f"{200 if done else 400} {text}\n".encode())
+        self._transport.write(f"{200 if succeeded else 400} {text}\n".encode())
         self._transport.close()
 
     def abort(self) -> None:
@@ -746,38 +813,38 @@
             self._transport.abort()
 
 
-def _bound(place: tuple[str, int]) -> socket.socket:
+def _bind_socket(address: tuple[str, int]) -> socket.socket:
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(place)
+        sock.bind(address)
     except OSError as error:
         sock.close()
-        raise OSError(error.errno, f"{_text(place)}: {error.strerror}") from None
+        raise OSError(error.errno, f"{_format_address(address)}: {error.strerror}") from None
     return sock
 
 
-def _text(place: tuple[str, int]) -> str:
-    return f"{place[0]}:{place[1]}"
+def _format_address(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
 async def _run(config: Config, log: Log) -> None:
-    loop, ending = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ending.set)
+    loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     tier = Tier(config, log)
     try:
         await tier.start()
         gc.collect()
         gc.freeze()
-        await ending.wait()
+        await stop_requested.wait()
     finally:
         await tier.stop()
     log.event("tier_ended")
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run until SIGTERM. 2: the configuration is faulty; 1: an address can't be listened on."""
+    """Run until SIGTERM. Exit status 2: invalid configuration; 1: an address cannot be listened on."""
     if len(arguments) != 1:
         Log("tier").event("bad_configuration", message="one argument: the path of the configuration")
         return 2
--- a/larkcrank/tiers/receivers.py
+++ b/larkcrank/tiers/receivers.py
@@ -1,4 +1,4 @@
-"""Those who ask a tier: doors with their answers, and one small protocol a connection."""
+"""The listeners of a tier, the answers that they share, and the HTTP connections of receivers."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -7,204 +7,230 @@
 
 from larkcrank.protocol import http1
 from larkcrank.tiers import wire
-from larkcrank.tiers.gather import Gather
-from larkcrank.tiers.state import State
+from larkcrank.tiers.gather import ChangeBatcher
+from larkcrank.tiers.state import InstanceTable
 
-SLICE = 256  # receivers answered in one turn of the loop
-MOST_CACHED = 64
-_JSON = (b"Content-Type: application/json",)
+BATCH_SIZE = 256  # receivers answered in one iteration of the event loop
+MAX_CACHED_ANSWERS = 64
+_CONTENT_TYPE = (b"Content-Type: application/json",)
 
 
-class Kind(Enum):
-    PART = "door"  # for sidecars: published fields alone
-    WHOLE = "listen"  # for tiers below
-    OWN = "own"  # for the tier above: what this tier and those below it own
+class ListenerKind(Enum):
+    """Whom a listener serves. Each value is a key of the configuration file."""
 
+    SIDECARS = "door"  # published fields only
+    CHILD_TIERS = "listen"  # all records
+    PARENT_TIER = "own"  # the records that this tier and those below it own
 
-class Door:
-    """One address, what is told there, and who waits for it. Answers are made once and shared."""
+
+class Listener:
+    """One listening address with its open and waiting connections. Each answer is encoded once and shared."""
 
     def __init__(
-        self, name: str, kind: Kind, services: Collection[str] | None, state: State, gather_s: float
+        self,
+        name: str,
+        kind: ListenerKind,
+        services: Collection[str] | None,
+        table: InstanceTable,
+        batch_interval_s: float,
     ) -> None:
         self.name, self.kind, self.services = name, kind, services
-        self.gather = Gather(gather_s)
-        self.changed = 0  # count at which something that is told here last became another
+        self.batcher = ChangeBatcher(batch_interval_s)
+        self.changed_seq = 0  # when something that is served here last changed
         self.receivers: set[Receiver] = set()
         self.waiting: set[Receiver] = set()
-        self.place: tuple[str, int] = ("", 0)
-        self._state = state
-        self._cached_at = (-1, -1, False, False)
-        self.stale = False  # what is told here may be behind: the tier hears nothing from above
-        self._cache: dict[int, bytes] = {}
-        self._wave: list[Receiver] = []
+        self.address: tuple[str, int] = ("", 0)
+        self._table = table
+        self._cache_key = (-1, -1, False, False)
+        self.reports_stale = False  # told to tiers: this tier, or one above it, has lost its parent
+        self._cache: dict[int, bytes] = {}  # responses by the sequence number after which they start
+        self._batch: list[Receiver] = []
 
     @property
-    def is_plain(self) -> bool:
-        return self.kind is Kind.PART
+    def is_for_sidecars(self) -> bool:
+        return self.kind is ListenerKind.SIDECARS
 
-    def since(self, count: int, provisional: bool) -> bytes:
-        """The answer for one who holds everything up to this count."""
-        return self._shared(count, provisional)
+    def delta_response(self, sequence: int, provisional: bool) -> bytes:
+        """The response for a receiver that holds everything up to `sequence`."""
+        return self._cached_response(sequence, provisional)
 
-    def whole(self, provisional: bool) -> bytes:
-        return self._shared(-1, provisional)
+    def full_response(self, provisional: bool) -> bytes:
+        return self._cached_response(-1, provisional)
 
     @property
     def owners(self) -> Collection[str] | None:
-        return self._state.subtree if self.kind is Kind.OWN else None
-
-    def holds(self, count: int) -> int:
-        """Up to which count one holds all that is told here who was last told at `count`."""
-        if count < 0 or count >= self.changed:
-            return self._state.count if count >= 0 else -1
-        state = self._state
-        if self.is_plain:
-            lacks = [line.altered for line in state.part_since(self.services, count)]
+        """The owners whose records are served here; None: all."""
+        return self._table.subtree_owners if self.kind is ListenerKind.PARENT_TIER else None
+
+    def held_up_to(self, sequence: int) -> int:
+        """Up to which sequence number a receiver holds everything that is served here.
+
+        `sequence` is the one of its last answer. Changes that are not served here do not count as missing.
+        """
+        if sequence < 0 or sequence >= self.changed_seq:
+            return self._table.sequence if sequence >= 0 else -1
+        table = self._table
+        if self.is_for_sidecars:
+            missing = [
+                record.content_changed_seq for record in table.changes_for_sidecar(self.services, sequence)
+            ]
         else:
-            lacks = [line.changed for line in state.all_since(count, self.owners)]
-        return min(lacks, default=state.count + 1) - 1
+            missing = [record.changed_seq for record in table.changes_for_tier(sequence, self.owners)]
+        return min(missing, default=table.sequence + 1) - 1
 
     @property
     def is_empty(self) -> bool:
-        if self.is_plain:
-            return not self._state.part(self.services)
+        if self.is_for_sidecars:
+            return not self._table.live_records(self.services)
         owners = self.owners
         return not any(
-            not line.gone and (owners is None or line.owner in owners) for line in self._state.lines()
+            not record.gone and (owners is None or record.owner in owners) for record in self._table.records()
         )
 
-    def _shared(self, count: int, provisional: bool) -> bytes:
-        state = self._state
-        mark = (state.identity, state.count, provisional, self.stale)
-        if self._cached_at != mark or len(self._cache) > MOST_CACHED:
-            self._cached_at = mark
+    def _cached_response(self, sequence: int, provisional: bool) -> bytes:
+        table = self._table
+        cache_key = (table.generation_prefix, table.sequence, provisional, self.reports_stale)
+        if self._cache_key != cache_key or len(self._cache) > MAX_CACHED_ANSWERS:
+            self._cache_key = cache_key
             self._cache.clear()
-        found = self._cache.get(count)
-        if found is None:
-            found = self._cache[count] = self._make(count, provisional)
-        return found
-
-    def _make(self, count: int, provisional: bool) -> bytes:
-        state, whole = self._state, count < 0
-        if self.is_plain:
-            lines = state.part(self.services) if whole else state.part_since(self.services, count)
-            body = wire.plain(lines, state.generation, whole)
+        response = self._cache.get(sequence)
+        if response is None:
+            response = self._cache[sequence] = self._encode_response(sequence, provisional)
+        return response
+
+    def _encode_response(self, sequence: int, provisional: bool) -> bytes:
+        table, full = self._table, sequence < 0
+        if self.is_for_sidecars:
+            records = (
+                table.live_records(self.services)
+                if full
+                else table.changes_for_sidecar(self.services, sequence)
+            )
+            body = wire.encode_for_sidecar(records, table.generation, full)
         else:
             owners = self.owners
-            lines = state.all_since(count, owners)
-            body = wire.full(lines, state.generation, whole, state.known_of(owners), provisional, self.stale)
-        return http1.response_bytes(200, _JSON, body)
-
-
-class Server(Protocol):
-    """What a receiver needs of the tier."""
-
-    def opened(self, receiver: "Receiver") -> bool: ...
-    def called(self, receiver: "Receiver", after: int | None, wait_ms: int, fields: http1.Fields) -> None: ...
-    def closed(self, receiver: "Receiver") -> None: ...
-    def slow(self, receiver: "Receiver", is_slow: bool) -> None: ...
-
-    longest_wait_ms: int
+            records = table.changes_for_tier(sequence, owners)
+            body = wire.encode_for_tier(
+                records,
+                table.generation,
+                full,
+                table.known_versions_of(owners),
+                provisional,
+                self.reports_stale,
+            )
+        return http1.response_bytes(200, _CONTENT_TYPE, body)
+
+
+class ReceiverHandler(Protocol):
+    """The callbacks and counters of the tier that a receiver's connection uses."""
+
+    def receiver_opened(self, receiver: "Receiver") -> bool: ...
+    def receiver_called(
+        self, receiver: "Receiver", after: int | None, wait_ms: int, fields: http1.Fields
+    ) -> None: ...
+    def receiver_closed(self, receiver: "Receiver") -> None: ...
+    def receiver_blocked(self, receiver: "Receiver", is_blocked: bool) -> None: ...
+
+    max_wait_ms: int
     bytes_out: int
 
 
 class Receiver(asyncio.Protocol):
-    """One connection, with what its other end is known to hold."""
+    """A connection of a sidecar or tier that reads the list, and what that peer is known to hold."""
 
     __slots__ = (
+        "_handler",
         "_loop",
         "_parser",
-        "_server",
-        "asks",
-        "count",
-        "door",
         "has_called",
+        "idle_since",
+        "is_calling",
         "is_tier",
-        "quiet_since",
+        "listener",
+        "sequence",
         "timer",
         "transport",
     )
 
-    def __init__(self, server: Server, door: Door, loop: asyncio.AbstractEventLoop) -> None:
-        self._server, self.door, self._loop = server, door, loop
+    def __init__(self, handler: ReceiverHandler, listener: Listener, loop: asyncio.AbstractEventLoop) -> None:
+        self._handler, self.listener, self._loop = handler, listener, loop
         self._parser: http1.RequestParser | None = None
         self.transport: asyncio.Transport | None = None
-        self.asks = self.has_called = False  # a call is under way; there was one
-        self.count = -1  # of generations: everything up to it is held at the other end; -1: not known
-        self.is_tier = False  # it sums up sidecars, and is none
-        self.quiet_since = loop.time()  # the last call or answer
+        self.is_calling = self.has_called = False  # a call awaits its response; there has been a call
+        self.sequence = -1  # the peer holds everything up to this sequence number; -1: unknown
+        self.is_tier = False  # the peer is a tier, not a sidecar
+        self.idle_since = loop.time()  # the last call or response
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def peer(self) -> str:
-        found = self.transport.get_extra_info("peername") if self.transport is not None else None
-        return "{}:{}".format(*found[:2]) if found else "?"
+        address = self.transport.get_extra_info("peername") if self.transport is not None else None
+        return "{}:{}".format(*address[:2]) if address else "?"
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         transport.set_write_buffer_limits(high=0)
-        if not self._server.opened(self):
+        if not self._handler.receiver_opened(self):
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.stop_timer()
-        self._server.closed(self)
+        self._handler.receiver_closed(self)
         self.transport = None
 
     def pause_writing(self) -> None:
-        self._server.slow(self, True)
+        self._handler.receiver_blocked(self, True)
 
     def resume_writing(self) -> None:
-        self._server.slow(self, False)
+        self._handler.receiver_blocked(self, False)
 
     def data_received(self, data: bytes) -> None:
         parser = self._parser or http1.RequestParser(max_body=0)
         try:
             parser.feed(data)
             request = parser.next()
-            if self.asks or (request is not None and parser.begun):
-                raise http1.MessageError(400, "a call while one is under way")
+            if self.is_calling or (request is not None and parser.begun):
+                raise http1.MessageError(400, "a call before the previous one was answered")
         except http1.MessageError as error:
-            self.refuse(error.status, close=True)
+            self.send_error(error.status, close=True)
             return
-        self._parser = parser if request is None else None  # most connections rest: they keep nothing
+        self._parser = parser if request is None else None  # saves memory: most connections are idle
         if request is None:
             return
-        call = wire.asked(request.target, self._server.longest_wait_ms)
+        call = wire.parse_list_target(request.target, self._handler.max_wait_ms)
         if request.method != b"GET":
-            self.refuse(405, close=True)
+            self.send_error(405, close=True)
         elif call is None:
-            self.refuse(404)
+            self.send_error(404)
         else:
-            self.asks = self.has_called = True
-            self.quiet_since = self._loop.time()
-            self._server.called(self, *call, request.fields)
+            self.is_calling = self.has_called = True
+            self.idle_since = self._loop.time()
+            self._handler.receiver_called(self, *call, request.fields)
 
-    def answer(self, data: bytes, close: bool = False) -> None:
+    def send(self, response: bytes, close: bool = False) -> None:
         self.stop_timer()
-        self.asks = False
+        self.is_calling = False
         if self.transport is None:
             return
-        self.quiet_since = self._loop.time()
-        self.transport.write(data)
-        self._server.bytes_out += len(data)
+        self.idle_since = self._loop.time()
+        self.transport.write(response)
+        self._handler.bytes_out += len(response)
         if close:
             self.transport.close()
 
-    def refuse(self, status: int, close: bool = False) -> None:
-        self.door.waiting.discard(self)
-        lines = (b"Retry-After: 1",) if status == 503 else ()
-        self.answer(http1.response_bytes(status, lines, b"", close=close), close)
+    def send_error(self, status: int, close: bool = False) -> None:
+        self.listener.waiting.discard(self)
+        header_lines = (b"Retry-After: 1",) if status == 503 else ()
+        self.send(http1.response_bytes(status, header_lines, b"", close=close), close)
 
     def abort(self) -> None:
         if self.transport is not None:
             self.transport.abort()
 
-    def wait(self, at: float, then: "Callable[[Receiver], None]") -> None:
+    def start_timer(self, at: float, callback: "Callable[[Receiver], None]") -> None:
         self.stop_timer()
-        self.timer = self._loop.call_at(at, then, self)
+        self.timer = self._loop.call_at(at, callback, self)
 
     def stop_timer(self) -> None:
         if self.timer is not None:
--- a/larkcrank/tiers/snapshot.py
+++ b/larkcrank/tiers/snapshot.py
@@ -1,8 +1,9 @@
-"""What a tier held, in a file: whole or not at all, read at a start.
+"""A tier's instance records in a file, which is replaced atomically and read when the tier starts.
 
-One line of JSON that names the format and holds a checksum of the rest, then msgpack. What is in it carries
-its owners' versions, so that nothing in it, however old, prevails over what is heard later. Until that is
-heard it serves those alone that have no list at all.
+The file is one line of JSON with the format and a checksum of the rest, followed by msgpack. The records
+carry their owners' versions, so a record from the file, however old, never outranks one that is received
+later. Until the tier has received current records, it serves those of the file only to receivers without any
+list.
 """
 
 import zlib
@@ -12,16 +13,16 @@
 import msgspec
 
 from larkcrank.fleet.snapshot import write as write_file
-from larkcrank.tiers.state import Line, State, Version
+from larkcrank.tiers.state import InstanceRecord, InstanceTable, Version
 
 FORMAT = "larkcrank-tier"
-VERSION = 1
-MOST_BYTES = 16 << 20
-FUTURE_MS = 60_000.0  # a clock that was set back by so little is forgiven
+FORMAT_VERSION = 1
+MAX_FILE_BYTES = 16 << 20
+MAX_CLOCK_BACKSTEP_MS = 60_000.0  # a file from the future is accepted if the clock was set back by no more
 
 
 class SnapshotError(Exception):
-    """The file can't be used; `why` is a word, the message says more."""
+    """The file cannot be used. `why` is a short code for logs; the message has the details."""
 
     def __init__(self, why: str, message: str) -> None:
         super().__init__(message)
@@ -31,12 +32,12 @@
 class _Head(msgspec.Struct, forbid_unknown_fields=True):
     format: str
     version: int
-    length: int
-    crc32: int
+    length: int  # bytes of the body
+    crc32: int  # of the body
 
 
-class _Line(msgspec.Struct, array_like=True):
-    id: str
+class _StoredRecord(msgspec.Struct, array_like=True):
+    instance_id: str
     service: str
     owner: str
     version: tuple[int, int]
@@ -48,72 +49,88 @@
 class _Body(msgspec.Struct):
     tier: str
     saved_at_ms: float
-    known: dict[str, tuple[int, int]]
-    lines: list[_Line]
+    known: dict[str, tuple[int, int]]  # known versions by owner
+    lines: list[_StoredRecord]
 
 
-class Kept(msgspec.Struct):
-    """What is taken up at a start."""
+class Snapshot(msgspec.Struct):
+    """What a tier loads from the file when it starts."""
 
-    lines: list[Line]
-    known: dict[str, Version]
+    lines: list[InstanceRecord]
+    known: dict[str, Version]  # known versions by owner
     age_ms: float
 
 
-def encode(state: State, now_ms: float) -> bytes:
-    lines = [
-        _Line(one.id, one.service, one.owner, one.version, one.gone, one.body, one.source)
-        for one in state.lines()
+def encode(table: InstanceTable, now_ms: float) -> bytes:
+    records = [
+        _StoredRecord(
+            record.instance_id,
+            record.service,
+            record.owner,
+            record.version,
+            record.gone,
+            record.body,
+            record.source,
+        )
+        for record in table.records()
     ]
-    body = msgspec.msgpack.encode(_Body(state.name, now_ms, state.known_of(), lines))
-    return msgspec.json.encode(_Head(FORMAT, VERSION, len(body), zlib.crc32(body))) + b"\n" + body
+    body = msgspec.msgpack.encode(_Body(table.name, now_ms, table.known_versions_of(), records))
+    return msgspec.json.encode(_Head(FORMAT, FORMAT_VERSION, len(body), zlib.crc32(body))) + b"\n" + body
 
 
-def decode(data: bytes, tier: str, now_ms: float, oldest_ms: float) -> Kept:
+def decode(data: bytes, tier: str, now_ms: float, max_age_ms: float) -> Snapshot:
     """Raises SnapshotError."""
-    first, newline, body = data.partition(b"\n")
+    first_line, newline, body = data.partition(b"\n")
     try:
-        head = msgspec.json.decode(first, type=_Head)
+        head = msgspec.json.decode(first_line, type=_Head)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise SnapshotError("torn" if not newline else "foreign", str(error)) from None
     if head.format != FORMAT:
-        raise SnapshotError("foreign", f"format {head.format!r}")
-    if head.version != VERSION:
-        raise SnapshotError("version", f"version {head.version}, not {VERSION}")
+        raise SnapshotError("foreign", f"unknown format {head.format!r}")
+    if head.version != FORMAT_VERSION:
+        raise SnapshotError("version", f"format version is {head.version}, not {FORMAT_VERSION}")
     if len(body) != head.length or zlib.crc32(body) != head.crc32:
-        raise SnapshotError("torn", f"{len(body)} bytes of {head.length}, or others than were written")
+        raise SnapshotError("torn", f"{len(body)} bytes of {head.length}, or the checksum does not match")
     try:
-        found = msgspec.msgpack.decode(body, type=_Body)
+        stored = msgspec.msgpack.decode(body, type=_Body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise SnapshotError("foreign", str(error)) from None
-    if found.tier != tier:
-        raise SnapshotError("other", f"of {found.tier!r}")
-    age_ms = now_ms - found.saved_at_ms
-    if age_ms < -FUTURE_MS:
-        raise SnapshotError("future", f"saved {-age_ms / 1000:.0f} s from now")
-    if age_ms > oldest_ms:
+    if stored.tier != tier:
+        raise SnapshotError("other", f"saved by another tier, {stored.tier!r}")
+    age_ms = now_ms - stored.saved_at_ms
+    if age_ms < -MAX_CLOCK_BACKSTEP_MS:
+        raise SnapshotError("future", f"saved {-age_ms / 1000:.0f} s in the future")
+    if age_ms > max_age_ms:
         raise SnapshotError("old", f"saved {age_ms / 1000:.0f} s ago")
-    lines = [
-        Line(one.id, one.service, one.owner, one.version, one.gone, one.body, one.source)
-        for one in found.lines
+    records = [
+        InstanceRecord(
+            record.instance_id,
+            record.service,
+            record.owner,
+            record.version,
+            record.gone,
+            record.body,
+            record.source,
+        )
+        for record in stored.lines
     ]
-    return Kept(lines, found.known, age_ms)
+    return Snapshot(records, stored.known, age_ms)
 
 
-def read(path: Path, tier: str, now_ms: float, oldest_ms: float) -> Kept:
+def read(path: Path, tier: str, now_ms: float, max_age_ms: float) -> Snapshot:
     """Raises SnapshotError."""
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         raise SnapshotError("missing", "no such file") from None
     except OSError as error:
         raise SnapshotError("unreadable", error.strerror or str(error)) from None
-    if len(data) > MOST_BYTES:
-        raise SnapshotError("large", f"over {MOST_BYTES} bytes")
-    return decode(data, tier, now_ms, oldest_ms)
+    if len(data) > MAX_FILE_BYTES:
+        raise SnapshotError("large", f"over {MAX_FILE_BYTES} bytes")
+    return decode(data, tier, now_ms, max_age_ms)
 
 
-def write(path: Path, data: bytes, step: Callable[[str], None] = lambda name: None) -> None:
-    """Replace the file in one step; blocks, so it is called in a thread. Raises OSError."""
-    write_file(path, data, step)
+def write(path: Path, data: bytes, on_step: Callable[[str], None] = lambda name: None) -> None:
+    """Replace the file atomically. Blocks, so call it in a thread. Raises OSError."""
+    write_file(path, data, on_step)
--- a/larkcrank/tiers/wire.py
+++ b/larkcrank/tiers/wire.py
@@ -1,7 +1,7 @@
-"""Answers of discovery and of tiers, from bytes and to bytes.
+"""Decodes and encodes the answers of discovery services and tiers.
 
-Between tiers a line carries `service`, `owner` and `version` beside its published fields, and an answer
-`owners`, which is its knowledge. A plain sidecar reads past these.
+Between tiers an instance carries `service`, `owner` and `version` beside its published fields, and an answer
+carries `owners`, the known version of each owner. A sidecar ignores these fields.
 """
 
 from collections.abc import Collection, Iterable
@@ -10,18 +10,18 @@
 import msgspec
 
 from larkcrank.protocol.discovery import LIST_TARGET
-from larkcrank.tiers.state import Line, Told, Version
+from larkcrank.tiers.state import DiscoveryRecord, InstanceRecord, Version
 
-MOST_LINE = 4096  # bytes of one line's published fields
-MOST_NAME = 256
-_EXTRA = ("service", "owner", "version")
+MAX_RECORD_BYTES = 4096  # of one instance's published fields
+MAX_NAME_CHARS = 256
+_TIER_FIELDS = ("service", "owner", "version")
 
 
 class AnswerError(Exception):
-    """The answer can't be taken in; the message says why."""
+    """The answer cannot be used; the message says why."""
 
 
-class _Line(msgspec.Struct, rename="camel"):
+class _Instance(msgspec.Struct, rename="camel"):
     instance_id: str
     lifecycle: str
     host_port: str = ""
@@ -37,153 +37,163 @@
 
 class _Answer(msgspec.Struct):
     generation: int
-    instances: list[_Line]
-    reset: bool = False
-    owners: dict[str, tuple[int, int]] | None = None
+    instances: list[_Instance]
+    reset: bool = False  # the answer is full
+    owners: dict[str, tuple[int, int]] | None = None  # known versions by owner; None: a discovery's answer
     provisional: bool = False
     stale: bool = False
 
 
-class _Raw(msgspec.Struct):
+class _RawAnswer(msgspec.Struct):
+    """The instances with all their fields, also those that `_Instance` does not name."""
+
     instances: list[dict[str, object]]
 
 
 @dataclass(slots=True)
-class FromDiscovery:
+class DiscoveryAnswer:
     generation: int
-    whole: bool
-    lines: list[Told]
+    full: bool
+    records: list[DiscoveryRecord]
 
 
 @dataclass(slots=True)
-class FromTier:
+class TierAnswer:
     generation: int
-    whole: bool
-    lines: list[Line]
-    known: dict[str, Version]
-    provisional: bool  # it has not yet heard from all that it depends on
-    stale: bool = False  # it, or one above it, has heard nothing from above of late
+    full: bool
+    records: list[InstanceRecord]
+    known_versions: dict[str, Version]
+    provisional: bool  # the tier has not yet heard from everything that it depends on
+    stale: bool = False  # the tier, or one above it, has had no recent answer from its parent
 
 
-_answer = msgspec.json.Decoder(_Answer)
-_raw = msgspec.json.Decoder(_Raw)
-_line = msgspec.json.Encoder()
+_answer_decoder = msgspec.json.Decoder(_Answer)
+_raw_answer_decoder = msgspec.json.Decoder(_RawAnswer)
+_json_encoder = msgspec.json.Encoder()
 
 
-def read(text: bytes, service: str = "", services: Collection[str] | None = None) -> FromDiscovery | FromTier:
-    """What the answer says; it is a tier's where it tells what it knows.
+def decode_answer(
+    text: bytes, service: str = "", services: Collection[str] | None = None
+) -> DiscoveryAnswer | TierAnswer:
+    """Decode an answer; one with known versions comes from a tier, any other from a discovery service.
 
-    A discovery's lines without a service are of `service`; with `services` no others are taken. Raises
-    `AnswerError`.
+    `service` is the service of a discovery's instances that name none. If `services` is given, an instance of
+    any other service is an error. Raises `AnswerError`.
     """
     try:
-        told = _answer.decode(text)
-        raw = _raw.decode(text).instances
+        answer = _answer_decoder.decode(text)
+        raw_instances = _raw_answer_decoder.decode(text).instances
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise AnswerError(f"malformed: {error}") from None
-    if told.generation < 0:
-        raise AnswerError(f"malformed: generation {told.generation}")
-    pairs = zip(told.instances, raw, strict=True)
-    if told.owners is None:
-        lines = [_told(line, fields, service) for line, fields in pairs]
-        _check_services((one.service for one in lines), services if services is not None else None)
-        return FromDiscovery(told.generation, told.reset, lines)
-    merged = [_merged(line, fields) for line, fields in pairs]
-    _check_services((one.service for one in merged), services)
-    return FromTier(told.generation, told.reset, merged, told.owners, told.provisional, told.stale)
-
-
-def _check_services(found: Iterable[str], services: Collection[str] | None) -> None:
-    if services is not None:
-        for one in found:
-            if one not in services:
-                raise AnswerError(f"unknown service {one!r}")
-
-
-def _told(line: _Line, fields: dict[str, object], service: str) -> Told:
-    if service and line.service not in (None, service):
-        raise AnswerError(f"unknown service {line.service!r} in a list of {service!r}")
-    return Told(
-        line.instance_id, _name(line.service or service, True), line.lifecycle == "Gone", _body(line, fields)
+    if answer.generation < 0:
+        raise AnswerError(f"malformed: generation {answer.generation}")
+    pairs = zip(answer.instances, raw_instances, strict=True)
+    if answer.owners is None:
+        reports = [_discovery_record(instance, fields, service) for instance, fields in pairs]
+        _check_services((report.service for report in reports), services if services is not None else None)
+        return DiscoveryAnswer(answer.generation, answer.reset, reports)
+    records = [_tier_record(instance, fields) for instance, fields in pairs]
+    _check_services((record.service for record in records), services)
+    return TierAnswer(
+        answer.generation, answer.reset, records, answer.owners, answer.provisional, answer.stale
+    )
+
+
+def _check_services(found: Iterable[str], allowed: Collection[str] | None) -> None:
+    if allowed is not None:
+        for service in found:
+            if service not in allowed:
+                raise AnswerError(f"unknown service {service!r}")
+
+
+def _discovery_record(instance: _Instance, fields: dict[str, object], service: str) -> DiscoveryRecord:
+    if service and instance.service not in (None, service):
+        raise AnswerError(f"unknown service {instance.service!r} in a list of {service!r}")
+    return DiscoveryRecord(
+        instance.instance_id,
+        _checked_name(instance.service or service, True),
+        instance.lifecycle == "Gone",
+        _published_body(instance, fields),
     )
 
 
-def _merged(line: _Line, fields: dict[str, object]) -> Line:
-    if line.owner is None or line.version is None or min(line.version) < 0:
-        raise AnswerError(f"foreign: no owner or version of {line.instance_id!r}")
-    return Line(
-        line.instance_id,
-        _name(line.service or "", True),
-        _name(line.owner),
-        line.version,
-        line.lifecycle == "Gone",
-        _body(line, fields),
+def _tier_record(instance: _Instance, fields: dict[str, object]) -> InstanceRecord:
+    if instance.owner is None or instance.version is None or min(instance.version) < 0:
+        raise AnswerError(f"foreign: no owner or version of {instance.instance_id!r}")
+    return InstanceRecord(
+        instance.instance_id,
+        _checked_name(instance.service or "", True),
+        _checked_name(instance.owner),
+        instance.version,
+        instance.lifecycle == "Gone",
+        _published_body(instance, fields),
     )
 
 
-def _name(text: str, empty: bool = False) -> str:
-    if len(text) > MOST_NAME or not (text or empty):
-        raise AnswerError(f"malformed: a name of {len(text)} characters")
-    return text
+def _checked_name(name: str, may_be_empty: bool = False) -> str:
+    if len(name) > MAX_NAME_CHARS or not (name or may_be_empty):
+        raise AnswerError(f"malformed: a name of {len(name)} characters")
+    return name
 
 
-def _body(line: _Line, fields: dict[str, object]) -> bytes:
-    _name(line.instance_id)
-    for key in _EXTRA:
+def _published_body(instance: _Instance, fields: dict[str, object]) -> bytes:
+    """Encode the instance's fields without those that only tiers use."""
+    _checked_name(instance.instance_id)
+    for key in _TIER_FIELDS:
         fields.pop(key, None)
-    body = _line.encode(fields)
-    if len(body) > MOST_LINE:
+    body = _json_encoder.encode(fields)
+    if len(body) > MAX_RECORD_BYTES:
         raise AnswerError(f"malformed: a line of {len(body)} bytes")
     return body
 
 
-# To bytes. The fields were encoded when they came; an answer is put together from these.
+# Encoding. The fields of each record were encoded when it was decoded; an answer is joined from these bodies.
 
 
-def _gone(line: Line) -> bytes:
-    return _line.encode({"instanceId": line.id, "lifecycle": "Gone"})
+def _gone_body(record: InstanceRecord) -> bytes:
+    return _json_encoder.encode({"instanceId": record.instance_id, "lifecycle": "Gone"})
 
 
-def plain(lines: Iterable[Line], generation: int, whole: bool) -> bytes:
-    """An answer for sidecars."""
-    text = b",".join([_gone(line) if line.gone else line.body for line in lines])
-    return b'{"generation":%d,"reset":%s,"instances":[%s]}' % (generation, _bool(whole), text)
+def encode_for_sidecar(records: Iterable[InstanceRecord], generation: int, full: bool) -> bytes:
+    instances = b",".join([_gone_body(record) if record.gone else record.body for record in records])
+    return b'{"generation":%d,"reset":%s,"instances":[%s]}' % (generation, _json_bool(full), instances)
 
 
-def full(
-    lines: Iterable[Line],
+def encode_for_tier(
+    records: Iterable[InstanceRecord],
     generation: int,
-    whole: bool,
-    known: dict[str, Version],
+    full: bool,
+    known_versions: dict[str, Version],
     provisional: bool,
     stale: bool = False,
 ) -> bytes:
-    """An answer for tiers."""
-    names: dict[tuple[str, str], bytes] = {}
-    parts = []
-    for line in lines:
-        key = (line.service, line.owner)
-        extra = names.get(key)
-        if extra is None:
-            extra = names[key] = b',"service":%s,"owner":%s,"version":[' % tuple(map(_line.encode, key))
-        body = _gone(line) if line.gone else line.body
-        parts.append(b"%s%s%d,%d]}" % (body[:-1], extra, *line.version))
+    encoded_names: dict[tuple[str, str], bytes] = {}
+    instances = []
+    for record in records:
+        key = (record.service, record.owner)
+        tier_fields = encoded_names.get(key)
+        if tier_fields is None:
+            tier_fields = encoded_names[key] = b',"service":%s,"owner":%s,"version":[' % tuple(
+                map(_json_encoder.encode, key)
+            )
+        body = _gone_body(record) if record.gone else record.body
+        instances.append(b"%s%s%d,%d]}" % (body[:-1], tier_fields, *record.version))
     return b'{"generation":%d,"reset":%s,"provisional":%s,"stale":%s,"owners":%s,"instances":[%s]}' % (
         generation,
-        _bool(whole),
-        _bool(provisional),
-        _bool(stale),
-        _line.encode(known),
-        b",".join(parts),
+        _json_bool(full),
+        _json_bool(provisional),
+        _json_bool(stale),
+        _json_encoder.encode(known_versions),
+        b",".join(instances),
     )
 
 
-def _bool(value: bool) -> bytes:
+def _json_bool(value: bool) -> bytes:
     return b"true" if value else b"false"
 
 
-def asked(target: bytes, longest_ms: int) -> tuple[int | None, int] | None:
-    """`after` (None: the whole is asked for) and the wait in ms; None where the target is no such call."""
+def parse_list_target(target: bytes, max_wait_ms: int) -> tuple[int | None, int] | None:
+    """`after` (None: the full list) and the wait in ms; None if the target is no valid list request."""
     path, _, query = target.partition(b"?")
     if path != LIST_TARGET:
         return None
@@ -196,5 +206,5 @@
             if key == b"after":
                 after = int(value)
             else:
-                wait_ms = min(int(value), longest_ms)
+                wait_ms = min(int(value), max_wait_ms)
     return after, wait_ms
--- a/tests/test_tiers_gather.py
+++ b/tests/test_tiers_gather.py
@@ -7,21 +7,21 @@
 from hypothesis import strategies as st
 
 from larkcrank.routing.places import Places
-from larkcrank.tiers.gather import Gather, Turns
+from larkcrank.tiers.gather import ChangeBatcher, FullAnswerLimiter
 
 
 def waves(changes: list[float], gather_s: float) -> list[tuple[float, int]]:
     """When each wave goes, and how many changes it tells."""
-    gather, told = Gather(gather_s), []
+    gather, told = ChangeBatcher(gather_s), []
     open_since, pending = None, 0
     for at in [*sorted(changes), float("inf")]:
-        while gather.due is not None and gather.due <= at:
-            due = gather.due
-            gather.went(due)
+        while gather.due_at is not None and gather.due_at <= at:
+            due = gather.due_at
+            gather.sent(due)
             told.append((due, pending))
             pending, open_since = 0, None
         if at < float("inf"):
-            due = gather.changed(at)
+            due = gather.schedule(at)
             open_since = at if open_since is None else open_since
             assert at <= due <= open_since + gather_s
             pending += 1
@@ -51,13 +51,13 @@
 
 
 def test_whole_answers_are_given_at_the_stated_rate() -> None:
-    turns = Turns(rate=100.0, wait_s=2.0)
-    asked = [turns.ask(7.0) for _ in range(400)]
+    turns = FullAnswerLimiter(rate_per_s=100.0, max_wait_s=2.0)
+    asked = [turns.reserve(7.0) for _ in range(400)]
     given_at = [at for at in asked if at is not None]
     assert len(given_at) == 201 and given_at[0] == 7.0 and max(given_at) <= 9.0 + 1e-9
     assert all(abs(later - at - 0.01) < 1e-9 for at, later in pairwise(given_at))
-    assert turns.ask(8.0) is not None  # a place in the queue is free again
-    assert turns.ask(20.0) == 20.0
+    assert turns.reserve(8.0) is not None  # a place in the queue is free again
+    assert turns.reserve(20.0) == 20.0
 
 
 def places(count: int, seed: int = 1) -> Places:
--- a/tests/test_tiers_program.py
+++ b/tests/test_tiers_program.py
@@ -153,7 +153,7 @@
             source.tell(line("s-3"))
             await until(lambda: bool(tier.events("tier_call_failed")))
             assert tier.events("tier_call_failed")[0]["reason"].startswith(reason)
-            assert not waits.done() and tier.it.state.living == 2
+            assert not waits.done() and tier.it.table.live_count == 2
             source.spoil = lambda body: body
             assert await waits == 200
             assert sidecar.states == {"s-1": "Ready", "s-2": "Ready", "s-3": "Ready"}
@@ -261,7 +261,7 @@
             assert below.last["provisional"] and below.last["owners"] == {}  # nothing is known to be gone
             waits = asyncio.create_task(below.ask()) if waiting else None
             second.spoil = lambda body: body
-            await until(lambda: tier.it.complete)
+            await until(lambda: tier.it.is_complete)
             assert await (waits or below.ask()) == 200 and not below.last["provisional"]
             assert below.last["reset"] and below.lines.keys() == {"a-1", "b-1"}
             assert below.last["owners"].keys() == {"t"}
@@ -281,7 +281,7 @@
             crowd = [Receiver(tier.door()) for _ in range(40)]
             answers = await asyncio.gather(*(one.ask() for one in crowd))
             assert set(answers) == {200, 503} and answers.count(200) < 20
-            assert tier.it.refused >= 20
+            assert tier.it.refused_calls >= 20
             assert await first.ask(wait_ms=1) == 200  # who holds a list waits for nobody
             for one in (first, *crowd):
                 one.close()
@@ -295,10 +295,10 @@
         async with alone(*names, settings={"write_ms": 300.0, "wholes_per_s": 1000.0}) as (source, tier):
             sidecar = Receiver(tier.door())
             await whole(sidecar)
-            _, writer = await asyncio.open_connection(*tier.it.doors[0].place, limit=1)
+            _, writer = await asyncio.open_connection(*tier.it.sidecar_listeners[0].address, limit=1)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
             turn = 0
-            while not tier.it.cut:
+            while not tier.it.cut_connections:
                 turn += 1
                 if not writer.transport.is_closing():
                     writer.write(b"GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -321,7 +321,7 @@
             over = Receiver(tier.door())
             with pytest.raises(ConnectionError):
                 await over.ask()
-            assert tier.it.turned_away == 1 and await held[0].ask(wait_ms=1) == 200
+            assert tier.it.rejected_connections == 1 and await held[0].ask(wait_ms=1) == 200
             for one in (*held, over):
                 one.close()
 
@@ -344,7 +344,7 @@
 def test_a_bad_call_is_answered_so(text: bytes, status: int) -> None:
     async def work() -> None:
         async with alone("s-1") as (_, tier):
-            reader, writer = await asyncio.open_connection(*tier.it.doors[0].place)
+            reader, writer = await asyncio.open_connection(*tier.it.sidecar_listeners[0].address)
             writer.write(text)
             assert (await reader.readline()).startswith(b"HTTP/1.1 %d " % status)
             writer.transport.abort()
@@ -375,7 +375,7 @@
             watches = asyncio.create_task(quick.ask())  # the other does not come again
             while await held() != (1, 1):
                 await asyncio.sleep(0.02)
-            _, told = await operator(origin, f"HELD {origin.it.state.generation}")
+            _, told = await operator(origin, f"HELD {origin.it.table.generation}")
             assert told["not_held"] == 1
             late = told["late"][0]
             assert (late["tier"], late["door"]) == ("zone", "doors[0]") and late["peer"].startswith("127.")
@@ -435,9 +435,9 @@
                 far_sidecar = Receiver(zone.door(1))
                 await whole(far_sidecar)
                 await whole(sidecar)
-                await until(lambda: all(t.it.complete for t in (origin, region, zone, other)))
-                await until(lambda: len(other.it.state.part(None)) == 3)
-                wholes = [feed.wholes for t in (origin, region, other) for feed in t.it._feeds]
+                await until(lambda: all(t.it.is_complete for t in (origin, region, zone, other)))
+                await until(lambda: len(other.it.table.live_records(None)) == 3)
+                wholes = [feed.full_requests for t in (origin, region, other) for feed in t.it._feeds]
                 link.cut()
                 up.cut()
                 source.tell(line("s-1", "Gone"), line("s-3"))
@@ -446,12 +446,12 @@
                 upper = Receiver(origin.listen)
                 await whole(upper)
                 await until_told(upper, lambda: upper.lines.keys() == {"s-1", "s-2", "f-2"})
-                await until(lambda: region.it.above is not None and bool(region.it.above.trouble))
+                await until(lambda: region.it.parent is not None and bool(region.it.parent.current_error))
                 link.heal()
                 up.heal()
                 await until_told(upper, lambda: upper.lines.keys() == {"s-2", "s-3", "f-2"})
                 await until_told(far_sidecar, lambda: far_sidecar.lines.keys() == {"f-2"})
-                assert wholes == [feed.wholes for t in (origin, region, other) for feed in t.it._feeds]
+                assert wholes == [feed.full_requests for t in (origin, region, other) for feed in t.it._feeds]
                 for one in (sidecar, far_sidecar, upper):
                     one.close()
                 up.stop()
@@ -475,17 +475,19 @@
                 async with running(zone):
                     sidecar = Receiver(zone.door())
                     await whole(sidecar)
-                    assert zone.it.above is not None
+                    assert zone.it.parent is not None
                     link.cut()  # half open: it says nothing more
                     source.tell(line("s-1", "Terminating"))
                     await until_told(sidecar, lambda: sidecar.states == {"s-1": "Terminating"})
-                    assert zone.it.above.place == second.listen and zone.events("tier_moved")
-                    wholes = zone.it.above.wholes
+                    assert zone.it.parent.current_address == second.listen and zone.events("tier_moved")
+                    wholes = zone.it.parent.full_requests
                     link.heal()
-                    await until(lambda: zone.it.above is not None and zone.it.above.place == link.place)
+                    await until(
+                        lambda: zone.it.parent is not None and zone.it.parent.current_address == link.place
+                    )
                     source.tell(line("s-1", "Ready"))
                     await until_told(sidecar, lambda: sidecar.states == {"s-1": "Ready"})
-                    assert zone.it.above.wholes == wholes  # home remembers what it had told
+                    assert zone.it.parent.full_requests == wholes  # home remembers what it had told
                     sidecar.close()
                 link.stop()
 
@@ -500,7 +502,7 @@
             async with running(zone):
                 sidecar = Receiver(region.door())
                 await whole(sidecar)
-                await until(lambda: zone.it.complete)
+                await until(lambda: zone.it.is_complete)
                 link.cut()
                 source.tell(line("s-1", "Gone"))
                 await until_told(sidecar, lambda: sidecar.lines.keys() == {"s-2"})
@@ -508,7 +510,7 @@
                 moved.generation, moved.lines = sidecar.generation, dict(sidecar.lines)
                 asks = asyncio.create_task(moved.ask())
                 await until(lambda: bool(zone.events("tier_call_failed")))
-                assert zone.it.state.living == 2  # it has not heard of it yet, and says nothing
+                assert zone.it.table.live_count == 2  # it has not heard of it yet, and says nothing
                 link.heal()
                 while await asks != 200:
                     asks = asyncio.create_task(moved.ask())
@@ -528,7 +530,7 @@
             zone = Running(name="deaf", above=[up.place], doors=[ANY], settings=deaf, ops="127.0.0.1:0")
             async with running(zone):
                 here, near = Receiver(zone.door()), Receiver(region.listen)
-                await until(lambda: zone.it.complete)
+                await until(lambda: zone.it.is_complete)
                 await whole(here)
                 await whole(near)
                 waits = asyncio.create_task(here.ask())
@@ -537,7 +539,7 @@
                 assert await waits == 503 and zone.events("tier_deaf")
                 assert await here.ask() == 503  # also who comes again
                 assert (await operator(zone, "STATE"))[1]["deaf"] is True
-                await until(lambda: bool(region.it.above and region.it.above.trouble))
+                await until(lambda: bool(region.it.parent and region.it.parent.current_error))
                 source.tell(line("s-2"))
                 await until_told(near, lambda: near.lines.keys() == {"s-1", "s-2"})
                 up.heal()
@@ -566,13 +568,15 @@
                     sidecar = Receiver(zone.door())
                     await whole(sidecar)
                     home.cut()
-                    await until(lambda: bool(zone.it.above and zone.it.above.place == near.listen))
+                    await until(
+                        lambda: bool(zone.it.parent and zone.it.parent.current_address == near.listen)
+                    )
                     await until_told(sidecar, lambda: sidecar.lines.keys() == {"s-1", "f-1"})
                     home.heal()
                     link.cut()  # the neighbour answers, and hears nothing of the rest
                     source.tell(line("s-1", "Terminating"))
                     await until_told(sidecar, lambda: sidecar.states["s-1"] == "Terminating")
-                    assert zone.it.above is not None and zone.it.above.place == home.place
+                    assert zone.it.parent is not None and zone.it.parent.current_address == home.place
                     sidecar.close()
                 home.stop()
             far.stop()
@@ -595,7 +599,7 @@
             sidecar.close()
             await until_told(sidecar, lambda: sidecar.states == {"s-1": "Terminating"})
             waits = asyncio.create_task(sidecar.ask())
-            await until(lambda: bool(tier.it.doors[0].waiting))
+            await until(lambda: bool(tier.it.sidecar_listeners[0].waiting))
             _, told = await operator(tier, "HELD")
             assert (told["held"], told["not_held"]) == (1, 0)
             waits.cancel()
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -165,13 +165,13 @@
                 told = [await sidecar.holds(b"s-1", State.DRAINING) for sidecar in fleet]
                 assert max(told) - began < FAULT_S
                 assert max(told) - min(told) > 0.2  # spread, not all at one moment
-                assert two.it.calls - calls_before < 40 * 12 and two.it.wholes >= 40
+                assert two.it.calls - calls_before < 40 * 12 and two.it.full_answers >= 40
                 assert not any(sidecar.returned for sidecar in fleet)
                 if way == "killed":
                     links[0].to = "127.0.0.1:9"
-                    continue_at = two.it.wholes
+                    continue_at = two.it.full_answers
                     await asyncio.sleep(90.0)
-                    assert two.it.wholes == continue_at  # home is looked at, and is not there
+                    assert two.it.full_answers == continue_at  # home is looked at, and is not there
 
     run(work())
 
@@ -183,11 +183,11 @@
             async with watching(*fleet):
                 await asyncio.sleep(2.0)
                 links[0].cut()
-                await until_wide(lambda: len(two.it.doors[0].receivers) == 40)
+                await until_wide(lambda: len(two.it.sidecar_listeners[0].receivers) == 40)
                 links[0].heal()
                 homes: list[float] = []
                 while len(homes) < 40:
-                    at_home = len(one.it.doors[0].receivers)
+                    at_home = len(one.it.sidecar_listeners[0].receivers)
                     homes += [asyncio.get_running_loop().time()] * (at_home - len(homes))
                     await asyncio.sleep(0.25)
                 assert max(homes.count(at) for at in homes) <= 8  # of 40 over 40 s
--- a/tests/test_tiers_snapshot.py
+++ b/tests/test_tiers_snapshot.py
@@ -9,7 +9,7 @@
 
 from larkcrank.tiers import snapshot
 from larkcrank.tiers.snapshot import SnapshotError
-from larkcrank.tiers.state import State, Told, identity
+from larkcrank.tiers.state import DiscoveryRecord, InstanceTable, new_generation_prefix
 from tests.bed import run, until
 from tests.tiers_bed import Discovery, Receiver, Running, line, operator, running, until_told, whole
 
@@ -17,30 +17,35 @@
 ANY = {"listen": "127.0.0.1:0", "services": ["*"]}
 
 
-def held(*names: str) -> State:
-    state = State("t", 5, identity(5.0, 5))
-    state.tell(
-        "d", [Told(name, "svc", False, b'{"instanceId":"%s"}' % name.encode()) for name in names], True, 0
+def held(*names: str) -> InstanceTable:
+    state = InstanceTable("t", 5, new_generation_prefix(5.0, 5))
+    state.apply_discovery(
+        "d",
+        [DiscoveryRecord(name, "svc", False, b'{"instanceId":"%s"}' % name.encode()) for name in names],
+        True,
+        0,
     )
-    state.knows_mine = True
+    state.own_records_complete = True
     return state
 
 
 def test_what_is_written_is_read_and_the_next_life_outranks_it(tmp_path: Path) -> None:
     state = held("a", "b")
-    state.tell("d", [Told("a", "svc", True, b"")], False, 0.0)
+    state.apply_discovery("d", [DiscoveryRecord("a", "svc", True, b"")], False, 0.0)
     path = tmp_path / "s"
     snapshot.write(path, snapshot.encode(state, 1000.0))
     kept = snapshot.read(path, "t", 61_000.0, HOUR_MS)
     assert kept.age_ms == 60_000.0
-    after = State("t", 2, identity(9.0, 9))  # by a clock that was set back
+    after = InstanceTable("t", 2, new_generation_prefix(9.0, 9))  # by a clock that was set back
     after.restore(kept.lines, kept.known, 0.0)
-    assert [one.id for one in after.part(None)] == ["b"] and after.tombstones == 1
-    assert after.known_of() == state.known_of()
-    after.tell("d", [Told("b", "svc", False, b'{"instanceId":"b","weight":2}')], True, 0.0)
-    (line,) = after.part(None)
-    assert line.version > state.part(None)[0].version
-    assert not after.tell("d", [Told("b", "svc", False, line.body)], True, 0.0)
+    assert [one.instance_id for one in after.live_records(None)] == ["b"] and after.tombstone_count == 1
+    assert after.known_versions_of() == state.known_versions_of()
+    after.apply_discovery(
+        "d", [DiscoveryRecord("b", "svc", False, b'{"instanceId":"b","weight":2}')], True, 0.0
+    )
+    (line,) = after.live_records(None)
+    assert line.version > state.live_records(None)[0].version
+    assert not after.apply_discovery("d", [DiscoveryRecord("b", "svc", False, line.body)], True, 0.0)
 
 
 @pytest.mark.parametrize(
@@ -90,7 +95,7 @@
         os._exit(0)
     os.waitpid(child, 0)
     kept = snapshot.read(path, "t", 1000.0, HOUR_MS)
-    assert [one.id for one in kept.lines] == (["new"] if at == "replaced" else ["old"])
+    assert [one.instance_id for one in kept.lines] == (["new"] if at == "replaced" else ["old"])
 
 
 def test_after_a_restart_it_serves_only_who_has_no_list_until_all_is_heard(tmp_path: Path) -> None:
@@ -115,7 +120,7 @@
             assert await below.ask() == 200 and below.last["provisional"]
             assert await operator(tier, "PING") == (400, "starting")
             source.spoil = lambda body: body
-            await until(lambda: tier.it.complete)
+            await until(lambda: tier.it.is_complete)
             assert await holds.ask() == 200 and holds.last["reset"]
             assert holds.lines.keys() == {"s-2", "s-3"}
             await until_told(new, lambda: new.lines.keys() == {"s-2", "s-3"})
@@ -139,7 +144,9 @@
             source.tell(line("s-2"))
 
             def names() -> set[str]:
-                return {one.id for one in snapshot.read(path, "t", time.time() * 1000.0, HOUR_MS).lines}
+                return {
+                    one.instance_id for one in snapshot.read(path, "t", time.time() * 1000.0, HOUR_MS).lines
+                }
 
             def current() -> bool:
                 try:
