--- a/tests/test_tiers_state.py
+++ b/tests/test_tiers_state.py
@@ -7,34 +7,41 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkcrank.tiers.state import COUNTER_BITS, Line, State, Told, Version, identity
+from larkcrank.tiers.state import (
+    SEQUENCE_BITS,
+    DiscoveryRecord,
+    InstanceRecord,
+    InstanceTable,
+    Version,
+    new_generation_prefix,
+)
 
 SERVICES = ("a", "b")
 
 
-def told(id: str, lifecycle: str, service: str = "a") -> Told:
-    return Told(id, service, lifecycle == "Gone", f"{id} {lifecycle}".encode())
+def told(id: str, lifecycle: str, service: str = "a") -> DiscoveryRecord:
+    return DiscoveryRecord(id, service, lifecycle == "Gone", f"{id} {lifecycle}".encode())
 
 
-def state(name: str, epoch: int = 1, drawn: int = 1, tombstones: int = 20_000) -> State:
-    return State(name, epoch, identity(epoch, drawn), tombstones)
+def state(name: str, epoch: int = 1, drawn: int = 1, tombstones: int = 20_000) -> InstanceTable:
+    return InstanceTable(name, epoch, new_generation_prefix(epoch, drawn), tombstones)
 
 
-def copied(lines: Sequence[Line]) -> list[Line]:
-    return [replace(line, source="", changed=0, altered=0) for line in lines]
+def copied(lines: Sequence[InstanceRecord]) -> list[InstanceRecord]:
+    return [replace(line, source="", changed_seq=0, content_changed_seq=0) for line in lines]
 
 
-def alive(held: State) -> dict[str, tuple[str, bytes]]:
-    return {line.id: (line.service, line.body) for line in held.part(None)}
+def alive(held: InstanceTable) -> dict[str, tuple[str, bytes]]:
+    return {line.instance_id: (line.service, line.body) for line in held.live_records(None)}
 
 
-def ranks(held: State) -> dict[str, Any]:
-    return {line.id: (line.rank, line.body) for line in held.lines()}
+def ranks(held: InstanceTable) -> dict[str, Any]:
+    return {line.instance_id: (line.precedence, line.body) for line in held.records()}
 
 
 LINES = st.lists(
     st.builds(
-        lambda id, service, owner, version, gone: Line(
+        lambda id, service, owner, version, gone: InstanceRecord(
             id, service, owner, version, gone, f"{owner} {version}".encode()
         ),
         st.sampled_from("wxyz"),
@@ -44,13 +51,15 @@
         st.booleans(),
     ),
     max_size=12,
-    unique_by=lambda line: (line.id, line.rank),
+    unique_by=lambda line: (line.instance_id, line.precedence),
 )
 
 
 @given(LINES, st.data())
 @settings(max_examples=300, deadline=None)
-def test_merging_is_idempotent_commutative_and_associative(lines: list[Line], data: st.DataObject) -> None:
+def test_merging_is_idempotent_commutative_and_associative(
+    lines: list[InstanceRecord], data: st.DataObject
+) -> None:
     straight = state("t")
     straight.merge(copied(lines), {}, False, 0.0)
     other = state("t")
@@ -63,9 +72,9 @@
     first.merge(copied(lines[cut:]), {}, False, 0.0)
     second.merge(copied(lines[:cut]), {}, False, 0.0)
     for part in (first, second, first):  # merged elsewhere before
-        halves.merge(copied(part.all_since(-1)), part.known_of(), False, 0.0)
+        halves.merge(copied(part.changes_for_tier(-1)), part.known_versions_of(), False, 0.0)
     assert ranks(halves) == ranks(straight)
-    assert not halves.merge(copied(straight.all_since(-1)), {}, False, 0.0)
+    assert not halves.merge(copied(straight.changes_for_tier(-1)), {}, False, 0.0)
 
 
 class Copy:
@@ -76,16 +85,16 @@
         self.generation: int | None = None
         self.lines: dict[str, bytes] = {}
 
-    def ask(self, tier: State) -> None:
-        count = None if self.generation is None else tier.count_of(self.generation)
-        if count is None or not tier.can_tell_since(count, tier=False):
-            self.lines = {line.id: line.body for line in tier.part(self.services)}
+    def ask(self, tier: InstanceTable) -> None:
+        count = None if self.generation is None else tier.sequence_of(self.generation)
+        if count is None or not tier.can_answer_since(count, for_tier=False):
+            self.lines = {line.instance_id: line.body for line in tier.live_records(self.services)}
         else:
-            for line in tier.part_since(self.services, count):
+            for line in tier.changes_for_sidecar(self.services, count):
                 if line.gone:
-                    self.lines.pop(line.id, None)
+                    self.lines.pop(line.instance_id, None)
                 else:
-                    self.lines[line.id] = line.body
+                    self.lines[line.instance_id] = line.body
         self.generation = tier.generation
 
 
@@ -99,11 +108,11 @@
         self.now = 1
         self.tiers = {name: self.fresh(name) for name in ("o", "r1", "r2", "z1", "z2")}
         self.after: dict[tuple[str, str], int] = {}
-        self.truth: dict[str, dict[str, Told]] = {"r1": {}, "r2": {}}
+        self.truth: dict[str, dict[str, DiscoveryRecord]] = {"r1": {}, "r2": {}}
         self.ever: set[str] = set()
         self.retired: set[str] = set()
         self.seen_gone: dict[str, set[str]] = {name: set() for name in self.tiers}
-        self.kept: dict[str, tuple[list[Line], dict[str, Version]]] = {}
+        self.kept: dict[str, tuple[list[InstanceRecord], dict[str, Version]]] = {}
         self.copies = [
             ("z1", Copy(("a",))),
             ("z1", Copy(None)),
@@ -113,59 +122,61 @@
         for name in self.truth:
             self.hear(name)
 
-    def fresh(self, name: str) -> State:
+    def fresh(self, name: str) -> InstanceTable:
         self.now += 1
         return state(name, self.now, self.now, self.tombstones)
 
     def hear(self, region: str) -> None:
         """The region's discovery tells its whole list."""
         tier = self.tiers[region]
-        tier.tell("d", self.truth[region].values(), True, self.now)
-        if not tier.knows_mine:
-            tier.knows_mine = True
-            tier.renew(identity(self.now, 99))
+        tier.apply_discovery("d", self.truth[region].values(), True, self.now)
+        if not tier.own_records_complete:
+            tier.own_records_complete = True
+            tier.replace_generation_prefix(new_generation_prefix(self.now, 99))
 
     def set_up(self, region: str, id: str, lifecycle: str, service: str) -> None:
         if id not in self.retired:
             self.ever.add(id)
             for other in self.truth:
                 if other != region and self.truth[other].pop(id, None) is not None:
-                    self.tiers[other].tell("d", [told(id, "Gone")], False, self.now)
+                    self.tiers[other].apply_discovery("d", [told(id, "Gone")], False, self.now)
             self.truth[region][id] = one = told(id, lifecycle, service)
-            if self.tiers[region].knows_mine:
-                self.tiers[region].tell("d", [one], False, self.now)
+            if self.tiers[region].own_records_complete:
+                self.tiers[region].apply_discovery("d", [one], False, self.now)
 
     def retire(self, region: str, id: str, heard: bool) -> None:
         if self.truth[region].pop(id, None) is not None:
             self.retired.add(id)
             if heard:
-                self.tiers[region].tell("d", [told(id, "Gone")], False, self.now)
+                self.tiers[region].apply_discovery("d", [told(id, "Gone")], False, self.now)
 
     def pull(self, who: str, whom: str, whole: bool = False) -> None:
         """`who` asks `whom`, who answers as its door does."""
         receiver, sender = self.tiers[who], self.tiers[whom]
-        owners = sender.subtree if who == "o" else None
+        owners = sender.subtree_owners if who == "o" else None
         after = None if whole else self.after.get((who, whom))
-        count = None if after is None else sender.count_of(after)
-        if count is None or not sender.can_tell_since(count, tier=True):
+        count = None if after is None else sender.sequence_of(after)
+        if count is None or not sender.can_answer_since(count, for_tier=True):
             count = -1
-        lines = copied(sender.all_since(count, owners))
-        known = sender.known_of(owners)
+        lines = copied(sender.changes_for_tier(count, owners))
+        known = sender.known_versions_of(owners)
         receiver.merge(lines, known, count < 0, self.now)
         heard = known.get(who)
         if heard is not None:
-            receiver.raise_above(heard, identity(self.now, 98), self.now)
+            receiver.supersede_version(heard, new_generation_prefix(self.now, 98), self.now)
         self.after[who, whom] = sender.generation
 
     def keep(self, who: str) -> None:
         tier = self.tiers[who]
-        self.kept[who] = [replace(line) for line in tier.lines()], tier.known_of()
+        self.kept[who] = [replace(line) for line in tier.records()], tier.known_versions_of()
 
     def restart(self, who: str, old: bool, heard: bool, clock_back: bool) -> None:
         """With the state that was kept, however old, or with none; maybe by a clock that was set back."""
         self.now += 1
         epoch = 0 if clock_back else self.now
-        tier = self.tiers[who] = State(who, epoch, identity(self.now, self.now), self.tombstones)
+        tier = self.tiers[who] = InstanceTable(
+            who, epoch, new_generation_prefix(self.now, self.now), self.tombstones
+        )
         if old and who in self.kept:
             lines, known = self.kept[who]
             tier.restore([replace(line) for line in lines], known, self.now)
@@ -193,14 +204,14 @@
             self.spread()
         truth: dict[str, tuple[str, bytes]] = {}
         for lines in self.truth.values():
-            truth |= {one.id: (one.service, one.body) for one in lines.values()}
+            truth |= {one.instance_id: (one.service, one.body) for one in lines.values()}
         for name, tier in self.tiers.items():
             assert alive(tier) == truth, name
-            assert tier.living == len(truth)
+            assert tier.live_count == len(truth)
 
 
-def _knows(tier: State, id: str) -> bool:
-    return any(line.id == id and line.gone for line in tier.lines())
+def _knows(tier: InstanceTable, id: str) -> bool:
+    return any(line.instance_id == id and line.gone for line in tier.records())
 
 
 REGIONS, TIERS = st.sampled_from(("r1", "r2")), st.sampled_from(("o", "r1", "r2", "z1", "z2"))
@@ -240,11 +251,15 @@
         world.look()
     for name, copy in world.copies:
         copy.ask(world.tiers[name])
-        assert copy.lines == {line.id: line.body for line in world.tiers[name].part(copy.services)}
+        assert copy.lines == {
+            line.instance_id: line.body for line in world.tiers[name].live_records(copy.services)
+        }
     world.settle()
     for name, copy in world.copies:
         copy.ask(world.tiers[name])
-        assert copy.lines == {line.id: line.body for line in world.tiers[name].part(copy.services)}
+        assert copy.lines == {
+            line.instance_id: line.body for line in world.tiers[name].live_records(copy.services)
+        }
 
 
 @given(EVENTS)
@@ -263,22 +278,22 @@
     one, other = state("t", 1_000, 1), state("t", 1_000, 2)
     later = state("t", 1_001, 1)
     for held in (one, other, later):
-        held.tell("d", [told("x", "Ready")], True, 0.0)
+        held.apply_discovery("d", [told("x", "Ready")], True, 0.0)
     assert len({one.generation, other.generation, later.generation}) == 3
     for mine in (one, other, later):
         for its in (one, other, later):
-            assert (mine.count_of(its.generation) is not None) is (mine is its)
-    assert one.count_of(one.generation + 1) is None  # it has not come so far
-    assert one.count_of(41) is None and one.count_of(0) is None  # a plain discovery's
+            assert (mine.sequence_of(its.generation) is not None) is (mine is its)
+    assert one.sequence_of(one.generation + 1) is None  # it has not come so far
+    assert one.sequence_of(41) is None and one.sequence_of(0) is None  # a plain discovery's
 
 
 def test_a_count_that_runs_over_begins_anew_under_another_identity() -> None:
     held = state("t")
-    held.tell("d", [told("x", "Ready")], True, 0.0)
-    held.count = (1 << COUNTER_BITS) - 1
+    held.apply_discovery("d", [told("x", "Ready")], True, 0.0)
+    held.sequence = (1 << SEQUENCE_BITS) - 1
     before = held.generation
-    held.tell("d", [told("y", "Ready")], False, 0.0)
-    assert held.count_of(before) is None
+    held.apply_discovery("d", [told("y", "Ready")], False, 0.0)
+    assert held.sequence_of(before) is None
     copy = Copy(None)
     copy.generation = before
     copy.ask(held)
@@ -287,45 +302,45 @@
 
 def test_who_missed_a_tombstone_that_was_given_up_is_told_the_whole() -> None:
     held = state("t", tombstones=2)
-    held.tell("d", [told(f"i{n}", "Ready") for n in range(5)], True, 0.0)
-    count = held.count
+    held.apply_discovery("d", [told(f"i{n}", "Ready") for n in range(5)], True, 0.0)
+    count = held.sequence
     for n in range(4):
-        held.tell("d", [told(f"i{n}", "Gone")], False, float(n))
-    assert held.tombstones == 2
-    assert not held.can_tell_since(count, tier=False)
-    assert held.can_tell_since(count + 2, tier=False)
+        held.apply_discovery("d", [told(f"i{n}", "Gone")], False, float(n))
+    assert held.tombstone_count == 2
+    assert not held.can_answer_since(count, for_tier=False)
+    assert held.can_answer_since(count + 2, for_tier=False)
 
 
 def test_a_tombstone_is_given_up_with_age() -> None:
-    held = State("t", 1, 1, 20_000, tombstone_ms=1000.0)
-    held.tell("d", [told("x", "Ready"), told("y", "Ready")], True, 0.0)
-    held.tell("d", [told("x", "Gone")], False, 0.0)
-    held.tell("d", [told("z", "Ready")], False, 1001.0)
-    assert held.tombstones == 0 and alive(held).keys() == {"y", "z"}
+    held = InstanceTable("t", 1, 1, 20_000, tombstone_ttl_ms=1000.0)
+    held.apply_discovery("d", [told("x", "Ready"), told("y", "Ready")], True, 0.0)
+    held.apply_discovery("d", [told("x", "Gone")], False, 0.0)
+    held.apply_discovery("d", [told("z", "Ready")], False, 1001.0)
+    assert held.tombstone_count == 0 and alive(held).keys() == {"y", "z"}
 
 
 def test_a_line_told_anew_by_a_restarted_owner_is_no_change_for_plain_receivers() -> None:
     first, second, zone = state("r1", 1), state("r1", 2), state("z")
     for region in (first, second):
-        region.tell("d", [told("x", "Ready")], True, 0.0)
-        region.knows_mine = True
-    zone.merge(copied(first.all_since(-1)), first.known_of(), True, 0.0)
-    count = zone.count
-    changes = zone.merge(copied(second.all_since(-1)), second.known_of(), True, 0.0)
+        region.apply_discovery("d", [told("x", "Ready")], True, 0.0)
+        region.own_records_complete = True
+    zone.merge(copied(first.changes_for_tier(-1)), first.known_versions_of(), True, 0.0)
+    count = zone.sequence
+    changes = zone.merge(copied(second.changes_for_tier(-1)), second.known_versions_of(), True, 0.0)
     assert changes.owners == {"r1"} and not changes.services
-    assert zone.part_since(None, count) == [] and zone.all_since(count) != []
+    assert zone.changes_for_sidecar(None, count) == [] and zone.changes_for_tier(count) != []
 
 
-def pulled(receiver: State, sender: State, count: int = -1) -> None:
-    if not sender.can_tell_since(count, tier=True):
+def pulled(receiver: InstanceTable, sender: InstanceTable, count: int = -1) -> None:
+    if not sender.can_answer_since(count, for_tier=True):
         count = -1
-    receiver.merge(copied(sender.all_since(count)), sender.known_of(), count < 0, 0.0)
+    receiver.merge(copied(sender.changes_for_tier(count)), sender.known_versions_of(), count < 0, 0.0)
 
 
-def region(name: str, *ids: str, epoch: int = 1) -> State:
+def region(name: str, *ids: str, epoch: int = 1) -> InstanceTable:
     held = state(name, epoch)
-    held.tell("d", [told(id, "Ready") for id in ids], True, 0.0)
-    held.knows_mine = True
+    held.apply_discovery("d", [told(id, "Ready") for id in ids], True, 0.0)
+    held.own_records_complete = True
     return held
 
 
@@ -333,11 +348,11 @@
     owner, behind, zone = region("r1", "x", "y", "z"), state("r2"), state("zone", tombstones=1)
     pulled(behind, owner)
     pulled(zone, owner)
-    count = owner.count
-    owner.tell("d", [told("x", "Gone")], False, 0.0)
-    owner.tell("d", [told("y", "Gone")], False, 0.0)
+    count = owner.sequence
+    owner.apply_discovery("d", [told("x", "Gone")], False, 0.0)
+    owner.apply_discovery("d", [told("y", "Gone")], False, 0.0)
     pulled(zone, owner, count)
-    assert zone.tombstones == 1
+    assert zone.tombstone_count == 1
     pulled(zone, behind)
     assert alive(zone).keys() == {"z"}
 
@@ -345,13 +360,15 @@
 def test_what_a_tier_learnt_was_gone_from_a_whole_answer_is_gone_below_too() -> None:
     owner, above, zone = region("r1", "x", "y"), state("r2"), state("zone")
     pulled(zone, owner)
-    owner.tell("d", [told("x", "Gone")], False, 0.0)
-    held = copied(above.all_since(-1))
+    owner.apply_discovery("d", [told("x", "Gone")], False, 0.0)
+    held = copied(above.changes_for_tier(-1))
     assert not held
     pulled(zone, above)
-    count = above.count
-    lines = [line for line in copied(owner.all_since(-1)) if not line.gone]  # the tombstone was given up
-    above.merge(lines, owner.known_of(), True, 0.0)
+    count = above.sequence
+    lines = [
+        line for line in copied(owner.changes_for_tier(-1)) if not line.gone
+    ]  # the tombstone was given up
+    above.merge(lines, owner.known_versions_of(), True, 0.0)
     pulled(zone, above, count)
     assert alive(zone).keys() == {"y"}
 
@@ -362,23 +379,23 @@
     pulled(origin, second)
     assert alive(origin).keys() == {"x", "y"}
     before = second.generation
-    second.raise_above(origin.known_of()["r1"], identity(7.0, 7), 0.0)
-    assert second.count_of(before) is None
+    second.supersede_version(origin.known_versions_of()["r1"], new_generation_prefix(7.0, 7), 0.0)
+    assert second.sequence_of(before) is None
     pulled(origin, second)
     assert alive(origin).keys() == {"y"}
 
 
 def test_while_one_discovery_is_not_heard_its_lines_are_not_gone_above() -> None:
     origin, first, second = state("o"), state("r1", 1), state("r1", 2)
-    first.tell("d", [told("x", "Ready")], True, 0.0)
-    first.tell("e", [told("y", "Ready")], True, 0.0)
-    first.knows_mine = True
+    first.apply_discovery("d", [told("x", "Ready")], True, 0.0)
+    first.apply_discovery("e", [told("y", "Ready")], True, 0.0)
+    first.own_records_complete = True
     pulled(origin, first)
-    second.tell("d", [told("x", "Ready")], True, 0.0)
+    second.apply_discovery("d", [told("x", "Ready")], True, 0.0)
     pulled(origin, second)
     assert alive(origin).keys() == {"x", "y"}
-    second.tell("e", [told("z", "Ready")], True, 0.0)
-    second.knows_mine = True
+    second.apply_discovery("e", [told("z", "Ready")], True, 0.0)
+    second.own_records_complete = True
     pulled(origin, second)
     assert alive(origin).keys() == {"x", "z"}
 
--- a/tests/tiers_bed.py
+++ b/tests/tiers_bed.py
@@ -173,15 +173,15 @@
 
     @property
     def listen(self) -> str:
-        return "{}:{}".format(*self.it.listen.place)
+        return "{}:{}".format(*self.it.child_listener.address)
 
     @property
     def own(self) -> str:
-        assert self.it.own is not None
-        return "{}:{}".format(*self.it.own.place)
+        assert self.it.parent_listener is not None
+        return "{}:{}".format(*self.it.parent_listener.address)
 
     def door(self, index: int = 0) -> str:
-        return "{}:{}".format(*self.it.doors[index].place)
+        return "{}:{}".format(*self.it.sidecar_listeners[index].address)
 
     def events(self, name: str) -> list[dict[str, Any]]:
         found = [json.loads(text) for text in self._out.getvalue().splitlines()]
@@ -262,7 +262,7 @@
 
 async def operator(tier: Running, line: str) -> tuple[int, Any]:
     """The code and the text, or what it is in JSON."""
-    place = tier.it.ops_place
+    place = tier.it.ops_address
     assert place is not None
     reader, writer = await asyncio.open_connection(*place)
     writer.write(line.encode() + b"\n")
