--- a/larkcrank/lab/scale/virtual_way.py
+++ b/larkcrank/lab/scale/virtual_way.py
@@ -525,7 +525,7 @@
     def start(self) -> None:
         net = self.net
         setattr(program, "time", SimpleNamespace(time=lambda: UNIX_AT_NOUGHT + self.loop.time()))  # noqa: B010
-        setattr(program, "_bound", _Socket)  # noqa: B010
+        setattr(program, "_bind_socket", _Socket)  # noqa: B010
         asyncio.set_event_loop(None)
         for region in range(self.regions):
             members = (n for n in range(self.size) if self.region(self.zone(n)) == region)
@@ -680,7 +680,7 @@
 
     def asked_whole(self) -> int:
         """Calls for a whole list by tiers, so far."""
-        return sum(feed.wholes for tier in self.tiers.values() for feed in tier._feeds)
+        return sum(feed.full_requests for tier in self.tiers.values() for feed in tier._feeds)
 
     def events(self, name: str) -> int:
         mark = f'"event":"{name}"'.encode()
@@ -720,11 +720,11 @@
             task.cancel()
         self.run(0.0)
         setattr(program, "time", time)  # noqa: B010
-        setattr(program, "_bound", _bound)  # noqa: B010
+        setattr(program, "_bind_socket", _bound)  # noqa: B010
         self.loop.close()
 
 
-_bound = program._bound
+_bound = program._bind_socket
 
 
 def _text(place: Place) -> str:
@@ -922,7 +922,7 @@
             "all tiers lost",
             kept=kept,
             agreed_after_s=took,
-            origin_whole_answers=origin.wholes,
+            origin_whole_answers=origin.full_answers,
             origin_calls_per_s=round(origin.calls / seconds, 1),
             sidecars_told_whole=sum(whole.values()),
             most_whole_at_a_zone_in_100_ms=max(whole.values(), default=0),
