--- a/tests/test_tiers_held.py
+++ b/tests/test_tiers_held.py
@@ -1,4 +1,4 @@
-"""Who holds what, summed up the tiers."""
+"""Counting which sidecars hold which generation, and summing this up from tier to tier."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -15,98 +15,104 @@
 )
 
 
-def late(peer: str, since_s: float, generation: int = 0) -> Laggard:
+def laggard(peer: str, since_s: float, generation: int = 0) -> Laggard:
     return Laggard("z", "doors[0]", peer, generation, since_s)
 
 
-def test_what_is_held_is_told_in_the_generations_of_the_tier_above() -> None:
-    steps, standing = ParentGenerations(), SidecarProgress()
-    steps.record(1, 1001)
-    steps.record(2, 1005)
-    steps.record(2, 1006)  # nothing changed here between these
-    steps.record(4, 1009)
-    for count, number in ((4, 300), (3, 20), (1, 5), (0, 1), (-1, 2)):
-        standing.add(count, number)
-    standing.laggards.append((1, late("p:1", 4.0)))
-    told = held.summarize("z", standing, steps)
-    assert told.holders == [(0, 3), (1001, 5), (1006, 20), (1009, 300)]
-    assert told.laggards == [late("p:1", 4.0, 1001)]
-    assert held.decode(held.encode(told)) == told
+def test_summary_is_in_the_generations_of_the_parent() -> None:
+    parent_generations, progress = ParentGenerations(), SidecarProgress()
+    parent_generations.record(1, 1001)
+    parent_generations.record(2, 1005)
+    parent_generations.record(2, 1006)  # a parent generation that changed nothing in this tier
+    parent_generations.record(4, 1009)
+    for sequence, count in ((4, 300), (3, 20), (1, 5), (0, 1), (-1, 2)):
+        progress.add(sequence, count)
+    progress.laggards.append((1, laggard("p:1", 4.0)))
+    summary = held.summarize("z", progress, parent_generations)
+    assert summary.holders == [(0, 3), (1001, 5), (1006, 20), (1009, 300)]
+    assert summary.laggards == [laggard("p:1", 4.0, 1001)]
+    assert held.decode(held.encode(summary)) == summary
 
 
 @given(st.dictionaries(st.integers(-1, 200), st.integers(1, 50), max_size=60))
 @settings(deadline=None)
-def test_a_long_summary_counts_all_and_nobody_higher_than_he_is(counts: dict[int, int]) -> None:
-    steps, standing = ParentGenerations(), SidecarProgress()
-    for count in range(201):
-        steps.record(count, 5000 + count)
-    for count, number in counts.items():
-        standing.add(count, number)
-    told = held.summarize("z", standing, steps)
-    assert len(told.holders) <= held.MAX_SUMMARY_BUCKETS
-    assert sum(number for _, number in told.holders) == sum(counts.values())
+def test_truncated_summary_counts_every_sidecar_and_overstates_none(counts: dict[int, int]) -> None:
+    parent_generations, progress = ParentGenerations(), SidecarProgress()
+    for sequence in range(201):
+        parent_generations.record(sequence, 5000 + sequence)
+    for sequence, count in counts.items():
+        progress.add(sequence, count)
+    summary = held.summarize("z", progress, parent_generations)
+    assert len(summary.holders) <= held.MAX_SUMMARY_BUCKETS
+    assert sum(count for _, count in summary.holders) == sum(counts.values())
     for generation in range(5000, 5201):
-        exact = sum(number for count, number in counts.items() if count >= generation - 5000)
-        assert sum(number for held_, number in told.holders if held_ >= generation) <= exact
+        exact = sum(count for sequence, count in counts.items() if sequence >= generation - 5000)
+        assert (
+            sum(count for held_generation, count in summary.holders if held_generation >= generation) <= exact
+        )
 
 
-def test_those_late_for_longest_are_named_and_not_all_of_them() -> None:
-    standing = SidecarProgress()
+def test_summary_names_a_limited_number_of_the_longest_lagging_sidecars() -> None:
+    progress = SidecarProgress()
     for n in range(50):
-        standing.add(3)
-        standing.laggards.append((3, late(f"p:{n}", float(n))))
-    told = held.summarize("z", standing, ParentGenerations())
-    assert [one.peer for one in told.laggards] == [f"p:{n}" for n in range(49, 29, -1)]
+        progress.add(3)
+        progress.laggards.append((3, laggard(f"p:{n}", float(n))))
+    summary = held.summarize("z", progress, ParentGenerations())
+    assert [one.peer for one in summary.laggards] == [f"p:{n}" for n in range(49, 29, -1)]
     assert (
-        standing.longest_lagging(sequence=3) == []
-        and len(standing.longest_lagging(sequence=4)) == held.MAX_LAGGARDS
+        progress.longest_lagging(sequence=3) == []
+        and len(progress.longest_lagging(sequence=4)) == held.MAX_LAGGARDS
     )
 
 
-def test_a_tier_is_replaced_by_its_own_summary_which_ages_out_and_is_then_told_silent() -> None:
-    below = ChildSummaries(3.0)
-    below.add(Summary("z", [(7, 10)], []), 100.0)
-    below.add(Summary("z", [(8, 10)], []), 101.0)
-    below.add(Summary("y", [(8, 4)], []), 103.5)
-    assert [one.holders for one in below.valid(104.0)] == [[(8, 10)], [(8, 4)]]
-    assert [one.tier for one in below.valid(104.5)] == ["y"]
-    assert below.silent(105.0) == {"z": 4.0}
-    assert below.silent(101.0 + held.FORGET_CHILD_S + 1.0).keys() == {"y"}
+def test_a_child_summary_replaces_the_last_one_and_expires_into_a_silent_child() -> None:
+    children = ChildSummaries(3.0)
+    children.add(Summary("z", [(7, 10)], []), 100.0)
+    children.add(Summary("z", [(8, 10)], []), 101.0)
+    children.add(Summary("y", [(8, 4)], []), 103.5)
+    assert [summary.holders for summary in children.valid(104.0)] == [[(8, 10)], [(8, 4)]]
+    assert [summary.tier for summary in children.valid(104.5)] == ["y"]
+    assert children.silent(105.0) == {"z": 4.0}
+    assert children.silent(101.0 + held.FORGET_CHILD_S + 1.0).keys() == {"y"}
     for n in range(1000):
-        below.add(Summary(f"t{n}", [], []), 200.0)
-    assert len(below.valid(200.0)) == held.MAX_CHILD_SUMMARIES
-
-
-def test_since_when_a_change_is_missing() -> None:
-    marks = ChangeTimes()
-    for count, at in ((1, 10.0), (2, 10.1), (3, 11.0), (4, 15.0)):
-        marks.record(count, at)
-    assert marks.first_after(4) is None and marks.first_after(3) == 15.0 and marks.first_after(2) == 11.0
-    assert marks.first_after(0) == marks.first_after(-1) == 10.0
-    for count in range(5, 5000):
-        marks.record(count, float(count) + 20.0)
-    assert marks.first_after(4990) == 5011.0
-
-
-def test_it_is_said_when_all_hold_a_change_and_when_some_lack_it_too_long() -> None:
-    watch = PropagationMonitor(3.0)
-    assert watch.check(5, 10.0) is None and not watch.has_pending
-    watch.record(6, 10.0)
-    watch.record(7, 10.5)
-    assert watch.check(5, 11.0) is None
-    assert watch.check(6, 11.5) == ("held", 6, 1.5)
-    assert watch.check(6, 13.0) is None
-    assert watch.check(6, 13.75) == ("lagging", 7, 3.25)
-    assert watch.check(6, 20.0) is None  # said already
-    assert watch.check(6, 13.75 + held.LAG_REPEAT_S) == ("lagging", 7, 3.25 + held.LAG_REPEAT_S)
-    assert watch.check(9, 50.0) == ("held", 7, 39.5)
-    watch.record(10, 60.0)
-    assert watch.check(None, 61.0) is None and not watch.has_pending  # nobody is there
-
-
-def test_a_summary_that_is_none_is_not_taken() -> None:
+        children.add(Summary(f"t{n}", [], []), 200.0)
+    assert len(children.valid(200.0)) == held.MAX_CHILD_SUMMARIES
+
+
+def test_change_times_tell_since_when_a_change_is_missing() -> None:
+    change_times = ChangeTimes()
+    for sequence, at in ((1, 10.0), (2, 10.1), (3, 11.0), (4, 15.0)):
+        change_times.record(sequence, at)
+    assert (
+        change_times.first_after(4) is None
+        and change_times.first_after(3) == 15.0
+        and change_times.first_after(2) == 11.0
+    )
+    assert change_times.first_after(0) == change_times.first_after(-1) == 10.0
+    for sequence in range(5, 5000):
+        change_times.record(sequence, float(sequence) + 20.0)
+    assert change_times.first_after(4990) == 5011.0
+
+
+def test_monitor_reports_when_all_hold_a_change_and_when_some_lack_it_for_too_long() -> None:
+    monitor = PropagationMonitor(3.0)
+    assert monitor.check(5, 10.0) is None and not monitor.has_pending
+    monitor.record(6, 10.0)
+    monitor.record(7, 10.5)
+    assert monitor.check(5, 11.0) is None
+    assert monitor.check(6, 11.5) == ("held", 6, 1.5)
+    assert monitor.check(6, 13.0) is None
+    assert monitor.check(6, 13.75) == ("lagging", 7, 3.25)
+    assert monitor.check(6, 20.0) is None  # reported already
+    assert monitor.check(6, 13.75 + held.LAG_REPEAT_S) == ("lagging", 7, 3.25 + held.LAG_REPEAT_S)
+    assert monitor.check(9, 50.0) == ("held", 7, 39.5)
+    monitor.record(10, 60.0)
+    assert monitor.check(None, 61.0) is None and not monitor.has_pending  # there are no sidecars
+
+
+def test_an_invalid_summary_is_rejected() -> None:
     for text in (b"", b"{}", b"[1,[],[]]", b'["z",[[-1,2]],[]]', b'["z",[[1,2]]', b"\xff"):
         assert held.decode(text) is None
-    many = b'["z",[' + b",".join(b"[%d,1]" % n for n in range(17)) + b"],[]]"
-    assert held.decode(many) is None
+    too_many_buckets = b'["z",[' + b",".join(b"[%d,1]" % n for n in range(17)) + b"],[]]"
+    assert held.decode(too_many_buckets) is None
     assert held.decode(b'["%s",[],[]]' % (b"x" * 129)) is None
--- a/tests/test_tiers_program.py
+++ b/tests/test_tiers_program.py
@@ -1,4 +1,4 @@
-"""Tiers on loopback: one way down, what is served when, and what a bad answer does."""
+"""Tiers on loopback: propagation, what is served in which state, failover, and faulty answers."""
 
 import asyncio
 import json
@@ -15,114 +15,129 @@
 from larkcrank.tiers import config
 from tests.bed import run, until
 from tests.tiers_bed import (
-    Discovery,
-    Link,
-    Receiver,
-    Running,
-    line,
-    operator,
+    DiscoveryServer,
+    ListClient,
+    TcpProxy,
+    TierRunner,
+    instance,
+    operator_call,
+    poll_until,
+    poll_until_list,
     running,
-    until_told,
-    whole,
 )
 
-ANY = {"listen": "127.0.0.1:0", "services": ["*"]}
+ALL_SERVICES_LISTENER = {"listen": "127.0.0.1:0", "services": ["*"]}
 
 
-def part(*services: str) -> dict[str, Any]:
+def sidecar_listener(*services: str) -> dict[str, Any]:
     return {"listen": "127.0.0.1:0", "services": list(services)}
 
 
 @asynccontextmanager
-async def alone(*names: str, **told: Any) -> AsyncIterator[tuple[Discovery, Running]]:
-    """One tier over one discovery."""
-    source = await Discovery(*names).start()
-    given = {"discovery": source.place, "service": "svc-1"} | told.pop("source", {})
-    tier = Running(sources=[given], **({"doors": [ANY], "ops": "127.0.0.1:0"} | told))
+async def single_tier(
+    *instance_ids: str, **config_fields: Any
+) -> AsyncIterator[tuple[DiscoveryServer, TierRunner]]:
+    """One tier with one discovery server."""
+    source = await DiscoveryServer(*instance_ids).start()
+    source_config = {"discovery": source.address, "service": "svc-1"} | config_fields.pop("source", {})
+    runner = TierRunner(
+        sources=[source_config], **({"doors": [ALL_SERVICES_LISTENER], "ops": "127.0.0.1:0"} | config_fields)
+    )
     try:
-        async with running(tier):
-            yield source, tier
+        async with running(runner):
+            yield source, runner
     finally:
         source.stop()
 
 
 @asynccontextmanager
-async def three(*names: str) -> AsyncIterator[tuple[Discovery, Link, Running, Running, Running]]:
-    """Origin, region and zone over one discovery; the region's call to the origin goes by the link."""
-    source = await Discovery(*names).start()
-    link = await Link("").start()
-    region = Running(
+async def three_tiers(
+    *instance_ids: str,
+) -> AsyncIterator[tuple[DiscoveryServer, TcpProxy, TierRunner, TierRunner, TierRunner]]:
+    """An origin, a region and a zone with one discovery server; the proxy is between region and origin."""
+    source = await DiscoveryServer(*instance_ids).start()
+    origin_proxy = await TcpProxy("").start()
+    region = TierRunner(
         name="region",
         own="127.0.0.1:0",
-        sources=[{"discovery": source.place, "service": "svc-1"}],
-        above=[link.place],
+        sources=[{"discovery": source.address, "service": "svc-1"}],
+        above=[origin_proxy.address],
         ops="127.0.0.1:0",
     )
     async with running(region):
-        origin = Running(name="origin", sources=[{"discovery": region.own}], ops="127.0.0.1:0")
+        origin = TierRunner(name="origin", sources=[{"discovery": region.parent_address}], ops="127.0.0.1:0")
         async with running(origin):
-            link.to = origin.listen
-            zone = Running(name="zone", above=[region.listen], doors=[part("svc-1"), part("svc-2")])
+            origin_proxy.upstream = origin.child_address
+            zone = TierRunner(
+                name="zone",
+                above=[region.child_address],
+                doors=[sidecar_listener("svc-1"), sidecar_listener("svc-2")],
+            )
             async with running(zone):
-                yield source, link, origin, region, zone
-    link.stop()
+                yield source, origin_proxy, origin, region, zone
+    origin_proxy.stop()
     source.stop()
 
 
-def test_a_change_goes_from_discovery_by_way_of_three_tiers_to_a_door() -> None:
-    async def work() -> None:
-        async with three("s-1", "s-2") as (source, _, origin, _, zone):
-            sidecar = Receiver(zone.door())
-            await whole(sidecar)
-            assert sidecar.states == {"s-1": "Ready", "s-2": "Ready"}
-            source.tell(line("s-1", "Terminating"))
-            await until_told(sidecar, lambda: sidecar.states["s-1"] == "Terminating")
-            source.tell(line("s-1", "Gone"), line("s-3"))
-            await until_told(sidecar, lambda: sidecar.states == {"s-2": "Ready", "s-3": "Ready"})
-            assert set(sidecar.lines["s-3"]) == set(line("s-3"))  # published fields, no others
-            upper = Receiver(origin.listen)
-            await whole(upper)
-            await until_told(upper, lambda: "s-3" in upper.lines)
-            told = upper.lines["s-3"]
-            assert told["owner"] == "region" and told["service"] == "svc-1" and len(told["version"]) == 2
+def test_a_change_passes_through_three_tiers_to_a_sidecar() -> None:
+    async def scenario() -> None:
+        async with three_tiers("s-1", "s-2") as (source, _, origin, _, zone):
+            sidecar = ListClient(zone.sidecar_address())
+            await poll_until_list(sidecar)
+            assert sidecar.lifecycles == {"s-1": "Ready", "s-2": "Ready"}
+            source.publish(instance("s-1", "Terminating"))
+            await poll_until(sidecar, lambda: sidecar.lifecycles["s-1"] == "Terminating")
+            source.publish(instance("s-1", "Gone"), instance("s-3"))
+            await poll_until(sidecar, lambda: sidecar.lifecycles == {"s-2": "Ready", "s-3": "Ready"})
+            assert set(sidecar.instances["s-3"]) == set(instance("s-3"))  # only the published fields
+            origin_child = ListClient(origin.child_address)
+            await poll_until_list(origin_child)
+            await poll_until(origin_child, lambda: "s-3" in origin_child.instances)
+            fields = origin_child.instances["s-3"]
+            assert (
+                fields["owner"] == "region" and fields["service"] == "svc-1" and len(fields["version"]) == 2
+            )
             sidecar.close()
-            upper.close()
+            origin_child.close()
 
-    run(work())
+    run(scenario())
 
 
-def test_a_door_tells_its_services_alone_and_others_wake_nobody_there() -> None:
-    async def work() -> None:
-        first, second = await Discovery("a-1").start(), await Discovery("b-1").start()
-        tier = Running(
+def test_a_sidecar_listener_serves_its_services_only_and_ignores_changes_of_others() -> None:
+    async def scenario() -> None:
+        source_a, source_b = await DiscoveryServer("a-1").start(), await DiscoveryServer("b-1").start()
+        runner = TierRunner(
             sources=[
-                {"discovery": first.place, "service": "a"},
-                {"discovery": second.place, "service": "b"},
+                {"discovery": source_a.address, "service": "a"},
+                {"discovery": source_b.address, "service": "b"},
             ],
-            doors=[part("a"), part("a", "b")],
+            doors=[sidecar_listener("a"), sidecar_listener("a", "b")],
         )
-        async with running(tier):
-            one, both = Receiver(tier.door(0)), Receiver(tier.door(1))
-            await whole(both)
-            await until_told(both, lambda: both.lines.keys() == {"a-1", "b-1"})
-            await whole(one)
-            assert one.lines.keys() == {"a-1"}
-            waits = asyncio.create_task(one.ask())
-            second.tell(line("b-2"))
-            await until_told(both, lambda: "b-2" in both.lines)
-            assert not waits.done()
-            first.tell(line("a-2"))
-            assert await waits == 200 and one.lines.keys() == {"a-1", "a-2"}
-            one.close()
-            both.close()
-        first.stop()
-        second.stop()
-
-    run(work())
+        async with running(runner):
+            sidecar_a, sidecar_ab = (
+                ListClient(runner.sidecar_address(0)),
+                ListClient(runner.sidecar_address(1)),
+            )
+            await poll_until_list(sidecar_ab)
+            await poll_until(sidecar_ab, lambda: sidecar_ab.instances.keys() == {"a-1", "b-1"})
+            await poll_until_list(sidecar_a)
+            assert sidecar_a.instances.keys() == {"a-1"}
+            watch = asyncio.create_task(sidecar_a.poll())
+            source_b.publish(instance("b-2"))
+            await poll_until(sidecar_ab, lambda: "b-2" in sidecar_ab.instances)
+            assert not watch.done()
+            source_a.publish(instance("a-2"))
+            assert await watch == 200 and sidecar_a.instances.keys() == {"a-1", "a-2"}
+            sidecar_a.close()
+            sidecar_ab.close()
+        source_a.stop()
+        source_b.stop()
+
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("spoilt", "reason"),
+    ("faulty_body", "reason"),
     [
         (b"", "malformed"),
         (b'{"generation":9', "malformed"),
@@ -141,195 +156,203 @@
         (None, "silent"),
     ],
 )
-def test_a_bad_answer_is_a_failed_call_that_is_logged_and_changes_nothing(
-    spoilt: bytes | None, reason: str
+def test_a_faulty_answer_is_logged_as_a_failed_call_and_changes_nothing(
+    faulty_body: bytes | None, reason: str
 ) -> None:
-    async def work() -> None:
-        async with alone("s-1", "s-2", settings={"answer_bytes": 10_000}) as (source, tier):
-            sidecar = Receiver(tier.door())
-            await whole(sidecar)
-            waits = asyncio.create_task(sidecar.ask())
-            source.spoil = lambda _: spoilt
-            source.tell(line("s-3"))
-            await until(lambda: bool(tier.events("tier_call_failed")))
-            assert tier.events("tier_call_failed")[0]["reason"].startswith(reason)
-            assert not waits.done() and tier.it.table.live_count == 2
-            source.spoil = lambda body: body
-            assert await waits == 200
-            assert sidecar.states == {"s-1": "Ready", "s-2": "Ready", "s-3": "Ready"}
-            assert tier.events("tier_call_good")
+    async def scenario() -> None:
+        async with single_tier("s-1", "s-2", settings={"answer_bytes": 10_000}) as (source, runner):
+            sidecar = ListClient(runner.sidecar_address())
+            await poll_until_list(sidecar)
+            watch = asyncio.create_task(sidecar.poll())
+            source.transform_body = lambda _: faulty_body
+            source.publish(instance("s-3"))
+            await until(lambda: bool(runner.events("tier_call_failed")))
+            assert runner.events("tier_call_failed")[0]["reason"].startswith(reason)
+            assert not watch.done() and runner.tier.table.live_count == 2
+            source.transform_body = lambda body: body
+            assert await watch == 200
+            assert sidecar.lifecycles == {"s-1": "Ready", "s-2": "Ready", "s-3": "Ready"}
+            assert runner.events("tier_call_good")
             sidecar.close()
 
-    run(work())
+    run(scenario())
 
 
-def test_a_discovery_that_is_down_or_counts_anew_takes_nothing_away_that_it_still_names() -> None:
-    async def work() -> None:
-        async with alone("s-1", "s-2") as (source, tier):
-            sidecar = Receiver(tier.door())
-            await whole(sidecar)
+def test_after_a_restart_of_discovery_the_instances_that_it_still_lists_stay() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", "s-2") as (source, runner):
+            sidecar = ListClient(runner.sidecar_address())
+            await poll_until_list(sidecar)
             source.stop()
-            await until(lambda: bool(tier.events("tier_call_failed")))
-            source.begin_anew("s-2", "s-3")
+            await until(lambda: bool(runner.events("tier_call_failed")))
+            source.reset_generations("s-2", "s-3")
             await source.start()
-            await until_told(sidecar, lambda: sidecar.lines.keys() == {"s-2", "s-3"})
-            assert not sidecar.last["reset"]
+            await poll_until(sidecar, lambda: sidecar.instances.keys() == {"s-2", "s-3"})
+            assert not sidecar.last_answer["reset"]
             sidecar.close()
 
-    run(work())
+    run(scenario())
 
 
-def test_generations_of_another_process_are_answered_with_the_whole() -> None:
-    async def work() -> None:
-        async with alone("s-1", "s-2") as (source, tier):
-            sidecar = Receiver(tier.door())
-            await whole(sidecar)
-            source.tell(line("s-1", "Gone"))
-            await until_told(sidecar, lambda: "s-1" not in sidecar.lines)
-            before = sidecar.generation
+def test_a_generation_of_another_process_gets_a_full_answer() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", "s-2") as (source, runner):
+            sidecar = ListClient(runner.sidecar_address())
+            await poll_until_list(sidecar)
+            source.publish(instance("s-1", "Gone"))
+            await poll_until(sidecar, lambda: "s-1" not in sidecar.instances)
+            generation_before = sidecar.generation
             sidecar.close()
-            await tier.stop()
-            await tier.start()
-            again = Receiver(tier.door())
-            again.generation, again.lines = before, {"s-1": {}, "s-2": {}}
-            while await again.ask() != 200:
+            await runner.stop()
+            await runner.start()
+            reconnected = ListClient(runner.sidecar_address())
+            reconnected.generation, reconnected.instances = generation_before, {"s-1": {}, "s-2": {}}
+            while await reconnected.poll() != 200:
                 await asyncio.sleep(0.01)
-            assert again.last["reset"] and again.lines.keys() == {"s-2"}
-            for foreign in (1, 41, (again.generation or 0) + 1):
-                again.generation = foreign
-                assert await again.ask() == 200 and again.last["reset"]
-            again.close()
-
-    run(work())
-
-
-def test_a_tier_that_has_heard_nothing_gives_no_list() -> None:
-    async def work() -> None:
-        async with alone("s-1") as (source, tier):
-            source.spoil = lambda _: None
-            await tier.stop()
-            await tier.start()
-            for place in (tier.door(), tier.listen):
-                sidecar = Receiver(place)
-                assert await sidecar.ask() == 503
-                sidecar.generation = 41
-                assert await sidecar.ask() == 503
-                sidecar.close()
-            assert await operator(tier, "PING") == (400, "starting")
-
-    run(work())
-
-
-def test_a_tier_that_no_longer_hears_tells_those_it_knows_and_no_newcomer_with_a_list() -> None:
-    async def work() -> None:
-        async with alone("s-1", settings={"fresh_ms": 400.0}) as (source, tier):
-            known, new = Receiver(tier.door()), Receiver(tier.door())
-            await whole(known)
-            assert (await operator(tier, "PING"))[0] == 200
-            source.spoil = lambda _: None
-            await until(lambda: bool(tier.events("tier_stale")))
-            assert tier.events("tier_stale")[0]["not_heard"] == [source.place]
-            assert await operator(tier, "PING") == (400, "stale")
-            new.generation = 41
-            assert await new.ask() == 503  # it keeps what it has
-            below = Receiver(tier.listen)
-            below.generation = 41
-            assert await below.ask() == 503
-            below.close()
-            new.generation = None
-            assert await new.ask() == 200  # it has nothing
-            assert await known.ask(wait_ms=10) == 200 and not known.last["reset"]
-            source.spoil = lambda body: body
-            await until(lambda: len(tier.events("tier_fresh")) == 2)
-            new.generation = 41
-            assert await new.ask() == 200 and new.last["reset"]
+            assert reconnected.last_answer["reset"] and reconnected.instances.keys() == {"s-2"}
+            for foreign_generation in (1, 41, (reconnected.generation or 0) + 1):
+                reconnected.generation = foreign_generation
+                assert await reconnected.poll() == 200 and reconnected.last_answer["reset"]
+            reconnected.close()
+
+    run(scenario())
+
+
+def test_a_tier_without_any_answer_serves_no_list() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1") as (source, runner):
+            source.transform_body = lambda _: None
+            await runner.stop()
+            await runner.start()
+            for address in (runner.sidecar_address(), runner.child_address):
+                client = ListClient(address)
+                assert await client.poll() == 503
+                client.generation = 41
+                assert await client.poll() == 503
+                client.close()
+            assert await operator_call(runner, "PING") == (400, "starting")
+
+    run(scenario())
+
+
+def test_a_tier_with_a_silent_source_refuses_newcomers_that_hold_another_list() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", settings={"fresh_ms": 400.0}) as (source, runner):
+            known, newcomer = ListClient(runner.sidecar_address()), ListClient(runner.sidecar_address())
+            await poll_until_list(known)
+            assert (await operator_call(runner, "PING"))[0] == 200
+            source.transform_body = lambda _: None
+            await until(lambda: bool(runner.events("tier_stale")))
+            assert runner.events("tier_stale")[0]["not_heard"] == [source.address]
+            assert await operator_call(runner, "PING") == (400, "stale")
+            newcomer.generation = 41
+            assert await newcomer.poll() == 503  # it keeps its list
+            child = ListClient(runner.child_address)
+            child.generation = 41
+            assert await child.poll() == 503
+            child.close()
+            newcomer.generation = None
+            assert await newcomer.poll() == 200  # a stale list is better than none
+            assert await known.poll(wait_ms=10) == 200 and not known.last_answer["reset"]
+            source.transform_body = lambda body: body
+            await until(lambda: len(runner.events("tier_fresh")) == 2)
+            newcomer.generation = 41
+            assert await newcomer.poll() == 200 and newcomer.last_answer["reset"]
             known.close()
-            new.close()
-
-    run(work())
-
-
-@pytest.mark.parametrize("waiting", [False, True])
-def test_until_all_is_heard_a_tier_below_is_told_so_and_then_given_the_whole(waiting: bool) -> None:
-    async def work() -> None:
-        first, second = await Discovery("a-1").start(), await Discovery("b-1").start()
-        second.spoil = lambda _: None
-        tier = Running(sources=[{"discovery": one.place, "service": "a"} for one in (first, second)])
-        async with running(tier):
-            below = Receiver(tier.listen)
-            await whole(below)
-            assert below.last["provisional"] and below.last["owners"] == {}  # nothing is known to be gone
-            waits = asyncio.create_task(below.ask()) if waiting else None
-            second.spoil = lambda body: body
-            await until(lambda: tier.it.is_complete)
-            assert await (waits or below.ask()) == 200 and not below.last["provisional"]
-            assert below.last["reset"] and below.lines.keys() == {"a-1", "b-1"}
-            assert below.last["owners"].keys() == {"t"}
-            below.close()
-        first.stop()
-        second.stop()
-
-    run(work())
-
-
-def test_whole_answers_beyond_the_rate_wait_their_turn_or_are_refused() -> None:
-    async def work() -> None:
+            newcomer.close()
+
+    run(scenario())
+
+
+@pytest.mark.parametrize("is_waiting", [False, True])
+def test_a_child_tier_gets_provisional_answers_and_then_a_full_one_when_all_sources_have_answered(
+    is_waiting: bool,
+) -> None:
+    async def scenario() -> None:
+        source_a, source_b = await DiscoveryServer("a-1").start(), await DiscoveryServer("b-1").start()
+        source_b.transform_body = lambda _: None
+        runner = TierRunner(
+            sources=[{"discovery": source.address, "service": "a"} for source in (source_a, source_b)]
+        )
+        async with running(runner):
+            child = ListClient(runner.child_address)
+            await poll_until_list(child)
+            # Without known versions the child cannot conclude that an instance is gone.
+            assert child.last_answer["provisional"] and child.last_answer["owners"] == {}
+            watch = asyncio.create_task(child.poll()) if is_waiting else None
+            source_b.transform_body = lambda body: body
+            await until(lambda: runner.tier.is_complete)
+            assert await (watch or child.poll()) == 200 and not child.last_answer["provisional"]
+            assert child.last_answer["reset"] and child.instances.keys() == {"a-1", "b-1"}
+            assert child.last_answer["owners"].keys() == {"t"}
+            child.close()
+        source_a.stop()
+        source_b.stop()
+
+    run(scenario())
+
+
+def test_full_answers_above_the_rate_limit_are_delayed_or_refused() -> None:
+    async def scenario() -> None:
         limits = {"wholes_per_s": 2.0, "whole_wait_ms": 600.0}
-        async with alone("s-1", settings=limits) as (_, tier):
-            first = Receiver(tier.door())
-            await whole(first)
-            crowd = [Receiver(tier.door()) for _ in range(40)]
-            answers = await asyncio.gather(*(one.ask() for one in crowd))
-            assert set(answers) == {200, 503} and answers.count(200) < 20
-            assert tier.it.refused_calls >= 20
-            assert await first.ask(wait_ms=1) == 200  # who holds a list waits for nobody
-            for one in (first, *crowd):
-                one.close()
-
-    run(work())
-
-
-def test_a_receiver_that_reads_nothing_is_cut_and_holds_up_nobody() -> None:
-    async def work() -> None:
-        names = [f"s-{n}" for n in range(4000)]
-        async with alone(*names, settings={"write_ms": 300.0, "wholes_per_s": 1000.0}) as (source, tier):
-            sidecar = Receiver(tier.door())
-            await whole(sidecar)
-            _, writer = await asyncio.open_connection(*tier.it.sidecar_listeners[0].address, limit=1)
+        async with single_tier("s-1", settings=limits) as (_, runner):
+            first = ListClient(runner.sidecar_address())
+            await poll_until_list(first)
+            others = [ListClient(runner.sidecar_address()) for _ in range(40)]
+            statuses = await asyncio.gather(*(client.poll() for client in others))
+            assert set(statuses) == {200, 503} and statuses.count(200) < 20
+            assert runner.tier.refused_calls >= 20
+            assert await first.poll(wait_ms=1) == 200  # the limit does not apply to deltas
+            for client in (first, *others):
+                client.close()
+
+    run(scenario())
+
+
+def test_a_connection_whose_peer_does_not_read_is_cut_and_delays_no_other() -> None:
+    async def scenario() -> None:
+        instance_ids = [f"s-{n}" for n in range(4000)]
+        async with single_tier(*instance_ids, settings={"write_ms": 300.0, "wholes_per_s": 1000.0}) as (
+            source,
+            runner,
+        ):
+            sidecar = ListClient(runner.sidecar_address())
+            await poll_until_list(sidecar)
+            _, writer = await asyncio.open_connection(*runner.tier.sidecar_listeners[0].address, limit=1)
             writer.transport.pause_reading()  # type: ignore[attr-defined]
-            turn = 0
-            while not tier.it.cut_connections:
-                turn += 1
+            round_number = 0
+            while not runner.tier.cut_connections:
+                round_number += 1
                 if not writer.transport.is_closing():
                     writer.write(b"GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n")
-                waits = asyncio.create_task(sidecar.ask())
-                source.tell(line("s-0", weight=float(turn)))
-                assert await waits == 200 and sidecar.lines["s-0"]["weight"] == turn
+                watch = asyncio.create_task(sidecar.poll())
+                source.publish(instance("s-0", weight=float(round_number)))
+                assert await watch == 200 and sidecar.instances["s-0"]["weight"] == round_number
             writer.transport.abort()
-            await until(lambda: len(tier.it.receivers) == 1)
+            await until(lambda: len(runner.tier.receivers) == 1)
             sidecar.close()
 
-    run(work())
+    run(scenario())
 
 
-def test_more_connections_than_are_allowed_are_turned_away() -> None:
-    async def work() -> None:
-        async with alone("s-1", settings={"connections": 2}) as (_, tier):
-            held = [Receiver(tier.door()) for _ in range(2)]
-            for one in held:
-                await whole(one)
-            over = Receiver(tier.door())
+def test_connections_above_the_limit_are_rejected() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", settings={"connections": 2}) as (_, runner):
+            accepted = [ListClient(runner.sidecar_address()) for _ in range(2)]
+            for client in accepted:
+                await poll_until_list(client)
+            rejected = ListClient(runner.sidecar_address())
             with pytest.raises(ConnectionError):
-                await over.ask()
-            assert tier.it.rejected_connections == 1 and await held[0].ask(wait_ms=1) == 200
-            for one in (*held, over):
-                one.close()
+                await rejected.poll()
+            assert runner.tier.rejected_connections == 1 and await accepted[0].poll(wait_ms=1) == 200
+            for client in (*accepted, rejected):
+                client.close()
 
-    run(work())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
-    ("text", "status"),
+    ("request_bytes", "status"),
     [
         (b"GET /registry/instances?after=x HTTP/1.1\r\nHost: x\r\n\r\n", 404),
         (b"GET /registry/instances?after=-1&wait_ms=5 HTTP/1.1\r\nHost: x\r\n\r\n", 404),
@@ -341,274 +364,318 @@
         (b"GET /registry/instances HTTP/1.1\r\nHost: x\r\n\r\n" * 2, 400),
     ],
 )
-def test_a_bad_call_is_answered_so(text: bytes, status: int) -> None:
-    async def work() -> None:
-        async with alone("s-1") as (_, tier):
-            reader, writer = await asyncio.open_connection(*tier.it.sidecar_listeners[0].address)
-            writer.write(text)
+def test_an_invalid_request_gets_an_error_status(request_bytes: bytes, status: int) -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1") as (_, runner):
+            reader, writer = await asyncio.open_connection(*runner.tier.sidecar_listeners[0].address)
+            writer.write(request_bytes)
             assert (await reader.readline()).startswith(b"HTTP/1.1 %d " % status)
             writer.transport.abort()
 
-    run(work())
+    run(scenario())
 
 
-def test_the_origin_can_say_who_holds_a_change_and_who_does_not() -> None:
-    async def work() -> None:
-        async with three("s-1") as (source, _, origin, _, zone):
-            quick, lame = Receiver(zone.door()), Receiver(zone.door())
-            other = Receiver(zone.door(1))
-            for one in (quick, lame):
-                await whole(one)
+def test_the_origin_reports_which_sidecars_hold_a_change() -> None:
+    async def scenario() -> None:
+        async with three_tiers("s-1") as (source, _, origin, _, zone):
+            current, lagging = ListClient(zone.sidecar_address()), ListClient(zone.sidecar_address())
+            other_service = ListClient(zone.sidecar_address(1))
+            for client in (current, lagging):
+                await poll_until_list(client)
             await asyncio.sleep(0)
-            watches = asyncio.create_task(quick.ask())
-            await lame.ask(wait_ms=1)
+            watch = asyncio.create_task(current.poll())
+            await lagging.poll(wait_ms=1)
 
-            async def held() -> tuple[int, int]:
-                _, told = await operator(origin, "HELD")
-                return told["held"], told["not_held"]
+            async def held_counts() -> tuple[int, int]:
+                _, report = await operator_call(origin, "HELD")
+                return report["held"], report["not_held"]
 
-            lame_waits = asyncio.create_task(lame.ask())
-            while await held() != (2, 0):
+            lagging_watch = asyncio.create_task(lagging.poll())
+            while await held_counts() != (2, 0):
                 await asyncio.sleep(0.02)
-            source.tell(line("s-1", "Terminating"))
-            assert await watches == await lame_waits == 200
-            watches = asyncio.create_task(quick.ask())  # the other does not come again
-            while await held() != (1, 1):
+            source.publish(instance("s-1", "Terminating"))
+            assert await watch == await lagging_watch == 200
+            watch = asyncio.create_task(current.poll())  # only this one acknowledges the change
+            while await held_counts() != (1, 1):
                 await asyncio.sleep(0.02)
-            _, told = await operator(origin, f"HELD {origin.it.table.generation}")
-            assert told["not_held"] == 1
-            late = told["late"][0]
-            assert (late["tier"], late["door"]) == ("zone", "doors[0]") and late["peer"].startswith("127.")
-            assert (await operator(origin, "HELD 41"))[0] == 400
-            lame_waits = asyncio.create_task(lame.ask())
-            while await held() != (2, 0):
+            _, report = await operator_call(origin, f"HELD {origin.tier.table.generation}")
+            assert report["not_held"] == 1
+            laggard = report["late"][0]
+            assert (laggard["tier"], laggard["door"]) == ("zone", "doors[0]") and laggard["peer"].startswith(
+                "127."
+            )
+            assert (await operator_call(origin, "HELD 41"))[0] == 400
+            lagging_watch = asyncio.create_task(lagging.poll())
+            while await held_counts() != (2, 0):
                 await asyncio.sleep(0.02)
             await until(lambda: bool(origin.events("tier_held")))
             assert origin.events("tier_held")[-1]["sidecars"] == 2
-            for task in (watches, lame_waits):
+            for task in (watch, lagging_watch):
                 task.cancel()
-            for one in (quick, lame, other):
-                one.close()
-
-    run(work())
-
-
-def test_who_lags_is_logged_with_where_it_is() -> None:
-    async def work() -> None:
-        async with alone("s-1", settings={"held_ms": 300.0}) as (source, tier):
-            sidecar = Receiver(tier.door())
-            await whole(sidecar)
-            waits = asyncio.create_task(sidecar.ask())
-            source.tell(line("s-1", "Terminating"))
-            await waits
-            await until(lambda: bool(tier.events("tier_lagging")))
-            told = tier.events("tier_lagging")[0]
-            assert told["not_held"] == 1 and told["late"][0]["door"] == "doors[0]"
-            waits = asyncio.create_task(sidecar.ask())
-            await until(lambda: bool(tier.events("tier_held")))
-            waits.cancel()
+            for client in (current, lagging, other_service):
+                client.close()
+
+    run(scenario())
+
+
+def test_a_lagging_sidecar_is_logged_with_its_listener() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", settings={"held_ms": 300.0}) as (source, runner):
+            sidecar = ListClient(runner.sidecar_address())
+            await poll_until_list(sidecar)
+            watch = asyncio.create_task(sidecar.poll())
+            source.publish(instance("s-1", "Terminating"))
+            await watch
+            await until(lambda: bool(runner.events("tier_lagging")))
+            event = runner.events("tier_lagging")[0]
+            assert event["not_held"] == 1 and event["late"][0]["door"] == "doors[0]"
+            watch = asyncio.create_task(sidecar.poll())
+            await until(lambda: bool(runner.events("tier_held")))
+            watch.cancel()
             sidecar.close()
 
-    run(work())
+    run(scenario())
 
 
-def test_a_region_that_is_cut_off_serves_on_and_afterwards_nobody_takes_a_whole_list() -> None:
-    async def work() -> None:
-        async with three("s-1", "s-2") as (source, link, origin, region, zone):
-            far = await Discovery("f-1").start()
-            other = Running(
+def test_a_region_cut_off_from_its_parent_serves_on_and_needs_no_full_list_afterwards() -> None:
+    async def scenario() -> None:
+        async with three_tiers("s-1", "s-2") as (source, origin_proxy, origin, region, zone):
+            other_source = await DiscoveryServer("f-1").start()
+            other_region = TierRunner(
                 name="other",
                 own="127.0.0.1:0",
-                sources=[{"discovery": far.place, "service": "svc-2"}],
-                above=[origin.listen],
+                sources=[{"discovery": other_source.address, "service": "svc-2"}],
+                above=[origin.child_address],
             )
-            async with running(other):
+            async with running(other_region):
                 await origin.stop()
-                listen = origin.told["listen"] = link.to
-                origin.told["sources"].append({"discovery": other.own})
-                # The way up from the region to the origin's call is cut as well: by a link of its own.
-                up = await Link(region.own).start()
-                origin.told["sources"][0]["discovery"] = up.place
+                listen = origin.config_fields["listen"] = origin_proxy.upstream
+                origin.config_fields["sources"].append({"discovery": other_region.parent_address})
+                # The origin's calls to the region have a proxy of their own, which is stalled as well.
+                region_proxy = await TcpProxy(region.parent_address).start()
+                origin.config_fields["sources"][0]["discovery"] = region_proxy.address
                 await origin.start()
-                assert origin.listen == listen
-                sidecar = Receiver(zone.door(0))
-                far_sidecar = Receiver(zone.door(1))
-                await whole(far_sidecar)
-                await whole(sidecar)
-                await until(lambda: all(t.it.is_complete for t in (origin, region, zone, other)))
-                await until(lambda: len(other.it.table.live_records(None)) == 3)
-                wholes = [feed.full_requests for t in (origin, region, other) for feed in t.it._feeds]
-                link.cut()
-                up.cut()
-                source.tell(line("s-1", "Gone"), line("s-3"))
-                far.tell(line("f-1", "Gone"), line("f-2"))
-                await until_told(sidecar, lambda: sidecar.lines.keys() == {"s-2", "s-3"})
-                upper = Receiver(origin.listen)
-                await whole(upper)
-                await until_told(upper, lambda: upper.lines.keys() == {"s-1", "s-2", "f-2"})
-                await until(lambda: region.it.parent is not None and bool(region.it.parent.current_error))
-                link.heal()
-                up.heal()
-                await until_told(upper, lambda: upper.lines.keys() == {"s-2", "s-3", "f-2"})
-                await until_told(far_sidecar, lambda: far_sidecar.lines.keys() == {"f-2"})
-                assert wholes == [feed.full_requests for t in (origin, region, other) for feed in t.it._feeds]
-                for one in (sidecar, far_sidecar, upper):
-                    one.close()
-                up.stop()
-            far.stop()
-
-    run(work())
-
-
-def test_who_loses_its_tier_above_goes_to_a_neighbour_and_back_without_a_whole_list() -> None:
-    async def work() -> None:
-        async with alone("s-1", name="first") as (source, first):
-            second = Running(name="second", above=[first.listen])
+                assert origin.child_address == listen
+                sidecar = ListClient(zone.sidecar_address(0))
+                other_sidecar = ListClient(zone.sidecar_address(1))
+                await poll_until_list(other_sidecar)
+                await poll_until_list(sidecar)
+                await until(
+                    lambda: all(runner.tier.is_complete for runner in (origin, region, zone, other_region))
+                )
+                await until(lambda: len(other_region.tier.table.live_records(None)) == 3)
+                full_requests = [
+                    feed.full_requests
+                    for runner in (origin, region, other_region)
+                    for feed in runner.tier._feeds
+                ]
+                origin_proxy.stall()
+                region_proxy.stall()
+                source.publish(instance("s-1", "Gone"), instance("s-3"))
+                other_source.publish(instance("f-1", "Gone"), instance("f-2"))
+                await poll_until(sidecar, lambda: sidecar.instances.keys() == {"s-2", "s-3"})
+                origin_child = ListClient(origin.child_address)
+                await poll_until_list(origin_child)
+                await poll_until(origin_child, lambda: origin_child.instances.keys() == {"s-1", "s-2", "f-2"})
+                await until(lambda: region.tier.parent is not None and bool(region.tier.parent.current_error))
+                origin_proxy.reset()
+                region_proxy.reset()
+                await poll_until(origin_child, lambda: origin_child.instances.keys() == {"s-2", "s-3", "f-2"})
+                await poll_until(other_sidecar, lambda: other_sidecar.instances.keys() == {"f-2"})
+                assert full_requests == [
+                    feed.full_requests
+                    for runner in (origin, region, other_region)
+                    for feed in runner.tier._feeds
+                ]
+                for client in (sidecar, other_sidecar, origin_child):
+                    client.close()
+                region_proxy.stop()
+            other_source.stop()
+
+    run(scenario())
+
+
+def test_a_tier_fails_over_to_another_parent_and_returns_without_a_full_list() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", name="first") as (source, first):
+            second = TierRunner(name="second", above=[first.child_address])
             async with running(second):
-                link = await Link(first.listen).start()
-                zone = Running(
+                first_proxy = await TcpProxy(first.child_address).start()
+                zone = TierRunner(
                     name="zone",
-                    above=[link.place, second.listen],
-                    doors=[ANY],
+                    above=[first_proxy.address, second.child_address],
+                    doors=[ALL_SERVICES_LISTENER],
                     settings={"back_min_ms": 300.0, "back_max_ms": 600.0},
                 )
                 async with running(zone):
-                    sidecar = Receiver(zone.door())
-                    await whole(sidecar)
-                    assert zone.it.parent is not None
-                    link.cut()  # half open: it says nothing more
-                    source.tell(line("s-1", "Terminating"))
-                    await until_told(sidecar, lambda: sidecar.states == {"s-1": "Terminating"})
-                    assert zone.it.parent.current_address == second.listen and zone.events("tier_moved")
-                    wholes = zone.it.parent.full_requests
-                    link.heal()
+                    sidecar = ListClient(zone.sidecar_address())
+                    await poll_until_list(sidecar)
+                    assert zone.tier.parent is not None
+                    first_proxy.stall()
+                    source.publish(instance("s-1", "Terminating"))
+                    await poll_until(sidecar, lambda: sidecar.lifecycles == {"s-1": "Terminating"})
+                    assert zone.tier.parent.current_address == second.child_address and zone.events(
+                        "tier_moved"
+                    )
+                    full_requests = zone.tier.parent.full_requests
+                    first_proxy.reset()
                     await until(
-                        lambda: zone.it.parent is not None and zone.it.parent.current_address == link.place
+                        lambda: (
+                            zone.tier.parent is not None
+                            and zone.tier.parent.current_address == first_proxy.address
+                        )
                     )
-                    source.tell(line("s-1", "Ready"))
-                    await until_told(sidecar, lambda: sidecar.states == {"s-1": "Ready"})
-                    assert zone.it.parent.full_requests == wholes  # home remembers what it had told
+                    source.publish(instance("s-1", "Ready"))
+                    await poll_until(sidecar, lambda: sidecar.lifecycles == {"s-1": "Ready"})
+                    # The zone still knows the first parent's last generation, which gets a delta.
+                    assert zone.tier.parent.full_requests == full_requests
                     sidecar.close()
-                link.stop()
+                first_proxy.stop()
 
-    run(work())
+    run(scenario())
 
 
-def test_who_comes_with_a_list_of_another_tier_is_told_no_less_than_that_one_knew() -> None:
-    async def work() -> None:
-        async with alone("s-1", "s-2") as (source, region):
-            link = await Link(region.listen).start()
-            zone = Running(name="zone", above=[link.place], doors=[ANY], ops="127.0.0.1:0")
+def test_a_sidecar_that_comes_from_a_more_current_tier_gets_no_older_list() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", "s-2") as (source, region):
+            region_proxy = await TcpProxy(region.child_address).start()
+            zone = TierRunner(
+                name="zone", above=[region_proxy.address], doors=[ALL_SERVICES_LISTENER], ops="127.0.0.1:0"
+            )
             async with running(zone):
-                sidecar = Receiver(region.door())
-                await whole(sidecar)
-                await until(lambda: zone.it.is_complete)
-                link.cut()
-                source.tell(line("s-1", "Gone"))
-                await until_told(sidecar, lambda: sidecar.lines.keys() == {"s-2"})
-                moved = Receiver(zone.door())
-                moved.generation, moved.lines = sidecar.generation, dict(sidecar.lines)
-                asks = asyncio.create_task(moved.ask())
+                sidecar = ListClient(region.sidecar_address())
+                await poll_until_list(sidecar)
+                await until(lambda: zone.tier.is_complete)
+                region_proxy.stall()
+                source.publish(instance("s-1", "Gone"))
+                await poll_until(sidecar, lambda: sidecar.instances.keys() == {"s-2"})
+                moved = ListClient(zone.sidecar_address())
+                moved.generation, moved.instances = sidecar.generation, dict(sidecar.instances)
+                poll = asyncio.create_task(moved.poll())
                 await until(lambda: bool(zone.events("tier_call_failed")))
-                assert zone.it.table.live_count == 2  # it has not heard of it yet, and says nothing
-                link.heal()
-                while await asks != 200:
-                    asks = asyncio.create_task(moved.ask())
-                assert moved.lines.keys() == {"s-2"} and not moved.returned
-                for one in (sidecar, moved):
-                    one.close()
-            link.stop()
-
-    run(work())
-
-
-def test_a_tier_that_only_passes_on_ends_its_watches_when_it_hears_nobody_and_a_region_does_not() -> None:
-    async def work() -> None:
-        deaf = {"deaf_ms": 700.0}
-        async with three("s-1") as (source, link, _, region, _):
-            up = await Link(region.listen).start()
-            zone = Running(name="deaf", above=[up.place], doors=[ANY], settings=deaf, ops="127.0.0.1:0")
+                assert zone.tier.table.live_count == 2  # the zone lacks the change and holds its answer back
+                region_proxy.reset()
+                while await poll != 200:
+                    poll = asyncio.create_task(moved.poll())
+                assert moved.instances.keys() == {"s-2"} and not moved.reappeared
+                for client in (sidecar, moved):
+                    client.close()
+            region_proxy.stop()
+
+    run(scenario())
+
+
+def test_a_tier_without_sources_ends_its_watches_when_its_parent_is_silent_and_a_region_does_not() -> None:
+    async def scenario() -> None:
+        settings = {"deaf_ms": 700.0}
+        async with three_tiers("s-1") as (source, origin_proxy, _, region, _):
+            region_proxy = await TcpProxy(region.child_address).start()
+            zone = TierRunner(
+                name="deaf",
+                above=[region_proxy.address],
+                doors=[ALL_SERVICES_LISTENER],
+                settings=settings,
+                ops="127.0.0.1:0",
+            )
             async with running(zone):
-                here, near = Receiver(zone.door()), Receiver(region.listen)
-                await until(lambda: zone.it.is_complete)
-                await whole(here)
-                await whole(near)
-                waits = asyncio.create_task(here.ask())
-                up.cut()
-                link.cut()  # the region is cut off as well
-                assert await waits == 503 and zone.events("tier_deaf")
-                assert await here.ask() == 503  # also who comes again
-                assert (await operator(zone, "STATE"))[1]["deaf"] is True
-                await until(lambda: bool(region.it.parent and region.it.parent.current_error))
-                source.tell(line("s-2"))
-                await until_told(near, lambda: near.lines.keys() == {"s-1", "s-2"})
-                up.heal()
-                while await here.ask() != 200:
+                zone_client, region_client = (
+                    ListClient(zone.sidecar_address()),
+                    ListClient(region.child_address),
+                )
+                await until(lambda: zone.tier.is_complete)
+                await poll_until_list(zone_client)
+                await poll_until_list(region_client)
+                watch = asyncio.create_task(zone_client.poll())
+                region_proxy.stall()
+                origin_proxy.stall()  # the region loses its parent as well
+                assert await watch == 503 and zone.events("tier_deaf")
+                assert await zone_client.poll() == 503  # new calls are refused too
+                assert (await operator_call(zone, "STATE"))[1]["deaf"] is True
+                await until(lambda: bool(region.tier.parent and region.tier.parent.current_error))
+                source.publish(instance("s-2"))
+                await poll_until(region_client, lambda: region_client.instances.keys() == {"s-1", "s-2"})
+                region_proxy.reset()
+                while await zone_client.poll() != 200:
                     await asyncio.sleep(0.02)
-                await until_told(here, lambda: here.lines.keys() == {"s-1", "s-2"})
-                here.close()
-                near.close()
-            up.stop()
-
-    run(work())
-
-
-def test_a_tier_at_a_neighbour_that_is_cut_off_itself_goes_where_more_is_known() -> None:
-    async def work() -> None:
-        wait = {"deaf_ms": 700.0}  # home is looked at by the clock after 20 s at the earliest
-        async with alone("s-1", name="top") as (source, top):
-            link = await Link(top.listen).start()
-            far = await Discovery("f-1").start()
-            here = Running(name="here", above=[top.listen])
-            near = Running(name="near", above=[link.place], settings=wait, sources=[{"discovery": far.place}])
-            async with running(here, near):
-                home = await Link(here.listen).start()
-                zone = Running(name="zone", above=[home.place, near.listen], doors=[ANY], settings=wait)
+                await poll_until(zone_client, lambda: zone_client.instances.keys() == {"s-1", "s-2"})
+                zone_client.close()
+                region_client.close()
+            region_proxy.stop()
+
+    run(scenario())
+
+
+def test_a_tier_leaves_a_stale_fallback_parent_for_a_current_one() -> None:
+    async def scenario() -> None:
+        settings = {"deaf_ms": 700.0}  # without staleness the first parent is retried after 20 s or more
+        async with single_tier("s-1", name="top") as (source, top):
+            top_proxy = await TcpProxy(top.child_address).start()
+            other_source = await DiscoveryServer("f-1").start()
+            first = TierRunner(name="here", above=[top.child_address])
+            fallback = TierRunner(
+                name="near",
+                above=[top_proxy.address],
+                settings=settings,
+                sources=[{"discovery": other_source.address}],
+            )
+            async with running(first, fallback):
+                first_proxy = await TcpProxy(first.child_address).start()
+                zone = TierRunner(
+                    name="zone",
+                    above=[first_proxy.address, fallback.child_address],
+                    doors=[ALL_SERVICES_LISTENER],
+                    settings=settings,
+                )
                 async with running(zone):
-                    sidecar = Receiver(zone.door())
-                    await whole(sidecar)
-                    home.cut()
+                    sidecar = ListClient(zone.sidecar_address())
+                    await poll_until_list(sidecar)
+                    first_proxy.stall()
                     await until(
-                        lambda: bool(zone.it.parent and zone.it.parent.current_address == near.listen)
+                        lambda: bool(
+                            zone.tier.parent and zone.tier.parent.current_address == fallback.child_address
+                        )
+                    )
+                    await poll_until(sidecar, lambda: sidecar.instances.keys() == {"s-1", "f-1"})
+                    first_proxy.reset()
+                    top_proxy.stall()  # the fallback still answers but has lost its own parent
+                    source.publish(instance("s-1", "Terminating"))
+                    await poll_until(sidecar, lambda: sidecar.lifecycles["s-1"] == "Terminating")
+                    assert (
+                        zone.tier.parent is not None
+                        and zone.tier.parent.current_address == first_proxy.address
                     )
-                    await until_told(sidecar, lambda: sidecar.lines.keys() == {"s-1", "f-1"})
-                    home.heal()
-                    link.cut()  # the neighbour answers, and hears nothing of the rest
-                    source.tell(line("s-1", "Terminating"))
-                    await until_told(sidecar, lambda: sidecar.states["s-1"] == "Terminating")
-                    assert zone.it.parent is not None and zone.it.parent.current_address == home.place
                     sidecar.close()
-                home.stop()
-            far.stop()
-            link.stop()
-
-    run(work())
-
-
-def test_who_was_cut_off_while_it_lacked_a_change_is_still_told_as_lacking_it() -> None:
-    async def work() -> None:
-        async with alone("s-1", settings={"idle_ms": 300.0}) as (source, tier):
-            sidecar = Receiver(tier.door())
-            await whole(sidecar)
-            await sidecar.ask(wait_ms=1)
-            source.tell(line("s-1", "Terminating"))
-            await until(lambda: not tier.it.receivers)  # it said nothing for idle_ms
-            _, told = await operator(tier, "HELD")
-            assert (told["held"], told["not_held"]) == (0, 1)
-            assert told["late"][0]["door"] == "doors[0] (left)"
+                first_proxy.stop()
+            other_source.stop()
+            top_proxy.stop()
+
+    run(scenario())
+
+
+def test_a_sidecar_that_was_cut_off_while_it_lacked_a_change_is_still_reported() -> None:
+    async def scenario() -> None:
+        async with single_tier("s-1", settings={"idle_ms": 300.0}) as (source, runner):
+            sidecar = ListClient(runner.sidecar_address())
+            await poll_until_list(sidecar)
+            await sidecar.poll(wait_ms=1)
+            source.publish(instance("s-1", "Terminating"))
+            await until(lambda: not runner.tier.receivers)  # the connection was idle for idle_ms
+            _, report = await operator_call(runner, "HELD")
+            assert (report["held"], report["not_held"]) == (0, 1)
+            assert report["late"][0]["door"] == "doors[0] (left)"
             sidecar.close()
-            await until_told(sidecar, lambda: sidecar.states == {"s-1": "Terminating"})
-            waits = asyncio.create_task(sidecar.ask())
-            await until(lambda: bool(tier.it.sidecar_listeners[0].waiting))
-            _, told = await operator(tier, "HELD")
-            assert (told["held"], told["not_held"]) == (1, 0)
-            waits.cancel()
+            await poll_until(sidecar, lambda: sidecar.lifecycles == {"s-1": "Terminating"})
+            watch = asyncio.create_task(sidecar.poll())
+            await until(lambda: bool(runner.tier.sidecar_listeners[0].waiting))
+            _, report = await operator_call(runner, "HELD")
+            assert (report["held"], report["not_held"]) == (1, 0)
+            watch.cancel()
             sidecar.close()
 
-    run(work())
+    run(scenario())
 
 
-GOOD = {"name": "z", "listen": "127.0.0.1:0", "above": ["127.0.0.1:1"]}
+VALID_CONFIG = {"name": "z", "listen": "127.0.0.1:0", "above": ["127.0.0.1:1"]}
 
 
 @pytest.mark.parametrize(
@@ -622,9 +689,9 @@
         ({"ops": "127.0.0.1:99999"}, "ops:"),
         ({"doors": [{"listen": "127.0.0.1:0"}]}, "`services` - at `$.doors[0]`"),
         ({"doors": [{"listen": "127.0.0.1:0", "services": []}]}, "doors[0].services:"),
-        ({"doors": [part("a", "*")]}, "doors[0].services:"),
-        ({"doors": [part("a"), {"listen": ":", "services": ["a"]}]}, "doors[1].listen:"),
-        ({"doors": [part("q")], "services": ["a"]}, "doors[0].services[0]:"),
+        ({"doors": [sidecar_listener("a", "*")]}, "doors[0].services:"),
+        ({"doors": [sidecar_listener("a"), {"listen": ":", "services": ["a"]}]}, "doors[1].listen:"),
+        ({"doors": [sidecar_listener("q")], "services": ["a"]}, "doors[0].services[0]:"),
         ({"sources": [{"discovery": "127.0.0.1:0"}]}, "sources[0].discovery:"),
         ({"sources": [{"discovery": "127.0.0.1:7"}, {"discovery": "127.0.0.1:7"}]}, "sources:"),
         ({"above": ["x"]}, "above[0]:"),
@@ -640,46 +707,46 @@
         ({"door": []}, "door"),
     ],
 )
-def test_a_faulty_configuration_is_told_by_its_key(change: dict[str, Any], key: str) -> None:
+def test_an_invalid_configuration_is_reported_with_its_key(change: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError) as error:
-        config.parse(json.dumps(GOOD | change).encode())
+        config.parse(json.dumps(VALID_CONFIG | change).encode())
     assert key in str(error.value)
 
 
-async def _started(path: Path) -> asyncio.subprocess.Process:
+async def _start_process(path: Path) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable, "-m", "larkcrank", "tier", str(path), stderr=asyncio.subprocess.PIPE
     )
 
 
-def test_the_command_listens_ends_in_order_and_refuses_a_faulty_configuration(tmp_path: Path) -> None:
-    async def work() -> None:
+def test_the_command_listens_stops_on_sigterm_and_rejects_an_invalid_configuration(tmp_path: Path) -> None:
+    async def scenario() -> None:
         path = tmp_path / "tier.json"
-        path.write_text(json.dumps(GOOD | {"ops": "127.0.0.1:0", "doors": [ANY]}))
-        process = await _started(path)
+        path.write_text(json.dumps(VALID_CONFIG | {"ops": "127.0.0.1:0", "doors": [ALL_SERVICES_LISTENER]}))
+        process = await _start_process(path)
         assert process.stderr is not None
-        told = json.loads(await process.stderr.readline())
-        assert told["event"] == "tier_listening" and len(told["doors"]) == 1 and told["ops"]
+        event = json.loads(await process.stderr.readline())
+        assert event["event"] == "tier_listening" and len(event["doors"]) == 1 and event["ops"]
         process.send_signal(signal.SIGTERM)
         assert await process.wait() == 0
-        path.write_text(json.dumps(GOOD | {"above": ["x"]}))
-        process = await _started(path)
-        _, text = await process.communicate()
-        lines = text.splitlines()
-        assert process.returncode == 2 and len(lines) == 1
-        assert "above[0]" in json.loads(lines[0])["message"]
+        path.write_text(json.dumps(VALID_CONFIG | {"above": ["x"]}))
+        process = await _start_process(path)
+        _, log = await process.communicate()
+        log_lines = log.splitlines()
+        assert process.returncode == 2 and len(log_lines) == 1
+        assert "above[0]" in json.loads(log_lines[0])["message"]
 
-    run(work())
+    run(scenario())
 
 
-def test_a_plain_sidecar_loads_nothing_of_the_tiers() -> None:
-    async def work() -> None:
-        found = "[m for m in sys.modules if 'tiers' in m or 'places' in m]"
-        text = f"import sys, larkcrank.program.start; print({found})"
+def test_a_sidecar_without_tiers_imports_no_module_of_the_tiers() -> None:
+    async def scenario() -> None:
+        loaded_modules = "[m for m in sys.modules if 'tiers' in m or 'places' in m]"
+        script = f"import sys, larkcrank.program.start; print({loaded_modules})"
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", text, stdout=asyncio.subprocess.PIPE, env=dict(os.environ)
+            sys.executable, "-c", script, stdout=asyncio.subprocess.PIPE, env=dict(os.environ)
         )
-        out, _ = await process.communicate()
-        assert out == b"[]\n"
+        output, _ = await process.communicate()
+        assert output == b"[]\n"
 
-    run(work())
+    run(scenario())
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -1,4 +1,7 @@
-"""A sidecar's side of the tiers: several addresses, shorter watches; times down the tiers, virtual."""
+"""A sidecar's discovery client below tiers: failover between addresses, and delays from tier to tier.
+
+The tests run in virtual time.
+"""
 
 import asyncio
 import json
@@ -18,222 +21,245 @@
 from tests import virtual_loop
 from tests.bed import until
 from tests.frames import CONFIG
-from tests.tiers_bed import Discovery, Link, Running, line, running
+from tests.tiers_bed import DiscoveryServer, TcpProxy, TierRunner, instance, running
 
-CALM_S, FAULT_S = 3.0, 6.0  # from a change to the last sidecar's word of it: in calm, and after a failure
-LIMIT_S = 600.0  # of virtual time: it ends a test that hangs
-ANY = {"listen": "127.0.0.1:0", "services": ["*"]}
-SLOW: dict[str, Any] = {"spread_ms": 500.0, "again_max_ms": 2000.0, "gather_ms": 100.0, "wait_ms": 1000}
-SETTINGS = SLOW | {"slack_ms": 700.0}
+# From a change until the last sidecar has received it: without a fault, and after one.
+MAX_DELAY_S, MAX_DELAY_AFTER_FAULT_S = 3.0, 6.0
+TEST_TIMEOUT_S = 600.0  # of virtual time
+ALL_SERVICES_LISTENER = {"listen": "127.0.0.1:0", "services": ["*"]}
+DEFAULT_DELAYS: dict[str, Any] = {
+    "spread_ms": 500.0,
+    "again_max_ms": 2000.0,
+    "gather_ms": 100.0,
+    "wait_ms": 1000,
+}
+SETTINGS = DEFAULT_DELAYS | {"slack_ms": 700.0}
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
-    async def limited() -> None:
-        async with asyncio.timeout(LIMIT_S):
-            await work
+def run(scenario: Coroutine[Any, Any, None]) -> None:
+    async def with_timeout() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await scenario
 
-    virtual_loop.run(limited())
+    virtual_loop.run(with_timeout())
 
 
 class Sidecar:
-    """A sidecar's own discovery, with the list as its balancer would hold it."""
+    """A sidecar's discovery client, with the server states that its balancer would hold."""
 
-    def __init__(self, *places: str, watch_ms: int | None = 1000, seed: int = 1) -> None:
-        home, *elsewhere = map(host_port, places)
-        self.tally = Counters()
+    def __init__(self, *addresses: str, watch_ms: int | None = 1000, seed: int = 1) -> None:
+        first, *others = map(host_port, addresses)
+        self.counters = Counters()
         self.discovery = discovery.Discovery(
-            home,
+            first,
             Descriptors(100),
             Names([], []),
             500.0,
             True,
             Random(seed),
-            self.tally,
+            self.counters,
             lambda where, error: self.crashes.append(error),
-            elsewhere=elsewhere,
+            elsewhere=others,
             watch_ms=watch_ms,
         )
         self.crashes: list[BaseException] = []
-        self.states: dict[bytes, State] = {}
-        self.told_at: dict[tuple[bytes, State], float] = {}
+        self.states: dict[bytes, State] = {}  # by server
+        self.received_at: dict[tuple[bytes, State], float] = {}  # the first time of each state
         self.gone: set[bytes] = set()
-        self.returned: set[bytes] = set()
-        self.wholes = 0
-        self.discovery.on_list = self._take
+        self.reappeared: set[bytes] = set()  # servers that were listed again after they were gone
+        self.full_lists = 0
+        self.discovery.on_list = self._apply
 
-    def _take(self, listing: Listing) -> None:
+    def _apply(self, listing: Listing) -> None:
         now = asyncio.get_running_loop().time()
         if listing.whole:
-            self.wholes += 1
-            named = {one.address for one in listing.endpoints}
-            self.gone |= self.states.keys() - named
+            self.full_lists += 1
+            listed = {endpoint.address for endpoint in listing.endpoints}
+            self.gone |= self.states.keys() - listed
             self.states.clear()
-        for one in listing.endpoints:
-            if one.state is State.GONE:
-                self.states.pop(one.address, None)
-                self.gone.add(one.address)
+        for endpoint in listing.endpoints:
+            if endpoint.state is State.GONE:
+                self.states.pop(endpoint.address, None)
+                self.gone.add(endpoint.address)
             else:
-                self.states[one.address] = one.state
-                self.told_at.setdefault((one.address, one.state), now)
-                if one.address in self.gone:
-                    self.returned.add(one.address)
+                self.states[endpoint.address] = endpoint.state
+                self.received_at.setdefault((endpoint.address, endpoint.state), now)
+                if endpoint.address in self.gone:
+                    self.reappeared.add(endpoint.address)
 
-    async def holds(self, name: bytes, state: State) -> float:
-        """When it was first told so."""
-        await until(lambda: (name, state) in self.told_at)
-        return self.told_at[name, state]
+    async def wait_for(self, server: bytes, state: State) -> float:
+        """When the sidecar first received this state of the server."""
+        await until(lambda: (server, state) in self.received_at)
+        return self.received_at[server, state]
 
 
 @asynccontextmanager
 async def watching(*sidecars: Sidecar) -> AsyncIterator[None]:
-    for one in sidecars:
-        one.discovery.watch()
+    for sidecar in sidecars:
+        sidecar.discovery.watch()
     try:
-        await until(lambda: all(one.states for one in sidecars))
+        await until(lambda: all(sidecar.states for sidecar in sidecars))
         yield
     finally:
-        for one in sidecars:
-            one.discovery.close()
-        assert not any(one.crashes for one in sidecars)
+        for sidecar in sidecars:
+            sidecar.discovery.close()
+        assert not any(sidecar.crashes for sidecar in sidecars)
 
 
-async def until_wide(true: Any) -> None:
-    while not true():
+async def until_checking_every_50_ms(condition: Any) -> None:
+    while not condition():
         await asyncio.sleep(0.05)
 
 
 @asynccontextmanager
-async def two_zones() -> AsyncIterator[tuple[Discovery, Running, Running, Running, list[Link]]]:
-    """A region and two zones that pass it on; sidecars go by the links to the zones, these to the region."""
-    source = await Discovery("s-1", "s-2", "s-3").start()
-    given = {"discovery": source.place, "service": "svc-1"}
-    region = Running(name="region", sources=[given], settings=SETTINGS)
+async def two_zones() -> AsyncIterator[
+    tuple[DiscoveryServer, TierRunner, TierRunner, TierRunner, list[TcpProxy]]
+]:
+    """A region and two zone tiers below it.
+
+    The proxies are, in this order: two from sidecars to the zones, and two from the zones to the region.
+    """
+    source = await DiscoveryServer("s-1", "s-2", "s-3").start()
+    source_config = {"discovery": source.address, "service": "svc-1"}
+    region = TierRunner(name="region", sources=[source_config], settings=SETTINGS)
     async with running(region):
-        ups = [await Link(region.listen).start() for _ in range(2)]
+        region_proxies = [await TcpProxy(region.child_address).start() for _ in range(2)]
         zones = [
-            Running(name=name, above=[up.place], doors=[ANY], settings=SETTINGS)
-            for name, up in zip(("one", "two"), ups, strict=True)
+            TierRunner(
+                name=name, above=[region_proxy.address], doors=[ALL_SERVICES_LISTENER], settings=SETTINGS
+            )
+            for name, region_proxy in zip(("one", "two"), region_proxies, strict=True)
         ]
         async with running(*zones):
-            downs = [await Link(zone.door()).start() for zone in zones]
-            yield source, region, zones[0], zones[1], [*downs, *ups]
-            for link in downs:
-                link.stop()
-        for link in ups:
-            link.stop()
+            zone_proxies = [await TcpProxy(zone.sidecar_address()).start() for zone in zones]
+            yield source, region, zones[0], zones[1], [*zone_proxies, *region_proxies]
+            for proxy in zone_proxies:
+                proxy.stop()
+        for proxy in region_proxies:
+            proxy.stop()
     source.stop()
 
 
-def test_a_change_is_told_all_the_way_down_in_calm_within_its_time() -> None:
-    async def work() -> None:
+def test_without_a_fault_a_change_reaches_all_sidecars_in_time() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with two_zones() as (source, _, _, _, links):
-            fleet = [Sidecar(links[n % 2].place, links[1 - n % 2].place, seed=n) for n in range(20)]
-            async with watching(*fleet):
+        async with two_zones() as (source, _, _, _, proxies):
+            sidecars = [
+                Sidecar(proxies[n % 2].address, proxies[1 - n % 2].address, seed=n) for n in range(20)
+            ]
+            async with watching(*sidecars):
                 await asyncio.sleep(5.0)
-                for n, state in enumerate(("Terminating", "Ready", "Terminating", "Ready")):
-                    began = loop.time()
-                    source.tell(line(f"s-{n % 3 + 1}", state), line(f"n-{n}"))
-                    told = [await one.holds(f"n-{n}".encode(), State.READY) for one in fleet]
-                    assert max(told) - began < CALM_S
+                for n, lifecycle in enumerate(("Terminating", "Ready", "Terminating", "Ready")):
+                    changed_at = loop.time()
+                    source.publish(instance(f"s-{n % 3 + 1}", lifecycle), instance(f"n-{n}"))
+                    received_at = [
+                        await sidecar.wait_for(f"n-{n}".encode(), State.READY) for sidecar in sidecars
+                    ]
+                    assert max(received_at) - changed_at < MAX_DELAY_S
 
-    run(work())
+    run(scenario())
 
 
-@pytest.mark.parametrize("way", ["killed", "half open", "deaf"])
-def test_a_zone_that_fails_is_left_for_its_neighbour_in_time_without_a_herd_and_nothing_returns(
-    way: str,
+@pytest.mark.parametrize("fault", ["killed", "half open", "deaf"])
+def test_sidecars_of_a_failed_zone_move_to_the_other_in_time_spread_out_and_see_nothing_return(
+    fault: str,
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         loop = asyncio.get_running_loop()
-        async with two_zones() as (source, _, one, two, links):
-            fleet = [Sidecar(links[0].place, links[1].place, seed=n) for n in range(40)]
-            async with watching(*fleet):
+        async with two_zones() as (source, _, failing, other, proxies):
+            sidecars = [Sidecar(proxies[0].address, proxies[1].address, seed=n) for n in range(40)]
+            async with watching(*sidecars):
                 await asyncio.sleep(5.0)
-                source.tell(line("s-3", "Gone"))
-                await until_wide(lambda: all(b"s-3" not in sidecar.states for sidecar in fleet))
-                began = loop.time()
-                calls_before = two.it.calls
-                if way == "killed":
-                    await one.stop()
-                    links[0].heal()  # whoever was connected is reset
-                elif way == "half open":
-                    links[0].cut()
+                source.publish(instance("s-3", "Gone"))
+                await until_checking_every_50_ms(
+                    lambda: all(b"s-3" not in sidecar.states for sidecar in sidecars)
+                )
+                failed_at = loop.time()
+                calls_before = other.tier.calls
+                if fault == "killed":
+                    await failing.stop()
+                    proxies[0].reset()
+                elif fault == "half open":
+                    proxies[0].stall()
                 else:
-                    links[2].cut()
-                source.tell(line("s-1", "Terminating"))
-                told = [await sidecar.holds(b"s-1", State.DRAINING) for sidecar in fleet]
-                assert max(told) - began < FAULT_S
-                assert max(told) - min(told) > 0.2  # spread, not all at one moment
-                assert two.it.calls - calls_before < 40 * 12 and two.it.full_answers >= 40
-                assert not any(sidecar.returned for sidecar in fleet)
-                if way == "killed":
-                    links[0].to = "127.0.0.1:9"
-                    continue_at = two.it.full_answers
+                    proxies[2].stall()  # the zone keeps its sidecars and loses its parent
+                source.publish(instance("s-1", "Terminating"))
+                received_at = [await sidecar.wait_for(b"s-1", State.DRAINING) for sidecar in sidecars]
+                assert max(received_at) - failed_at < MAX_DELAY_AFTER_FAULT_S
+                assert max(received_at) - min(received_at) > 0.2  # spread, not all at once
+                assert other.tier.calls - calls_before < 40 * 12 and other.tier.full_answers >= 40
+                assert not any(sidecar.reappeared for sidecar in sidecars)
+                if fault == "killed":
+                    proxies[0].upstream = "127.0.0.1:9"
+                    full_answers_before = other.tier.full_answers
                     await asyncio.sleep(90.0)
-                    assert two.it.full_answers == continue_at  # home is looked at, and is not there
+                    # The sidecars have tried their first address again, in vain.
+                    assert other.tier.full_answers == full_answers_before
 
-    run(work())
+    run(scenario())
 
 
-def test_sidecars_go_home_one_by_one_when_home_answers_again() -> None:
-    async def work() -> None:
-        async with two_zones() as (source, _, one, two, links):
-            fleet = [Sidecar(links[0].place, links[1].place, seed=n) for n in range(40)]
-            async with watching(*fleet):
+def test_sidecars_return_to_a_recovered_first_address_one_by_one() -> None:
+    async def scenario() -> None:
+        async with two_zones() as (source, _, first, second, proxies):
+            sidecars = [Sidecar(proxies[0].address, proxies[1].address, seed=n) for n in range(40)]
+            async with watching(*sidecars):
                 await asyncio.sleep(2.0)
-                links[0].cut()
-                await until_wide(lambda: len(two.it.sidecar_listeners[0].receivers) == 40)
-                links[0].heal()
-                homes: list[float] = []
-                while len(homes) < 40:
-                    at_home = len(one.it.sidecar_listeners[0].receivers)
-                    homes += [asyncio.get_running_loop().time()] * (at_home - len(homes))
+                proxies[0].stall()
+                await until_checking_every_50_ms(
+                    lambda: len(second.tier.sidecar_listeners[0].receivers) == 40
+                )
+                proxies[0].reset()
+                return_times: list[float] = []
+                while len(return_times) < 40:
+                    returned = len(first.tier.sidecar_listeners[0].receivers)
+                    return_times += [asyncio.get_running_loop().time()] * (returned - len(return_times))
                     await asyncio.sleep(0.25)
-                assert max(homes.count(at) for at in homes) <= 8  # of 40 over 40 s
-                source.tell(line("s-1", "Terminating"))
-                for sidecar in fleet:
-                    await sidecar.holds(b"s-1", State.DRAINING)
-                assert all(sidecar.wholes == 3 for sidecar in fleet)  # at the start, away, at home
+                assert max(return_times.count(at) for at in return_times) <= 8  # of 40 over 40 s
+                source.publish(instance("s-1", "Terminating"))
+                for sidecar in sidecars:
+                    await sidecar.wait_for(b"s-1", State.DRAINING)
+                # One at the start, one after the failover, and one after the return.
+                assert all(sidecar.full_lists == 3 for sidecar in sidecars)
 
-    run(work())
+    run(scenario())
 
 
-def test_with_one_address_calls_are_those_without_tiers() -> None:
-    async def work() -> None:
-        source = await Discovery("s-1").start()
-        sidecar = Sidecar(source.place, watch_ms=None)
+def test_a_single_address_gets_the_same_calls_as_without_tiers() -> None:
+    async def scenario() -> None:
+        source = await DiscoveryServer("s-1").start()
+        sidecar = Sidecar(source.address, watch_ms=None)
         async with watching(sidecar):
-            source.tell(line("s-2"))
-            await sidecar.holds(b"s-2", State.READY)
-            await until_wide(lambda: len(source.calls) == 3)
-        assert source.calls == [
+            source.publish(instance("s-2"))
+            await sidecar.wait_for(b"s-2", State.READY)
+            await until_checking_every_50_ms(lambda: len(source.targets) == 3)
+        assert source.targets == [
             "/registry/instances",
             "/registry/instances?after=1&wait_ms=60000",
             "/registry/instances?after=2&wait_ms=60000",
         ]
         source.stop()
 
-    run(work())
+    run(scenario())
 
 
-def configured(**told: Any) -> config.Config:
-    file = json.loads(json.dumps({"settings": CONFIG, "name": "n", "listen": "127.0.0.1:0"} | told))
+def parse_config(**fields: Any) -> config.Config:
+    file = json.loads(json.dumps({"settings": CONFIG, "name": "n", "listen": "127.0.0.1:0"} | fields))
     return config.parse(json.dumps(file).encode(), {})
 
 
-def test_several_addresses_and_the_wait_are_read_from_the_configuration() -> None:
-    one = configured(discovery="127.0.0.1:1")
-    assert (one.discovery, one.elsewhere, one.watch_ms) == (("127.0.0.1", 1), (), None)
-    both: tuple[Any, ...] = (["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.1:1, 127.0.0.1:2")
-    for told in both:
-        two = configured(discovery=told, watch_ms=1500)
-        assert two.discovery == ("127.0.0.1", 1) and two.elsewhere == (("127.0.0.1", 2),)
-        assert two.watch_ms == 1500 and "watch_ms" in one.fixed_changes(two)
+def test_configuration_takes_several_discovery_addresses_and_the_watch_wait() -> None:
+    single = parse_config(discovery="127.0.0.1:1")
+    assert (single.discovery, single.elsewhere, single.watch_ms) == (("127.0.0.1", 1), (), None)
+    notations: tuple[Any, ...] = (["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.1:1, 127.0.0.1:2")
+    for addresses in notations:
+        double = parse_config(discovery=addresses, watch_ms=1500)
+        assert double.discovery == ("127.0.0.1", 1) and double.elsewhere == (("127.0.0.1", 2),)
+        assert double.watch_ms == 1500 and "watch_ms" in single.fixed_changes(double)
 
 
 @pytest.mark.parametrize(
-    ("told", "key"),
+    ("fields", "key"),
     [
         ({"discovery": []}, "discovery:"),
         ({"discovery": ["127.0.0.1:1", "x"]}, "discovery[1]:"),
@@ -249,7 +275,7 @@
         ),
     ],
 )
-def test_a_faulty_address_or_wait_is_told_by_its_key(told: dict[str, Any], key: str) -> None:
+def test_an_invalid_address_or_wait_is_reported_with_its_key(fields: dict[str, Any], key: str) -> None:
     with pytest.raises(config.ConfigError) as error:
-        configured(**told)
+        parse_config(**fields)
     assert str(error.value).startswith(key)
--- a/tests/tiers_bed.py
+++ b/tests/tiers_bed.py
@@ -1,4 +1,4 @@
-"""Discovery of the tests' own, tiers and receivers on loopback, all in one loop."""
+"""Fixtures of the tier tests: a discovery server, tiers and receivers on loopback in one event loop."""
 
 import asyncio
 import io
@@ -12,30 +12,45 @@
 from larkcrank.tiers import config
 from larkcrank.tiers.program import Tier
 
-FAST = {"spread_ms": 20.0, "again_max_ms": 50.0, "gather_ms": 20.0, "wait_ms": 300, "slack_ms": 300.0}
+FAST_SETTINGS = {
+    "spread_ms": 20.0,
+    "again_max_ms": 50.0,
+    "gather_ms": 20.0,
+    "wait_ms": 300,
+    "slack_ms": 300.0,
+}
 
 
-def line(name: str, lifecycle: str = "Ready", **more: Any) -> dict[str, Any]:
-    return {"instanceId": name, "hostPort": "127.0.0.1:9", "zone": "a", "lifecycle": lifecycle} | more
+def instance(instance_id: str, lifecycle: str = "Ready", **fields: Any) -> dict[str, Any]:
+    """An instance as a discovery service publishes it."""
+    return {
+        "instanceId": instance_id,
+        "hostPort": "127.0.0.1:9",
+        "zone": "a",
+        "lifecycle": lifecycle,
+    } | fields
 
 
-class Discovery:
-    """The published protocol over a list that tests change; `spoil` makes of an answer what they like."""
+class DiscoveryServer:
+    """Serves the discovery protocol from a log of changes; a generation is a length of this log.
 
-    def __init__(self, *names: str) -> None:
-        self._log: list[dict[str, Any]] = [line(name) for name in names]
+    Each body passes through `transform_body`, which tests replace to send faulty answers.
+    """
+
+    def __init__(self, *instance_ids: str) -> None:
+        self._log: list[dict[str, Any]] = [instance(instance_id) for instance_id in instance_ids]
         self._changed = asyncio.Event()
         self._server: asyncio.Server | None = None
-        self.place = ""
-        self.calls: list[str] = []
-        self.spoil: Callable[[bytes], bytes | None] = lambda body: body  # None: no answer
+        self.address = ""
+        self.targets: list[str] = []  # of all requests
+        self.transform_body: Callable[[bytes], bytes | None] = lambda body: body  # None: no response
         self.status = 200
         self._writers: list[asyncio.StreamWriter] = []
 
-    async def start(self) -> "Discovery":
-        port = int(self.place.rpartition(":")[2]) if self.place else 0
+    async def start(self) -> "DiscoveryServer":
+        port = int(self.address.rpartition(":")[2]) if self.address else 0
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", port)
-        self.place = "{}:{}".format(*self._server.sockets[0].getsockname())
+        self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
         return self
 
     def stop(self) -> None:
@@ -45,16 +60,16 @@
             writer.transport.abort()
         self._writers.clear()
 
-    def tell(self, *lines: dict[str, Any]) -> None:
-        self._log += lines
-        self._wake()
+    def publish(self, *instances: dict[str, Any]) -> None:
+        self._log += instances
+        self._wake_watches()
 
-    def begin_anew(self, *names: str) -> None:
-        """It counts from the start again, with this list."""
-        self._log = [line(name) for name in names]
-        self._wake()
+    def reset_generations(self, *instance_ids: str) -> None:
+        """Start the generations again with this list, as a restarted service does."""
+        self._log = [instance(instance_id) for instance_id in instance_ids]
+        self._wake_watches()
 
-    def _wake(self) -> None:
+    def _wake_watches(self) -> None:
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -66,9 +81,9 @@
                 parser.feed(data)
                 while (request := parser.next()) is not None:
                     target = request.target.decode()
-                    self.calls.append(target)
-                    told = await self._answer(target)
-                    body = self.spoil(told)
+                    self.targets.append(target)
+                    original_body = await self._answer(target)
+                    body = self.transform_body(original_body)
                     if body is not None:
                         writer.write(http1.response_bytes(self.status, (), body))
         except (ConnectionError, asyncio.CancelledError):
@@ -86,135 +101,144 @@
                         await self._changed.wait()
             except TimeoutError:
                 pass
-        whole = not 0 <= after <= len(self._log)
-        last = {one["instanceId"]: one for one in self._log[0 if whole else after :]}
-        lines = [one for one in last.values() if not (whole and one["lifecycle"] == "Gone")]
-        return json.dumps({"generation": len(self._log), "reset": whole, "instances": lines}).encode()
+        full = not 0 <= after <= len(self._log)
+        latest = {entry["instanceId"]: entry for entry in self._log[0 if full else after :]}
+        instances = [entry for entry in latest.values() if not (full and entry["lifecycle"] == "Gone")]
+        return json.dumps({"generation": len(self._log), "reset": full, "instances": instances}).encode()
 
 
-class Link:
-    """Passes bytes between whoever connects and one place; while it is cut they stay where they are."""
+class TcpProxy:
+    """Forwards connections to `upstream`. While it is stalled, connections stay open but carry no data."""
 
-    def __init__(self, place: str) -> None:
-        self.to = place
-        self.place = ""
-        self._open = asyncio.Event()
-        self._open.set()
+    def __init__(self, upstream: str) -> None:
+        self.upstream = upstream
+        self.address = ""
+        self._flowing = asyncio.Event()
+        self._flowing.set()
         self._server: asyncio.Server | None = None
         self._writers: list[asyncio.StreamWriter] = []
-        self.taken = 0
+        self.accepted = 0  # connections
 
-    async def start(self) -> "Link":
+    async def start(self) -> "TcpProxy":
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.place = "{}:{}".format(*self._server.sockets[0].getsockname())
+        self.address = "{}:{}".format(*self._server.sockets[0].getsockname())
         return self
 
-    def cut(self) -> None:
-        self._open.clear()
+    def stall(self) -> None:
+        self._flowing.clear()
 
-    def heal(self) -> None:
-        """What stood in cut connections is lost with them."""
+    def reset(self) -> None:
+        """Abort all connections, with any data they hold, and forward new ones."""
         for writer in self._writers:
             writer.transport.abort()
         self._writers.clear()
-        self._open.set()
+        self._flowing.set()
 
     def stop(self) -> None:
         assert self._server is not None
         self._server.close()
-        self.heal()
+        self.reset()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.append(writer)
-        self.taken += 1
+        self.accepted += 1
         try:
-            await self._open.wait()
-            host, _, port = self.to.rpartition(":")
-            there = await asyncio.open_connection(host, int(port))
-            self._writers.append(there[1])
-            await asyncio.gather(self._pass(reader, there[1]), self._pass(there[0], writer))
+            await self._flowing.wait()
+            host, _, port = self.upstream.rpartition(":")
+            upstream_streams = await asyncio.open_connection(host, int(port))
+            self._writers.append(upstream_streams[1])
+            await asyncio.gather(
+                self._forward(reader, upstream_streams[1]), self._forward(upstream_streams[0], writer)
+            )
         except (OSError, asyncio.CancelledError):  # the loop may end meanwhile
             writer.transport.abort()
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             while data := await reader.read(65536):
-                await self._open.wait()
+                await self._flowing.wait()
                 writer.write(data)
         except ConnectionError:
             pass
         writer.close()
 
 
-class Running:
-    """A tier that runs in this loop, with the lines of its log."""
+class TierRunner:
+    """Starts, stops and restarts one tier in this event loop, and reads its log.
+
+    The keyword arguments are keys of the configuration file.
+    """
 
-    def __init__(self, **told: Any) -> None:
-        settings = FAST | told.pop("settings", {})
-        self.told = {"name": "t", "listen": "127.0.0.1:0", "settings": settings} | told
-        self._out = io.BytesIO()
-        self.tier: Tier | None = None
+    def __init__(self, **config_fields: Any) -> None:
+        settings = FAST_SETTINGS | config_fields.pop("settings", {})
+        self.config_fields = {"name": "t", "listen": "127.0.0.1:0", "settings": settings} | config_fields
+        self._log_output = io.BytesIO()
+        self._tier: Tier | None = None
 
-    async def start(self) -> "Running":
-        parsed = config.parse(json.dumps(self.told).encode())
-        self.tier = Tier(parsed, Log(parsed.name, self._out))
-        await self.tier.start()
+    async def start(self) -> "TierRunner":
+        parsed = config.parse(json.dumps(self.config_fields).encode())
+        self._tier = Tier(parsed, Log(parsed.name, self._log_output))
+        await self._tier.start()
         return self
 
     async def stop(self) -> None:
-        if self.tier is not None:
-            await self.tier.stop()
-            self.tier = None
+        if self._tier is not None:
+            await self._tier.stop()
+            self._tier = None
 
     @property
-    def it(self) -> Tier:
-        assert self.tier is not None
-        return self.tier
+    def tier(self) -> Tier:
+        assert self._tier is not None
+        return self._tier
 
     @property
-    def listen(self) -> str:
-        return "{}:{}".format(*self.it.child_listener.address)
+    def child_address(self) -> str:
+        """The listener for child tiers."""
+        return "{}:{}".format(*self.tier.child_listener.address)
 
     @property
-    def own(self) -> str:
-        assert self.it.parent_listener is not None
-        return "{}:{}".format(*self.it.parent_listener.address)
+    def parent_address(self) -> str:
+        """The listener for the parent tier."""
+        assert self.tier.parent_listener is not None
+        return "{}:{}".format(*self.tier.parent_listener.address)
 
-    def door(self, index: int = 0) -> str:
-        return "{}:{}".format(*self.it.sidecar_listeners[index].address)
+    def sidecar_address(self, index: int = 0) -> str:
+        """A listener for sidecars."""
+        return "{}:{}".format(*self.tier.sidecar_listeners[index].address)
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        found = [json.loads(text) for text in self._out.getvalue().splitlines()]
-        return [one for one in found if one["event"] == name]
+        """The logged events of this name."""
+        logged = [json.loads(text) for text in self._log_output.getvalue().splitlines()]
+        return [event for event in logged if event["event"] == name]
 
 
 @asynccontextmanager
-async def running(*tiers: Running) -> AsyncIterator[None]:
+async def running(*runners: TierRunner) -> AsyncIterator[None]:
     try:
-        for one in tiers:
-            await one.start()
+        for runner in runners:
+            await runner.start()
         yield
     finally:
-        for one in tiers:
-            await one.stop()
+        for runner in runners:
+            await runner.stop()
 
 
-class Receiver:
-    """Asks one place as a sidecar does, one call at a time; keeps the list that it was told."""
+class ListClient:
+    """Requests the list from one address as a sidecar does, and keeps the instances that it received."""
 
-    def __init__(self, place: str) -> None:
-        host, _, port = place.rpartition(":")
-        self._place = (host, int(port))
+    def __init__(self, address: str) -> None:
+        host, _, port = address.rpartition(":")
+        self._address = (host, int(port))
         self._streams: tuple[asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self.generation: int | None = None
-        self.lines: dict[str, dict[str, Any]] = {}
-        self.last: dict[str, Any] = {}
-        self.returned: set[str] = set()  # told Gone, and alive again later
+        self.instances: dict[str, dict[str, Any]] = {}
+        self.last_answer: dict[str, Any] = {}
+        self.reappeared: set[str] = set()  # instances that were live again after they were gone
         self._gone: set[str] = set()
 
-    async def call(self, target: str, header: str = "") -> tuple[int, bytes]:
+    async def get(self, target: str, header: str = "") -> tuple[int, bytes]:
         if self._streams is None:
-            self._streams = await asyncio.open_connection(*self._place)
+            self._streams = await asyncio.open_connection(*self._address)
         reader, writer = self._streams
         writer.write(f"GET {target} HTTP/1.1\r\nHost: x\r\n{header}\r\n".encode())
         parser = http1.ResponseParser()
@@ -226,33 +250,34 @@
         response = parser.response()
         return response.status, response.body
 
-    async def ask(self, wait_ms: int = 20_000) -> int:
+    async def poll(self, wait_ms: int = 20_000) -> int:
+        """Request the changes since the last answer, or the full list. Returns the status."""
         target = "/registry/instances"
         if self.generation is not None:
             target += f"?after={self.generation}&wait_ms={wait_ms}"
-        status, body = await self.call(target)
+        status, body = await self.get(target)
         if status == 200:
-            self.take(json.loads(body), whole=self.generation is None)
+            self.apply(json.loads(body), full=self.generation is None)
         return status
 
-    def take(self, answer: dict[str, Any], whole: bool = False) -> None:
-        self.last = answer
+    def apply(self, answer: dict[str, Any], full: bool = False) -> None:
+        self.last_answer = answer
         self.generation = answer["generation"]
-        if whole or answer["reset"]:
-            self.lines.clear()
-        for one in answer["instances"]:
-            name = one["instanceId"]
-            if one["lifecycle"] == "Gone":
-                self.lines.pop(name, None)
-                self._gone.add(name)
+        if full or answer["reset"]:
+            self.instances.clear()
+        for fields in answer["instances"]:
+            instance_id = fields["instanceId"]
+            if fields["lifecycle"] == "Gone":
+                self.instances.pop(instance_id, None)
+                self._gone.add(instance_id)
             else:
-                self.lines[name] = one
-                if name in self._gone:
-                    self.returned.add(name)
+                self.instances[instance_id] = fields
+                if instance_id in self._gone:
+                    self.reappeared.add(instance_id)
 
     @property
-    def states(self) -> dict[str, str]:
-        return {name: one["lifecycle"] for name, one in sorted(self.lines.items())}
+    def lifecycles(self) -> dict[str, str]:
+        return {instance_id: fields["lifecycle"] for instance_id, fields in sorted(self.instances.items())}
 
     def close(self) -> None:
         if self._streams is not None:
@@ -260,23 +285,23 @@
             self._streams = None
 
 
-async def operator(tier: Running, line: str) -> tuple[int, Any]:
-    """The code and the text, or what it is in JSON."""
-    place = tier.it.ops_address
-    assert place is not None
-    reader, writer = await asyncio.open_connection(*place)
+async def operator_call(runner: TierRunner, line: str) -> tuple[int, Any]:
+    """The status code and the answer, decoded if it is JSON."""
+    address = runner.tier.ops_address
+    assert address is not None
+    reader, writer = await asyncio.open_connection(*address)
     writer.write(line.encode() + b"\n")
     code, _, text = (await reader.read()).decode().strip().partition(" ")
     writer.close()
     return int(code), json.loads(text) if text.startswith("{") else text
 
 
-async def whole(receiver: Receiver) -> None:
-    """Ask until there is a list."""
-    while await receiver.ask() != 200:
+async def poll_until_list(client: ListClient) -> None:
+    """Poll until the first successful answer."""
+    while await client.poll() != 200:
         await asyncio.sleep(0.01)
 
 
-async def until_told(receiver: Receiver, true: Callable[[], bool]) -> None:
-    while not true():
-        await receiver.ask()
+async def poll_until(client: ListClient, condition: Callable[[], bool]) -> None:
+    while not condition():
+        await client.poll()
