--- a/larkcrank/tiers/asking.py
+++ b/larkcrank/tiers/asking.py
@@ -78,6 +78,7 @@
         return await self._exchange(request, reused=False)
 
     async def _exchange(self, request: bytes, reused: bool) -> http1.Response:
+        """Send a request and read its response on the open connection."""
         assert self._streams is not None
         reader, writer = self._streams
         writer.write(request)
--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -35,7 +35,7 @@
     ) -> None:
         """`decode` raises `AnswerError`, as does `on_answer` for an answer that must not be applied.
 
-        `request_headers` returns the header lines of a call to this address; with None, of a check.
+        `request_headers` returns the header lines of a call to this address, or of a check if it is None.
         """
         self.name = name
         self._decode, self._on_answer, self._request_headers, self._log_event = (
@@ -60,7 +60,7 @@
         self._has_one_address = len(addresses) == 1
         self._last_error: dict[HostPort, str] = {}
         self._rng = rng
-        self._stale_by_address: dict[HostPort, bool] = {}  # as told in the last answer of each address
+        self._stale_by_address: dict[HostPort, bool] = {}  # from the last answer of each address
         self._probe_at: float | None = (
             None  # when to probe another address; set while the current one is stale
         )
@@ -79,6 +79,7 @@
         self.calls = self.failures = self.full_requests = 0
 
     def record_answer(self, complete: bool = True) -> None:
+        """Note the time of an answer; it is complete unless the answering tier marked it provisional."""
         self.answered_at = asyncio.get_running_loop().time()
         if complete:
             self.complete_answer_at = self.answered_at
@@ -113,6 +114,7 @@
         return self._last_error.get(self.addresses.current, "")
 
     async def run(self) -> None:
+        """Watch the list until cancelled, with failover between the addresses."""
         loop = asyncio.get_running_loop()
         try:
             while True:
@@ -194,6 +196,7 @@
             self._check = asyncio.get_running_loop().create_task(self._check_once())
 
     async def _check_once(self) -> None:
+        """Make one call over a second connection to the current address and apply its answer."""
         address = self.addresses.current
         after = self._last_generation.get(address)
         if after is None:
@@ -268,6 +271,7 @@
                 raise wire.AnswerError(f"foreign: generation {answer.generation} after {after}")
 
     def _record_error(self, address: HostPort, reason: str) -> None:
+        """Log an error of this address unless its last call failed for the same reason."""
         if self._last_error.get(address) != reason:
             self._last_error[address] = reason
             self._log_event("tier_call_failed", feed=self.name, place="{}:{}".format(*address), reason=reason)
--- a/larkcrank/tiers/held.py
+++ b/larkcrank/tiers/held.py
@@ -81,7 +81,7 @@
 
 
 class ChangeTimes:
-    """When the latest changes came, to tell since when a sidecar lacks one."""
+    """When the latest changes came, from which follows how long a sidecar has lacked one."""
 
     def __init__(self) -> None:
         self._changes: deque[tuple[int, float]] = deque(maxlen=MAX_CHANGES)  # sequence number, time
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -28,9 +28,8 @@
 CHECK_INTERVAL_S = 0.25  # between checks for timeouts, freshness and lag
 PARENT_FEED_NAME = "above"
 SUMMARY_HEADER = b"Held"  # a call's summary of what the sidecars below hold
-CHECK_HEADER = (
-    b"Held-Aside"  # marks a tier's check, which carries no summary, so that it counts as no sidecar
-)
+# Marks a tier's check, which carries no summary, so that the caller is not counted as a sidecar.
+CHECK_HEADER = b"Held-Aside"
 MAX_LOGGED_LAGGARDS = 5
 MAX_CUT_OFF_LAGGARDS = 20
 OPS_MAX_LINE_BYTES = 128
@@ -104,7 +103,7 @@
         )
         self._parent_generations_from: HostPort | None = None  # the parent that counts these generations
         self._propagation = held.PropagationMonitor(max_lag_s)
-        # Complete: heard from all sources since the start; and from the parent as well.
+        # Whether all sources have answered completely since the start, and whether the parent has as well.
         self.sources_complete = self.is_complete = False
         self._was_fresh = False
         self._saved_seq = 0  # the sequence number of the last snapshot
@@ -208,6 +207,7 @@
         ]
 
     async def _listen(self, listener: Listener, address: tuple[str, int]) -> None:
+        """Open this listener's socket."""
         sock = _bind_socket(address)
         listener.address = sock.getsockname()[:2]
         self._servers.append(
@@ -352,6 +352,7 @@
                     self._loop.call_at(due_at, self._send_batch, listener)
 
     def _send_batch(self, listener: Listener) -> None:
+        """Send the gathered changes to all waiting receivers that lack one."""
         listener.batcher.sent(self._loop.time())
         self._send_deltas(
             listener,
@@ -384,6 +385,7 @@
         self._newcomers.pop(receiver, None)
 
     def receiver_blocked(self, receiver: Receiver, is_blocked: bool) -> None:
+        """Start or stop the write timeout of a receiver whose socket buffer is full."""
         if is_blocked:
             self._blocked_until[receiver] = self._loop.time() + self._settings.write_ms / 1000.0
         else:
@@ -392,6 +394,7 @@
     def receiver_called(
         self, receiver: Receiver, after: int | None, wait_ms: int, fields: http1.Fields
     ) -> None:
+        """Answer a call now or later. `after` is the generation that the receiver holds; None: no list."""
         listener, table, now = receiver.listener, self.table, self._loop.time()
         self.calls += 1
         if self._cut_off_laggards:
@@ -494,6 +497,7 @@
     # Propagation: which generation the sidecars hold.
 
     def _read_summary(self, receiver: Receiver, fields: http1.Fields) -> None:
+        """Take the child's summary from the headers, and note whether the caller is a tier."""
         values = fields.all(SUMMARY_HEADER.lower())
         summary = held.decode(values[0]) if values else None
         if summary is not None:
@@ -559,6 +563,7 @@
         return True, msgspec.json.encode(report).decode()
 
     def _log_propagation(self, now: float) -> None:
+        """Log when all sidecars hold a change, and when some have lacked one for too long."""
         progress = self.sidecar_progress()
         news = self._propagation.check(progress.lowest, now)
         if news is None:
@@ -591,6 +596,7 @@
                 self.log.failure("look", error)
 
     def _check_once(self) -> None:
+        """Apply timeouts, and update and log completeness, propagation, isolation and freshness."""
         now = self._loop.time()
         self.child_listener.reports_stale = self.is_stale
         for receiver in [connection for connection, until in self._blocked_until.items() if until <= now]:
@@ -661,6 +667,7 @@
         return at is not None and self._loop.time() - at > self._settings.deaf_ms / 1000.0
 
     def _refuse_waiting(self, receivers: list[Receiver]) -> None:
+        """Refuse the waiting calls of an isolated tier, `BATCH_SIZE` in each loop iteration."""
         for receiver in receivers[:BATCH_SIZE]:
             if receiver in receiver.listener.waiting and self._is_isolated:
                 self._refuse(receiver)
@@ -709,6 +716,7 @@
         return False, "unknown call; the known ones are PING, HELD [generation], STATE"
 
     def status(self) -> dict[str, Any]:
+        """The answer to the operators' call STATE."""
         now, table = self._loop.time(), self.table
         return {
             "name": self.config.name,
--- a/larkcrank/tiers/receivers.py
+++ b/larkcrank/tiers/receivers.py
@@ -42,7 +42,7 @@
         self.address: tuple[str, int] = ("", 0)
         self._table = table
         self._cache_key = (-1, -1, False, False)
-        self.reports_stale = False  # told to tiers: this tier, or one above it, has lost its parent
+        self.reports_stale = False  # in answers to tiers: this tier, or one above it, has lost its parent
         self._cache: dict[int, bytes] = {}  # responses by the sequence number after which they start
         self._batch: list[Receiver] = []
 
@@ -209,6 +209,7 @@
             self._handler.receiver_called(self, *call, request.fields)
 
     def send(self, response: bytes, close: bool = False) -> None:
+        """Send a response, which ends the current call."""
         self.stop_timer()
         self.is_calling = False
         if self.transport is None:
@@ -229,6 +230,7 @@
             self.transport.abort()
 
     def start_timer(self, at: float, callback: "Callable[[Receiver], None]") -> None:
+        """Call `callback` with this receiver at the given loop time; replaces an earlier timer."""
         self.stop_timer()
         self.timer = self._loop.call_at(at, callback, self)
 
--- a/larkcrank/tiers/snapshot.py
+++ b/larkcrank/tiers/snapshot.py
@@ -62,6 +62,7 @@
 
 
 def encode(table: InstanceTable, now_ms: float) -> bytes:
+    """The content of the file, for a save at `now_ms` of the system clock."""
     records = [
         _StoredRecord(
             record.instance_id,
--- a/larkcrank/tiers/state.py
+++ b/larkcrank/tiers/state.py
@@ -128,8 +128,9 @@
     def can_answer_since(self, sequence: int, for_tier: bool) -> bool:
         """Whether a delta is enough for a receiver that holds everything up to `sequence`.
 
-        It is not if a tombstone of a later change has been pruned. For a tier it also is not if a full answer
-        was merged since: records that were missing from it are gone, but need not have a tombstone here.
+        A delta is not enough if a tombstone of a later change has been pruned, nor for a tier if a full
+        answer has been merged since: records that were missing from that answer are gone, but may have no
+        tombstone here.
         """
         return sequence >= self._pruned_seq and not (for_tier and sequence < self._full_merge_seq)
 
@@ -140,6 +141,7 @@
         self.generation_prefix = generation_prefix
 
     def _next_sequence(self) -> int:
+        """Increment the sequence number. If it would overflow, start again at 1 with another prefix."""
         if self.sequence + 1 >= 1 << SEQUENCE_BITS:
             self.replace_generation_prefix(self.generation_prefix + 1)
             self.sequence = self._pruned_seq = self._full_merge_seq = 0
@@ -278,6 +280,7 @@
         self._store(record, sequence, now_ms, changes)
 
     def _remove_own(self, instance_id: str, sequence: int, now_ms: float, changes: Changes) -> None:
+        """Replace an own record with a tombstone."""
         self._own_records.pop(instance_id, None)
         held = self._records.get(instance_id)
         if held is not None and not held.gone and held.owner == self.name:
@@ -292,6 +295,7 @@
         return (self.epoch, self.version_counter)
 
     def _store(self, record: InstanceRecord, sequence: int, now_ms: float, changes: Changes) -> None:
+        """Store a record, its position in the orders of change, and what it changes for receivers."""
         held = self._records.pop(record.instance_id, None)
         same_content = (
             held is not None
@@ -336,6 +340,7 @@
         service_records[record.instance_id] = record
 
     def _prune(self, now_ms: float) -> None:
+        """Remove the tombstones that are too many or too old."""
         for instance_id in self._expired(self._gone_since, now_ms):
             del self._gone_since[instance_id]
             record = self._records.pop(instance_id)
@@ -361,6 +366,7 @@
         return expired
 
     def _remove_from_service(self, service: str, instance_id: str) -> None:
+        """Remove a tombstone from the records of a service."""
         service_records = self._by_service[service]
         service_records.pop(instance_id, None)
         if not service_records:
--- a/larkcrank/tiers/wire.py
+++ b/larkcrank/tiers/wire.py
@@ -63,7 +63,7 @@
     full: bool
     records: list[InstanceRecord]
     known_versions: dict[str, Version]
-    provisional: bool  # the tier has not yet heard from everything that it depends on
+    provisional: bool  # not everything that the tier depends on has answered since its start
     stale: bool = False  # the tier, or one above it, has had no recent answer from its parent
 
 
