--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -1,4 +1,4 @@
-"""The client side: requests from the application's connections, answers back to them."""
+"""The client side: reads requests from the application's connections and writes responses to them."""
 
 import asyncio
 import math
@@ -10,39 +10,45 @@
 
 from larkcrank.core.interface import Effect, RequestClass, Settings
 from larkcrank.protocol import http1, platform
-from larkcrank.routing.exchange import Answer, Exchange, StreamAnswer, Upload
-from larkcrank.routing.life import Life
+from larkcrank.routing.exchange import BufferedResponse, Exchange, StreamedResponse, Upload
+from larkcrank.routing.life import Lifecycle
 from larkcrank.transport.budget import Budget
 from larkcrank.transport.closewatch import CloseWatch
 from larkcrank.transport.connection import Connection, ConnectionLostError
 from larkcrank.transport.descriptors import Descriptors, Use
 
-# A head must be whole by then, of a connection's first request counted from its accept. After it, so many
-# bytes of the body, or its end, must come every so often in which we read.
-PART_TIMEOUT_S = 2.4
-PART_BYTES = 16 * 1024
-STALL_S = 20.0  # a client that has taken nothing of a long answer for so long is not read to any more
-REST_AFTER_S = 10.0  # of a body that nobody wants any more: read and dropped, so that the answer is seen
-REST_S = 0.2  # a connection on which nothing was under way for so long may make way for another
-IDLE_S = 2.0  # one that was served is left open for so long at least, unless places run out
-IDLE_ABOVE = 0.5  # of the clients' places; with fewer taken, idle connections cost nothing
-LINGER_S = 0.3  # a client that is told of its error may still be sending
-LINGER_BYTES = 1 << 20
-SWEEP_S = 0.2
-
-
-class Desk(Protocol):
-    """Where requests are handed in."""
+# Limit on receiving a request head, counted from the accept for a connection's first request. After the head,
+# `REQUEST_PROGRESS_BYTES` of the body, or its end, must arrive within each such interval in which the body is
+# read.
+REQUEST_PROGRESS_TIMEOUT_S = 2.4
+REQUEST_PROGRESS_BYTES = 16 * 1024
+# A client that has read nothing of a long response for this time is disconnected.
+CLIENT_WRITE_TIMEOUT_S = 20.0
+# How long a body that is no longer needed is read and dropped, so that the client sees the early response.
+DISCARD_BODY_TIMEOUT_S = 10.0
+MIN_IDLE_BEFORE_EVICTION_S = 0.2  # Idle time after which a connection may be closed to make room for another.
+# Idle time for which a connection that was served stays open, unless descriptors run out.
+MIN_KEEPALIVE_S = 2.0
+# Fraction of the clients' descriptors in use below which idle connections are not closed, since they cost
+# nothing then.
+IDLE_CLOSE_THRESHOLD = 0.5
+LINGER_TIMEOUT_S = 0.3  # A client that was sent an error may still be sending.
+MAX_LINGER_BYTES = 1 << 20
+SWEEP_INTERVAL_S = 0.2
+
+
+class RequestHandler(Protocol):
+    """The interface to which the client side passes requests."""
 
     def is_full(self) -> bool: ...
-    def next_id(self) -> int: ...
-    def take(self, exchange: Exchange) -> None: ...
-    def uploaded(self, exchange: Exchange) -> None: ...
-    def client_gone(self, exchange: Exchange) -> None: ...
+    def next_request_id(self) -> int: ...
+    def start_request(self, exchange: Exchange) -> None: ...
+    def complete_upload(self, exchange: Exchange) -> None: ...
+    def handle_client_gone(self, exchange: Exchange) -> None: ...
 
 
-class Tally(Protocol):
-    """What the client side counts."""
+class ClientCounters(Protocol):
+    """Counters that the client side increments."""
 
     connections: int
     bad_requests: int
@@ -50,442 +56,541 @@
     crashed: int
 
 
-class Clients:
-    """Serves the application's connections, one request at a time on each."""
+class ClientConnections:
+    """Serves the application's connections, handling one request at a time on each."""
 
     def __init__(
         self,
         settings: Settings,
-        desk: Desk,
-        life: Life,
-        came_at: Callable[[], float],
+        request_handler: RequestHandler,
+        lifecycle: Lifecycle,
+        arrival_time: Callable[[], float],
         descriptors: Descriptors,
         budget: Budget,
         max_body: int,
-        tally: Tally,
-        failed: Callable[[str, BaseException], None],
+        counters: ClientCounters,
+        report_failure: Callable[[str, BaseException], None],
     ) -> None:
         self._warm_keys = settings.warm_keys
-        self._desk = desk
-        self._life = life
-        self._came_at = came_at
-        self._tally = tally
-        self._failed = failed
-        self._classes = {cls.name: (index, cls) for index, cls in enumerate(settings.classes)}
+        self._request_handler = request_handler
+        self._lifecycle = lifecycle
+        self._arrival_time = arrival_time
+        self._counters = counters
+        self._report_failure = report_failure
+        self._classes = {
+            request_class.name: (index, request_class) for index, request_class in enumerate(settings.classes)
+        }
         self._tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
-        self._open: dict[Connection, _Visit] = {}
-        # Where nothing is under way, longest first, so that to find one that can make way costs no search.
-        self._silent: OrderedDict[_Visit, None] = (
-            OrderedDict()
-        )  # no whole request has come, nor a part of one
-        self._idle: OrderedDict[_Visit, None] = OrderedDict()  # served before
-        self._ids: set[str] = set()  # of the requests in hand
+        self._sessions: dict[Connection, _ClientSession] = {}
+        # Idle sessions, the longest idle first, so that finding one to close needs no search. The first group
+        # has not sent any part of a request yet.
+        self._idle_unserved: OrderedDict[_ClientSession, None] = OrderedDict()
+        # Idle after at least one response.
+        self._idle_served: OrderedDict[_ClientSession, None] = OrderedDict()
+        self._active_request_ids: set[str] = set()  # Ids of the requests being handled.
         self._close_watch = CloseWatch()
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._sweep_timer: asyncio.TimerHandle | None = None
         self._descriptors = descriptors
         self._budget = budget
         self._max_body = max_body
-        descriptors.add_spare(Use.CLIENT, self._make_way, self._longest)
+        descriptors.add_spare(Use.CLIENT, self._evict_idle, self._longest_idle_since)
 
     @property
-    def open(self) -> int:
-        return len(self._open)
+    def open_count(self) -> int:
+        return len(self._sessions)
 
     def accept(self, connection: Connection) -> None:
-        visit = _Visit(connection, self._max_body)
-        self._open[connection] = visit
-        self._tally.connections += 1
+        session = _ClientSession(connection, self._max_body)
+        self._sessions[connection] = session
+        self._counters.connections += 1
         loop = asyncio.get_running_loop()
-        visit.task = loop.create_task(self._serve(visit))
-        if self._sweeper is None:
-            self._sweeper = loop.call_later(SWEEP_S, self._sweep)
+        session.task = loop.create_task(self._serve(session))
+        if self._sweep_timer is None:
+            self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def close_idle(self, min_idle_s: float = 0.0) -> int:
+        """Close the connections that have been idle for at least `min_idle_s` and that have no request in
+        transit. Returns how many others are open.
 
-    def close_idle(self, rest_s: float = 0.0) -> int:
-        """Close the connections that rested so long and on which nothing can be under way; say how many
-        others there are. One just accepted has its first request on the way, one just answered the next."""
+        `min_idle_s` leaves time for a request in transit: the first one on a connection just accepted, or the
+        next one after a response.
+        """
         now = asyncio.get_running_loop().time()
-        for visit in list(self._open.values()):
-            if now - visit.since >= rest_s and visit.is_idle():
-                visit.connection.close()
-        return sum(not visit.connection.closed for visit in self._open.values())
-
-    def cut(self) -> None:
-        """End every connection; what is half written on one shows that it is not whole."""
-        for visit in self._open.values():
-            visit.connection.break_off()
-            if visit.task is not None:
-                visit.task.cancel()
-
-    def _make_way(self) -> bool:
-        """Close one connection on which nothing is under way: silent ones that have had their time first."""
-        old = asyncio.get_running_loop().time() - REST_S
-        return self._close_first(self._silent, old) or self._close_first(self._idle, old)
-
-    def _longest(self) -> float:
-        """Since when the one that has rested longest does so."""
+        for session in list(self._sessions.values()):
+            if now - session.last_progress_at >= min_idle_s and session.is_idle():
+                session.connection.close()
+        return sum(not session.connection.closed for session in self._sessions.values())
+
+    def abort_all(self) -> None:
+        """Abort every connection. A client can tell that a response cut off this way is incomplete."""
+        for session in self._sessions.values():
+            session.connection.break_off()
+            if session.task is not None:
+                session.task.cancel()
+
+    def _evict_idle(self) -> bool:
+        """Close one idle connection, preferring those that were never served, once it was idle for the
+        minimum time. Returns whether one was closed.
+        """
+        idle_since = asyncio.get_running_loop().time() - MIN_IDLE_BEFORE_EVICTION_S
+        return self._close_longest_idle(self._idle_unserved, idle_since) or self._close_longest_idle(
+            self._idle_served, idle_since
+        )
+
+    def _longest_idle_since(self) -> float:
+        """Return since when the longest idle connection has been idle, or infinity if none is idle."""
         return min(
-            (next(iter(resting)).since for resting in (self._silent, self._idle) if resting), default=math.inf
+            (
+                next(iter(idle_sessions)).last_progress_at
+                for idle_sessions in (self._idle_unserved, self._idle_served)
+                if idle_sessions
+            ),
+            default=math.inf,
         )
 
     @staticmethod
-    def _close_first(resting: "OrderedDict[_Visit, None]", since: float) -> bool:
-        """Close the one that has rested longest, if it has since then."""
-        while resting and (visit := next(iter(resting))).since <= since:
-            del resting[visit]  # one that was sent something just now is about to be read
-            if visit.over or visit.connection.is_quiet():
-                visit.connection.close()
+    def _close_longest_idle(idle_sessions: "OrderedDict[_ClientSession, None]", idle_since: float) -> bool:
+        """Close the longest idle connection if it has been idle since `idle_since` or earlier."""
+        while idle_sessions and (session := next(iter(idle_sessions))).last_progress_at <= idle_since:
+            del idle_sessions[session]  # If not quiet, it has data that is about to be read.
+            if session.lingering or session.connection.is_quiet():
+                session.connection.close()
                 return True
         return False
 
     def _sweep(self) -> None:
-        """End what is silent or stays half for too long: a flood of such clients must not fill the places."""
+        """Close connections that stay silent or leave a request incomplete for too long, so that a flood of
+        such clients cannot use up the descriptors.
+        """
         now = asyncio.get_running_loop().time()
-        for visit in list(self._open.values()):
-            # Of a request that is whole, or answered, nothing more is due from the client.
-            waits = visit.uploading is not None and not visit.uploading.closed and not visit.blocked
-            if (visit.busy and not waits) or visit.over or visit in self._idle:
+        for session in list(self._sessions.values()):
+            # No more data is due from the client of a request that is complete or answered, nor while reading
+            # from it is paused.
+            body_due = (
+                session.uploading_exchange is not None
+                and not session.uploading_exchange.closed
+                and not session.reading_paused
+            )
+            if (
+                (session.has_active_request and not body_due)
+                or session.lingering
+                or session in self._idle_served
+            ):
                 continue
-            if now - visit.since < PART_TIMEOUT_S:
+            if now - session.last_progress_at < REQUEST_PROGRESS_TIMEOUT_S:
                 continue
-            if visit.parser.begun:
-                self._tally.bad_requests += 1
-                visit.connection.write_last(_bad(http1.MessageError(408, "request not whole in time")))
-            elif visit.connection.is_quiet():
-                visit.connection.close()
-        while self._descriptors.share(Use.CLIENT) > IDLE_ABOVE and self._close_first(
-            self._idle, now - IDLE_S
+            if session.parser.begun:
+                self._counters.bad_requests += 1
+                session.connection.write_last(
+                    _error_response(http1.MessageError(408, "request not whole in time"))
+                )
+            elif session.connection.is_quiet():
+                session.connection.close()
+        while self._descriptors.share(Use.CLIENT) > IDLE_CLOSE_THRESHOLD and self._close_longest_idle(
+            self._idle_served, now - MIN_KEEPALIVE_S
         ):
             pass
-        self._sweeper = asyncio.get_running_loop().call_later(SWEEP_S, self._sweep) if self._open else None
+        self._sweep_timer = (
+            asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep) if self._sessions else None
+        )
 
-    def _rest(self, visit: "_Visit") -> None:
-        """Nothing is under way on it until something is read."""
-        (self._idle if visit.served else self._silent)[visit] = None
+    def _mark_idle(self, session: "_ClientSession") -> None:
+        """Mark a connection as idle until something is read from it."""
+        (self._idle_served if session.has_served else self._idle_unserved)[session] = None
 
-    def _wake(self, visit: "_Visit") -> None:
-        self._idle.pop(visit, None)
-        self._silent.pop(visit, None)
+    def _mark_active(self, session: "_ClientSession") -> None:
+        self._idle_served.pop(session, None)
+        self._idle_unserved.pop(session, None)
 
-    async def _serve(self, visit: "_Visit") -> None:
-        connection = visit.connection
+    async def _serve(self, session: "_ClientSession") -> None:
+        connection = session.connection
         try:
             while True:
-                request = await self._next_request(visit)
-                keep = await self._handle(visit, request)
-                visit.served, visit.since = True, asyncio.get_running_loop().time()
-                if not keep:
+                request = await self._read_request(session)
+                keep_open = await self._handle_request(session, request)
+                session.has_served, session.last_progress_at = True, asyncio.get_running_loop().time()
+                if not keep_open:
                     return
         except ConnectionLostError:
             pass
         except http1.MessageError as error:
-            await self._say_bad(visit, error)
+            await self._send_error(session, error)
         except Exception as error:
-            self._tally.crashed += 1
-            self._failed("client connection", error)
+            self._counters.crashed += 1
+            self._report_failure("client connection", error)
         finally:
             connection.close()
-            self._wake(visit)
-            self._open.pop(connection, None)
+            self._mark_active(session)
+            self._sessions.pop(connection, None)
 
-    async def _next_request(self, visit: "_Visit") -> http1.Request:
-        parser, connection = visit.parser, visit.connection
+    async def _read_request(self, session: "_ClientSession") -> http1.Request:
+        parser, connection = session.parser, session.connection
         has_head = False
         while (request := parser.next()) is None:
             if parser.has_head and not has_head:
-                has_head, visit.came, visit.since = True, 0, asyncio.get_running_loop().time()
+                has_head, session.progress_bytes, session.last_progress_at = (
+                    True,
+                    0,
+                    asyncio.get_running_loop().time(),
+                )
             if parser.wants_continue:
                 parser.wants_continue = False
                 await connection.write(http1.CONTINUE)
             if parser.begun:
-                await self._read(visit)
+                await self._read_some(session)
                 continue
-            self._rest(visit)
-            await self._read(visit)
-            self._wake(visit)
-            if visit.served:
-                visit.since = asyncio.get_running_loop().time()
+            self._mark_idle(session)
+            await self._read_some(session)
+            self._mark_active(session)
+            if session.has_served:
+                session.last_progress_at = asyncio.get_running_loop().time()
         return request
 
-    async def _read(self, visit: "_Visit") -> None:
-        had_head = visit.parser.has_head
-        data = await visit.connection.read(self._budget.step)
-        visit.parser.feed(data)
-        visit.read_at = self._came_at()
-        if had_head:  # and so is at its body
-            self._progress(visit, len(data))
+    async def _read_some(self, session: "_ClientSession") -> None:
+        had_head = session.parser.has_head
+        data = await session.connection.read(self._budget.step)
+        session.parser.feed(data)
+        session.data_arrived_at = self._arrival_time()
+        if had_head:  # The data read belongs to the body.
+            self._record_progress(session, len(data))
 
     @staticmethod
-    def _progress(visit: "_Visit", count: int) -> None:
-        visit.came += count
-        if visit.came >= PART_BYTES:
-            visit.came, visit.since = 0, asyncio.get_running_loop().time()
-
-    async def _handle(self, visit: "_Visit", request: http1.Request) -> bool:
-        """Answer one request; False where the connection ends with it."""
-        visit.busy = True
+    def _record_progress(session: "_ClientSession", count: int) -> None:
+        session.progress_bytes += count
+        if session.progress_bytes >= REQUEST_PROGRESS_BYTES:
+            session.progress_bytes, session.last_progress_at = 0, asyncio.get_running_loop().time()
+
+    async def _handle_request(self, session: "_ClientSession", request: http1.Request) -> bool:
+        """Respond to one request. Returns False if the connection closes afterwards."""
+        session.has_active_request = True
         try:
-            return await self._reply(visit, request)
+            return await self._respond(session, request)
         finally:
-            visit.busy = False
+            session.has_active_request = False
 
-    async def _reply(self, visit: "_Visit", request: http1.Request) -> bool:
+    async def _respond(self, session: "_ClientSession", request: http1.Request) -> bool:
         if platform.is_ready_check(request):
-            status = 200 if self._life.is_ready else 503
-            return await self._write(visit, request, status, (), b"")
-        exchange = self._exchange(request, visit)  # what is no request ends its connection
-        if self._desk.is_full():
-            self._tally.turned_away_full += 1
-            return await self._write(visit, request, 503, (), b"too many requests in hand")
+            status = 200 if self._lifecycle.is_ready else 503
+            return await self._write_buffered_response(session, request, status, (), b"")
+        # An invalid request raises MessageError, which closes the connection.
+        exchange = self._create_exchange(request, session)
+        if self._request_handler.is_full():
+            self._counters.turned_away_full += 1
+            return await self._write_buffered_response(
+                session, request, 503, (), b"too many requests in hand"
+            )
         if exchange.upload is not None:
-            return await self._take_long(visit, request, exchange, exchange.upload)
-        self._ids.add(exchange.call.id)
+            return await self._handle_upload(session, request, exchange, exchange.upload)
+        self._active_request_ids.add(exchange.call_info.id)
         try:
-            self._desk.take(exchange)
-            return await self._await_answer(visit, request, exchange)
+            self._request_handler.start_request(exchange)
+            return await self._await_response(session, request, exchange)
         finally:
-            self._ids.discard(exchange.call.id)
-            self._desk.client_gone(exchange)  # where it ends here without an answer, whatever the reason
+            self._active_request_ids.discard(exchange.call_info.id)
+            # Covers every way of ending without a response.
+            self._request_handler.handle_client_gone(exchange)
 
-    async def _take_long(
-        self, visit: "_Visit", request: http1.Request, exchange: Exchange, upload: Upload
+    async def _handle_upload(
+        self, session: "_ClientSession", request: http1.Request, exchange: Exchange, upload: Upload
     ) -> bool:
-        """A request whose body passes through: it is answered when it is, and its body read to the end."""
-        visit.uploading, visit.came, visit.since = exchange, 0, asyncio.get_running_loop().time()
-        self._ids.add(exchange.call.id)
-        pump = asyncio.get_running_loop().create_task(self._pump(visit, exchange, upload))
+        """Handle a request whose body is forwarded while it is received. The response may be written before
+        the body ends; the rest of the body is then read and dropped.
+        """
+        session.uploading_exchange, session.progress_bytes, session.last_progress_at = (
+            exchange,
+            0,
+            asyncio.get_running_loop().time(),
+        )
+        self._active_request_ids.add(exchange.call_info.id)
+        upload_task = asyncio.get_running_loop().create_task(self._read_upload(session, exchange, upload))
         try:
-            self._desk.take(exchange)
-            first = exchange.first()
-            either: set[asyncio.Future[Any]] = {first, pump}
-            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-            if pump.done():
-                pump.result()
-                return await self._await_answer(visit, request, exchange)
-            visit.early = True  # the answer ends the connection: what follows on it can't be told apart
-            await self._answer(visit, request, exchange, _given(first))
-            # Whoever still writes may look for the answer only then: to end our side now would cut it off.
-            await asyncio.wait((pump,), timeout=REST_AFTER_S)
+            self._request_handler.start_request(exchange)
+            response_future = exchange.response_future()
+            awaited: set[asyncio.Future[Any]] = {response_future, upload_task}
+            await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
+            if upload_task.done():
+                upload_task.result()
+                return await self._await_response(session, request, exchange)
+            # The response closes the connection, since what the client sends next cannot be told from the
+            # rest of the body.
+            session.answered_early = True
+            await self._write_response(session, request, exchange, _completed_response(response_future))
+            # A client may look for the response only once it has finished writing. Closing now would discard
+            # the response.
+            await asyncio.wait((upload_task,), timeout=DISCARD_BODY_TIMEOUT_S)
             return False
         finally:
-            upload.end()
-            visit.uploading = None
-            pump.add_done_callback(_seen)  # it ends with the connection, if it has not
-            self._ids.discard(exchange.call.id)
-            self._desk.client_gone(exchange)
-
-    async def _pump(self, visit: "_Visit", exchange: Exchange, upload: Upload) -> None:
-        """Read the body. Its last byte begins the request's time."""
-        parser = visit.parser
+            upload.release()
+            session.uploading_exchange = None
+            # If it is still running, it ends when the connection closes.
+            upload_task.add_done_callback(_consume_exception)
+            self._active_request_ids.discard(exchange.call_info.id)
+            self._request_handler.handle_client_gone(exchange)
+
+    async def _read_upload(self, session: "_ClientSession", exchange: Exchange, upload: Upload) -> None:
+        """Read the body of an upload. Its last byte starts the request's time."""
+        parser = session.parser
         try:
             if parser.wants_continue:
-                await visit.connection.write(http1.CONTINUE)
+                await session.connection.write(http1.CONTINUE)
             while parser.passing:
-                data = await visit.connection.read(self._budget.step)
+                data = await session.connection.read(self._budget.step)
                 parser.feed(data)
-                part = parser.part()
-                visit.read_at = self._came_at()
-                upload.put(part)
-                self._progress(visit, len(data))
+                body_part = parser.part()
+                session.data_arrived_at = self._arrival_time()
+                upload.append(body_part)
+                self._record_progress(session, len(data))
                 if parser.passing and upload.is_full:
-                    visit.blocked = True
-                    with self._leaving(visit, exchange):
-                        await upload.room()
-                    visit.blocked, visit.came, visit.since = False, 0, asyncio.get_running_loop().time()
-            exchange.came_at = visit.read_at
-            exchange.deadline = min(exchange.came_at + exchange.wait_ms, self._life.latest)
-            visit.uploading = None
-            upload.finish(whole=True)
-            self._desk.uploaded(exchange)
+                    session.reading_paused = True
+                    with self._watch_for_close(session, exchange):
+                        await upload.wait_for_room()
+                    session.reading_paused, session.progress_bytes, session.last_progress_at = (
+                        False,
+                        0,
+                        asyncio.get_running_loop().time(),
+                    )
+            exchange.arrived_at = session.data_arrived_at
+            exchange.deadline = min(
+                exchange.arrived_at + exchange.client_timeout_ms, self._lifecycle.latest_deadline
+            )
+            session.uploading_exchange = None
+            upload.finish(complete=True)
+            self._request_handler.complete_upload(exchange)
         except (ConnectionLostError, http1.MessageError):
-            upload.finish(whole=False)
+            upload.finish(complete=False)
             raise
 
-    def _leaving(self, visit: "_Visit", exchange: Exchange) -> AbstractContextManager[None]:
-        """While nothing is read from the client, only a look tells whether it is still there."""
-        return self._close_watch.watch(visit.connection, partial(self._desk.client_gone, exchange))
+    def _watch_for_close(self, session: "_ClientSession", exchange: Exchange) -> AbstractContextManager[None]:
+        """Watch for the client disconnecting. While nothing is read from it, only polling the socket can
+        tell.
+        """
+        return self._close_watch.watch(
+            session.connection, partial(self._request_handler.handle_client_gone, exchange)
+        )
 
-    async def _await_answer(self, visit: "_Visit", request: http1.Request, exchange: Exchange) -> bool:
-        connection, first = visit.connection, exchange.first()
-        while not first.done():
-            if visit.parser.begun:  # it sent on ahead: no more is read until this one is answered
-                with self._leaving(visit, exchange):
-                    await asyncio.wait((first,))
+    async def _await_response(
+        self, session: "_ClientSession", request: http1.Request, exchange: Exchange
+    ) -> bool:
+        connection, response_future = session.connection, exchange.response_future()
+        while not response_future.done():
+            # The client has pipelined its next request; nothing more is read until this one is answered.
+            if session.parser.begun:
+                with self._watch_for_close(session, exchange):
+                    await asyncio.wait((response_future,))
                 break
             pending = connection.start_read()
-            either: set[asyncio.Future[Any]] = {first, pending}
-            await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
-            if pending.done() and not first.done():
-                await self._read(visit)
-        return await self._answer(visit, request, exchange, _given(first))
-
-    async def _answer(
-        self, visit: "_Visit", request: http1.Request, exchange: Exchange, answer: Answer | StreamAnswer
+            awaited: set[asyncio.Future[Any]] = {response_future, pending}
+            await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
+            if pending.done() and not response_future.done():
+                await self._read_some(session)
+        return await self._write_response(session, request, exchange, _completed_response(response_future))
+
+    async def _write_response(
+        self,
+        session: "_ClientSession",
+        request: http1.Request,
+        exchange: Exchange,
+        response: BufferedResponse | StreamedResponse,
     ) -> bool:
-        if isinstance(answer, StreamAnswer):
-            return await self._write_stream(visit, request, exchange, answer)
-        return await self._write(visit, request, answer.status, answer.lines, answer.body)
+        if isinstance(response, StreamedResponse):
+            return await self._write_streamed_response(session, request, exchange, response)
+        return await self._write_buffered_response(
+            session, request, response.status, response.header_lines, response.body
+        )
 
-    async def _write(
-        self, visit: "_Visit", request: http1.Request, status: int, lines: tuple[bytes, ...], body: bytes
+    async def _write_buffered_response(
+        self,
+        session: "_ClientSession",
+        request: http1.Request,
+        status: int,
+        header_lines: tuple[bytes, ...],
+        body: bytes,
     ) -> bool:
-        close = self._ends_with(visit, request)
-        text = http1.response_bytes(status, lines, body, close, kept=request.is_old)
-        await self._write_part(visit.connection, text)
-        return not close
+        close_after = self._should_close(session, request)
+        response_text = http1.response_bytes(status, header_lines, body, close_after, kept=request.is_old)
+        await self._write_bytes(session.connection, response_text)
+        return not close_after
 
-    async def _write_stream(
-        self, visit: "_Visit", request: http1.Request, exchange: Exchange, answer: StreamAnswer
+    async def _write_streamed_response(
+        self,
+        session: "_ClientSession",
+        request: http1.Request,
+        exchange: Exchange,
+        response: StreamedResponse,
     ) -> bool:
-        close = self._ends_with(visit, request)
-        connection = visit.connection
-        chunked = answer.length is None and not request.is_old
-        framing = b"" if answer.length is None else http1.length_line(answer.length)
+        close_after = self._should_close(session, request)
+        connection = session.connection
+        chunked = response.content_length is None and not request.is_old
+        framing = b"" if response.content_length is None else http1.length_line(response.content_length)
         if chunked:
             framing = http1.CHUNKED
-        close = close or not framing  # HTTP/1.0 knows no chunks: the connection's end is the body's
-        if not visit.early:  # else the pump reads, and sees it
-            connection.start_read().add_done_callback(lambda _: connection.closed and exchange.leave())
-        head = http1.stream_head_bytes(answer.status, answer.lines, framing, close, kept=request.is_old)
-        await self._write_part(connection, head)
-        while (part := await exchange.next_part()) is not None:
+        # HTTP/1.0 has no chunked encoding, so closing the connection marks the end of the body.
+        close_after = close_after or not framing
+        # Otherwise the task that reads the upload notices the end of the connection.
+        if not session.answered_early:
+            connection.start_read().add_done_callback(lambda _: connection.closed and exchange.abandon())
+        head = http1.stream_head_bytes(
+            response.status, response.header_lines, framing, close_after, kept=request.is_old
+        )
+        await self._write_bytes(connection, head)
+        while (part := await exchange.next_stream_part()) is not None:
             if part:
-                await self._write_part(connection, http1.chunk_bytes(part) if chunked else part)
-        if exchange.broken:
-            connection.break_off()  # the client sees that it is not whole, however it is framed
+                await self._write_bytes(connection, http1.chunk_bytes(part) if chunked else part)
+        if exchange.stream_broken:
+            connection.break_off()  # The client can tell that the body is incomplete, whatever its framing.
             return False
         if chunked:
-            await self._write_part(connection, http1.chunk_bytes(b""))
-        return not close
+            await self._write_bytes(connection, http1.chunk_bytes(b""))
+        return not close_after
 
     @staticmethod
-    async def _write_part(connection: Connection, data: bytes) -> None:
-        """A client may take long, but not for ever, over what it is given."""
+    async def _write_bytes(connection: Connection, data: bytes) -> None:
+        """Write to a client, which must accept the data within `CLIENT_WRITE_TIMEOUT_S`."""
         try:
-            async with asyncio.timeout(STALL_S):
+            async with asyncio.timeout(CLIENT_WRITE_TIMEOUT_S):
                 await connection.write(data)
         except TimeoutError:
-            raise ConnectionLostError("the client takes nothing") from None
-
-    def _ends_with(self, visit: "_Visit", request: http1.Request) -> bool:
-        """Whether the connection ends with this answer: it is asked to, or its place is wanted."""
-        wanted = self._life.sends_away or self._descriptors.wanted
-        return wanted or visit.early or not request.keep_alive
-
-    def _exchange(self, request: http1.Request, visit: "_Visit") -> Exchange:
-        call = platform.read_call(request)
-        index, cls = self._class_of(request, call)
-        if call.id in self._ids:  # two answers to one id could not be told apart
+            raise ConnectionLostError("the client stopped reading the response") from None
+
+    def _should_close(self, session: "_ClientSession", request: http1.Request) -> bool:
+        """Whether the connection closes after this response: the client or the lifecycle asks for it, an
+        upload was answered early, or another connection needs its descriptor.
+        """
+        must_close = self._lifecycle.closes_connections or self._descriptors.wanted
+        return must_close or session.answered_early or not request.keep_alive
+
+    def _create_exchange(self, request: http1.Request, session: "_ClientSession") -> Exchange:
+        call_info = platform.read_call(request)
+        class_index, request_class = self._find_class(request, call_info)
+        # Responses to two requests with one id could not be told apart.
+        if call_info.id in self._active_request_ids:
             raise http1.MessageError(409, "a request with this Req-Id is in hand")
-        _check_method(cls.effect, call, request)
-        if self._tenants and call.owner and call.owner not in self._tenants:
+        _validate_request(request_class.effect, call_info, request)
+        if self._tenants and call_info.owner and call_info.owner not in self._tenants:
             raise http1.MessageError(400, "unknown Req-Owner")
-        wait_ms = cls.deadline_ms if call.wait_ms is None else call.wait_ms
-        came_at = visit.read_at
+        timeout_ms = request_class.deadline_ms if call_info.wait_ms is None else call_info.wait_ms
+        arrived_at = session.data_arrived_at
         return Exchange(
-            id=self._desk.next_id(),
-            cls=index,
-            call=call,
+            id=self._request_handler.next_request_id(),
+            class_index=class_index,
+            call_info=call_info,
             request=request,
-            came_at=came_at,
-            deadline=min(came_at + wait_ms, self._life.latest) if request.whole else math.inf,
-            streaming=cls.streaming,
-            tenant=self._tenants.get(call.owner, 0),
+            arrived_at=arrived_at,
+            deadline=min(arrived_at + timeout_ms, self._lifecycle.latest_deadline)
+            if request.whole
+            else math.inf,
+            streaming=request_class.streaming,
+            tenant_index=self._tenants.get(call_info.owner, 0),
             upload=None if request.whole else Upload(request.body, self._budget),
-            wait_ms=wait_ms,
-            key=platform.subject_of(request) if cls.in_turn or self._warm_keys else 0,
-            client_ended=visit.connection.has_ended,
+            client_timeout_ms=timeout_ms,
+            key=platform.subject_of(request) if request_class.in_turn or self._warm_keys else 0,
+            has_client_ended=session.connection.has_ended,
         )
 
-    def _class_of(self, request: http1.Request, call: platform.Call) -> tuple[int, RequestClass]:
-        found = self._classes.get(call.kind)
-        if found is None:
+    def _find_class(self, request: http1.Request, call_info: platform.Call) -> tuple[int, RequestClass]:
+        request_class = self._classes.get(call_info.kind)
+        if request_class is None:
             raise http1.MessageError(404, "unknown class of request")
-        by_path = self._classes.get(platform.first_part(request.target), found)
-        if by_path is not found:  # a wrong class could repeat what must not be repeated
+        class_by_path = self._classes.get(platform.first_part(request.target), request_class)
+        # With the wrong class, a request that must not be repeated could be retried.
+        if class_by_path is not request_class:
             raise http1.MessageError(400, "Req-Kind and path name two classes")
-        return found
-
-    async def _say_bad(self, visit: "_Visit", error: http1.MessageError) -> None:
-        """Answer what is no request. Closed with input unread, the connection would lose the answer."""
-        self._tally.bad_requests += 1
-        connection = visit.connection
-        visit.over, visit.since = True, 0.0  # the first to make way
-        self._silent[visit] = None
-        self._silent.move_to_end(visit, last=False)
-        if not visit.parser.begun and connection.is_quiet():
-            connection.write_last(_bad(error))
+        return request_class
+
+    async def _send_error(self, session: "_ClientSession", error: http1.MessageError) -> None:
+        """Respond to an invalid request. Input is read for a while after that, since closing a connection
+        with unread input would discard the response.
+        """
+        self._counters.bad_requests += 1
+        connection = session.connection
+        # Sorted first, so that it is the first to be closed for another connection.
+        session.lingering, session.last_progress_at = True, 0.0
+        self._idle_unserved[session] = None
+        self._idle_unserved.move_to_end(session, last=False)
+        if not session.parser.begun and connection.is_quiet():
+            connection.write_last(_error_response(error))
             return
         try:
-            async with asyncio.timeout(LINGER_S):
-                await connection.write(_bad(error))
+            async with asyncio.timeout(LINGER_TIMEOUT_S):
+                await connection.write(_error_response(error))
                 connection.stop_sending()
-                read = 0
-                while read < LINGER_BYTES:
-                    read += len(await connection.read())
+                discarded_bytes = 0
+                while discarded_bytes < MAX_LINGER_BYTES:
+                    discarded_bytes += len(await connection.read())
         except (ConnectionLostError, TimeoutError):
             pass
 
 
-def _bad(error: http1.MessageError) -> bytes:
+def _error_response(error: http1.MessageError) -> bytes:
     return http1.response_bytes(error.status, (), str(error).encode(), close=True)
 
 
-def _check_method(effect: Effect, call: platform.Call, request: http1.Request) -> None:
-    """Method, body and key follow from the class; else what a server makes of it is not what we decide by."""
+def _validate_request(effect: Effect, call_info: platform.Call, request: http1.Request) -> None:
+    """Check that method, body and idempotency key fit the class. Otherwise a server could treat the request
+    differently from what the class promises.
+    """
     if request.method != (b"GET" if effect is Effect.SAFE else b"POST"):
         raise http1.MessageError(405, "method does not fit the class")
     if effect is Effect.SAFE and (request.body or not request.whole):
         raise http1.MessageError(400, "body on a request of a class that is safe to repeat")
-    if effect is Effect.KEYED and not call.has_key:
+    if effect is Effect.KEYED and not call_info.has_key:
         raise http1.MessageError(400, "no Idempotency-Key on a request of a keyed class")
-    if effect is Effect.UNSAFE and call.has_key:
+    if effect is Effect.UNSAFE and call_info.has_key:
         raise http1.MessageError(400, "Idempotency-Key on a request of a class that has none")
 
 
-def _given(first: "asyncio.Future[Answer | StreamAnswer]") -> Answer | StreamAnswer:
-    """The answer; none comes where the server side was the first to see that the client has left."""
-    if first.cancelled():
-        raise ConnectionLostError("the client has left")
-    return first.result()
+def _completed_response(
+    response_future: "asyncio.Future[BufferedResponse | StreamedResponse]",
+) -> BufferedResponse | StreamedResponse:
+    """Return the response. Raises `ConnectionLostError` if there is none because the server side was the
+    first to notice that the client has left.
+    """
+    if response_future.cancelled():
+        raise ConnectionLostError("the client disconnected")
+    return response_future.result()
 
 
-def _seen(task: "asyncio.Task[None]") -> None:
+def _consume_exception(task: "asyncio.Task[None]") -> None:
     if not task.cancelled():
         task.exception()
 
 
-class _Visit:
-    """One of the application's connections."""
+class _ClientSession:
+    """One connection of the application and the state of the request on it."""
 
     __slots__ = (
-        "blocked",
-        "busy",
-        "came",
+        "answered_early",
         "connection",
-        "early",
-        "over",
+        "data_arrived_at",
+        "has_active_request",
+        "has_served",
+        "last_progress_at",
+        "lingering",
         "parser",
-        "read_at",
-        "served",
-        "since",
+        "progress_bytes",
+        "reading_paused",
         "task",
-        "uploading",
+        "uploading_exchange",
     )
 
     def __init__(self, connection: Connection, max_body: int) -> None:
         self.connection = connection
         self.parser = http1.RequestParser(max_body)
-        self.uploading: Exchange | None = None  # the request whose body passes through just now
-        self.blocked = False  # while its endpoint has no room for more: nothing is read
-        self.early = False  # it is answered before its body's end
-        self.came = 0  # bytes of a body since it was last seen to go on
-        self.busy = False  # from a request's last byte in to its answer's last byte out
-        self.over = False  # told of its error; only what it still sends is read
-        # Came, was answered last, began its request, or went on with its body.
-        self.since = asyncio.get_running_loop().time()
-        self.read_at = 0.0  # when what was read last can have come: a request sent ahead waits on our side
-        self.served = False
+        self.uploading_exchange: Exchange | None = None  # The request whose body is being received.
+        self.reading_paused = False  # True while the upload buffer is full, when nothing is read.
+        self.answered_early = False  # The request was answered before the end of its body.
+        self.progress_bytes = 0  # Bytes of a body received since `last_progress_at`.
+        # True from the last byte of a request received to the last byte of its response sent.
+        self.has_active_request = False
+        self.lingering = False  # An error was sent; what the client still sends is read and dropped.
+        # When the connection was accepted, last answered a request, began one, or made progress with its
+        # body.
+        self.last_progress_at = asyncio.get_running_loop().time()
+        # Earliest time at which the last data read can have arrived. A pipelined request waits in the
+        # socket's buffer.
+        self.data_arrived_at = 0.0
+        self.has_served = False
         self.task: asyncio.Task[None] | None = None
 
     def is_idle(self) -> bool:
-        return not self.busy and not self.parser.begun and self.connection.is_quiet()
+        return not self.has_active_request and not self.parser.begun and self.connection.is_quiet()
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery calls: the watch on the server list, and the whole list on demand."""
+"""Calls to discovery: watching the server list for changes, and fetching the full list on demand."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -12,33 +12,40 @@
 from larkcrank.transport.descriptors import Descriptors, Use
 
 if TYPE_CHECKING:
-    from larkcrank.routing.places import Places
-
-# As long as discovery allows: each call costs it work, and what it has to tell counts as told soon after
-# the wait is over, arrived or not. A sidecar cut off from it is then held to drains it can't hear of.
-WATCH_MS = 60000
-SLACK_MS = 1500.0  # a call not answered so long after its wait is silent; 2 s after it all counts as told
-FETCH_TIMEOUT_MS = 2500.0  # of a call that does not wait: discovery itself gives it up after 2 s
-REST_S = 2.0  # an answer that has begun must be whole by then, however long the call may wait for it
-# After a failed call a change counts as told 6 s after discovery has it and can be reached: until a call has
-# an answer none may wait (one that hangs would tell nothing for a minute), and the next one begins so soon
-# after the one before, at first and at most. With the 2 s that discovery takes at most that makes the 6 s.
-AGAIN_S = (1.0, 4.0)
-TURN_S = 0.5  # after a failed call, where it is by turns who calls
-HOME_S = 0.7  # away from the first of several addresses, a call there has so long to be answered
-LOOK_MS = 50  # wait of a call that is to find out whether discovery answers at all
-MAX_LIST = 4 << 20
-GATE_S = 0.1  # between looks whether a call may be made
-
-
-class Call(Enum):
-    WATCH = "watch"  # waits for news
-    LOOK = "look"  # news by now, where nobody knows whether discovery answers at all
-    LIST = "list"  # the whole list
-
-
-class Tally(Protocol):
-    """What discovery counts."""
+    from larkcrank.routing.places import AddressFailover
+
+# The longest wait that discovery allows; each call costs it work. The contract assumes that a change reaches
+# the sidecar soon after the wait of a call ends, whether or not the response arrives. A sidecar that is cut
+# off is held to drains that it cannot learn of.
+MAX_WATCH_WAIT_MS = 60000
+# A call unanswered for this long after its wait has timed out. After 2 s the contract counts changes as
+# known.
+WATCH_TIMEOUT_SLACK_MS = 1500.0
+# Timeout of a call without a wait. Discovery itself gives it up after 2 s.
+IMMEDIATE_CALL_TIMEOUT_MS = 2500.0
+# A response that has started must be complete within this time, however long the call may wait for it to
+# start.
+RESPONSE_READ_TIMEOUT_S = 2.0
+# After a failed call, the contract counts a change as known 6 s after discovery has it and is reachable.
+# Until a call succeeds, none may wait, since a call that hangs would bring no news for a minute. The values
+# are the longest interval between the starts of two calls, at first and after repeated failures. The
+# 4 s and the 2 s that discovery takes at most make the 6 s.
+RETRY_INTERVAL_LIMITS_S = (1.0, 4.0)
+TURN_RETRY_DELAY_S = 0.5  # After a failed call, where the sidecars take turns at calling discovery.
+PRIMARY_CHECK_TIMEOUT_S = 0.7  # Time limit for checking the primary address while a fallback is in use.
+CHECK_WAIT_MS = 50  # Wait of a call that checks whether discovery responds at all.
+MAX_LIST_BYTES = 4 << 20
+GATE_POLL_INTERVAL_S = 0.1  # Interval between checks whether a call is allowed.
+
+
+class CallKind(Enum):
+    WATCH = "watch"  # Waits for changes.
+    CHECK = "look"  # Asks for the changes so far, when it is unknown whether discovery responds.
+    FULL_LIST = "list"  # Asks for the full list.
+
+
+class DiscoveryCounters(Protocol):
+    """Counters that the discovery client increments."""
 
     lists: int
     discovery_calls: int
@@ -46,254 +53,294 @@
     crashed: int
 
 
-class Discovery:
-    """Asks, and tells the list's changes in order. A call that fails is made again, until one is answered."""
+class DiscoveryClient:
+    """Calls discovery and reports changes of the server list in order. A failed call is repeated until one
+    succeeds.
+    """
 
     def __init__(
         self,
-        place: tuple[str, int],
+        host_port: tuple[str, int],
         descriptors: Descriptors,
         names: Names,
         connect_timeout_ms: float,
-        always: bool,
+        watch_after_move: bool,
         rng: Random,
-        tally: Tally,
-        failed: Callable[[str, BaseException], None],
-        spread_s: float = 0.0,
-        elsewhere: Sequence[tuple[str, int]] = (),
-        watch_ms: int | None = None,
+        counters: DiscoveryCounters,
+        report_failure: Callable[[str, BaseException], None],
+        retry_spread_s: float = 0.0,
+        fallbacks: Sequence[tuple[str, int]] = (),
+        watch_wait_ms: int | None = None,
     ) -> None:
-        """`always`: watch also after a move that comes before the first `watch`. `spread_s`: over which first
-        repeats of calls are spread, since many fail together; `AGAIN_S` bounds it. `elsewhere`: who else
-        tells the list, asked in turn where `place` does not answer; they know each other's generations or
-        tell the whole. `watch_ms`: how long a watch waits; None: as long as it may."""
-        self._place = place
-        self._elsewhere = tuple(elsewhere)
-        self._watch_ms = watch_ms
+        """`watch_after_move`: start watching when the address changes, even before the first `watch`.
+
+        `retry_spread_s`: interval over which first retries are spread, since many clients fail together;
+        limited by `RETRY_INTERVAL_LIMITS_S`.
+
+        `fallbacks`: other addresses that serve the list, tried in turn if `host_port` does not respond. They
+        know each other's generations or send the full list.
+
+        `watch_wait_ms`: how long a watch waits; None means as long as discovery allows.
+        """
+        self._host_port = host_port
+        self._fallbacks = tuple(fallbacks)
+        self._watch_wait_ms = watch_wait_ms
         self._descriptors = descriptors
         self._names = names
         self._connect_timeout_ms = connect_timeout_ms
-        self._always = always
-        self._spread_s = spread_s
+        self._watch_after_move = watch_after_move
+        self._retry_spread_s = retry_spread_s
         self._rng = rng
-        self._places = self._make_places()  # None: there is one
-        self._tally = tally
-        self._failed = failed
+        self._failover = self._create_failover()  # None if there is only one address.
+        self._counters = counters
+        self._report_failure = report_failure
         self._generation: int | None = None
-        self._watch: asyncio.Task[None] | None = None
-        self._wanted = False  # a watch, also while none is under way
-        self._doubted = False  # the last call of a watch failed, and none has had an answer since
-        self._told = 0  # answers of watches
-        self._moved = False  # to another discovery than the configuration at the start named
-        self._fetch: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
+        self._watch_wanted = False  # Whether to watch, even if no watch is running at the moment.
+        self._availability_unknown = False  # The last watch call failed, and none has succeeded since.
+        self._watch_answer_count = 0  # Number of watch calls answered.
+        self._moved = False  # Whether the address is another one than configured at startup.
+        self._fetch_task: asyncio.Task[None] | None = None
         self._closed = False
         self.on_list: Callable[[Listing], None] = lambda _: None
         self.on_failure: Callable[[str], None] = lambda _: None
-        # Whether to call now; where one is set, it alone says when: a failed watch waits for its next turn.
-        self.gate: Callable[[], bool] | None = None
+        # Whether a call is allowed now. If set, it alone controls the timing: a failed watch waits until it
+        # allows the next call.
+        self.may_call: Callable[[], bool] | None = None
 
-    def start_from(self, text: bytes) -> Listing | None:
-        """The list as last held; None where there is none that can be read."""
+    def load_list(self, encoded_list: bytes) -> Listing | None:
+        """Decode a stored list. Returns None if it is unreadable."""
         try:
-            listing = discovery.parse(text, self._names)
+            listing = discovery.parse(encoded_list, self._names)
         except discovery.ListError:
             return None
-        self.go_on_from(listing.generation)
+        self.set_generation(listing.generation)
         return listing
 
     @property
     def generation(self) -> int | None:
-        """Of the list as last told; None where there is none."""
+        """Generation of the last known list; None if there is none."""
         return self._generation
 
-    def go_on_from(self, generation: int | None) -> None:
-        """The list of this generation is known from elsewhere; moved meanwhile, it is another's count."""
+    def set_generation(self, generation: int | None) -> None:
+        """Continue from a list obtained elsewhere. Ignored after a change of address, since each discovery
+        counts generations on its own.
+        """
         if not self._moved:
             self._generation = generation
 
-    def doubt(self) -> None:
-        """Nobody knows whether discovery answers just now: the next call finds out, before one that waits."""
-        self._doubted = True
-
-    def watch(self, on: bool = True) -> None:
-        """Watch from now on. While a watch is under way another call would tell nothing more."""
-        self._wanted = on
-        if not on:
-            if self._watch is not None:
-                self._watch.cancel()
-                self._watch = None  # it is over, though it has not ended yet: the next call begins another
+    def mark_availability_unknown(self) -> None:
+        """Record that it is unknown whether discovery responds, so that the next call checks this before any
+        call that waits.
+        """
+        self._availability_unknown = True
+
+    def watch(self, enabled: bool = True) -> None:
+        """Start or stop watching. Has no effect while a watch is already running, since another call would
+        bring nothing more.
+        """
+        self._watch_wanted = enabled
+        if not enabled:
+            if self._watch_task is not None:
+                self._watch_task.cancel()
+                # The cancelled task has not finished yet, but the next call must start a new one.
+                self._watch_task = None
         elif self._closed:
-            return  # the last requests still end, and the balancer may ask on that
-        elif self._watch is None or self._watch.done():
-            self._watch = asyncio.get_running_loop().create_task(self._keep_watching())
-
-    def fetch(self) -> None:
-        if self.gate is not None and not self.gate():
-            return  # all doubt their lists after a loss: those whose turn it is ask for the others
-        if not self._closed and (self._fetch is None or self._fetch.done()):
-            self._fetch = asyncio.get_running_loop().create_task(self._keep_fetching())
-
-    def _make_places(self) -> "Places | None":
-        if not self._elsewhere:
+            return  # The balancer may still ask while the last requests finish.
+        elif self._watch_task is None or self._watch_task.done():
+            self._watch_task = asyncio.get_running_loop().create_task(self._watch_loop())
+
+    def fetch_list(self) -> None:
+        if self.may_call is not None and not self.may_call():
+            # After a loss all sidecars doubt their lists; only those whose turn it is fetch, on behalf of the
+            # others.
+            return
+        if not self._closed and (self._fetch_task is None or self._fetch_task.done()):
+            self._fetch_task = asyncio.get_running_loop().create_task(self._fetch_loop())
+
+    def _create_failover(self) -> "AddressFailover | None":
+        if not self._fallbacks:
             return None
-        from larkcrank.routing.places import Places  # who has one address does without
+        from larkcrank.routing.places import AddressFailover  # Imported only if there are several addresses.
 
-        return Places((self._place, *self._elsewhere), self._rng, again_s=1.0)
+        return AddressFailover((self._host_port, *self._fallbacks), self._rng, max_mean_wait_s=1.0)
 
-    def move(self, place: tuple[str, int], elsewhere: Sequence[tuple[str, int]] = ()) -> None:
-        """Ask at another address from now on. Its generations are its own: it is asked for the whole list.
+    def move_to(self, host_port: tuple[str, int], fallbacks: Sequence[tuple[str, int]] = ()) -> None:
+        """Call another address from now on. It counts generations on its own, so the full list is requested.
 
-        It does not wait for the balancer's next call: what the new one has to tell counts as told soon.
+        This does not wait for the balancer's next call: the contract counts the new discovery's changes as
+        known soon.
         """
-        home = self._place if self._places is None else self._places.home
-        if (place, tuple(elsewhere)) == (home, self._elsewhere):
+        primary = self._host_port if self._failover is None else self._failover.primary
+        if (host_port, tuple(fallbacks)) == (primary, self._fallbacks):
             return
-        self._end_calls()  # nothing that the old one still answers may overwrite the new list
-        self._place, self._generation, self._moved = place, None, True
-        self._elsewhere = tuple(elsewhere)
-        self._places = self._make_places()
-        self._watch = self._fetch = None
-        self._doubted = False
-        if self._wanted or self._always:
+        self._cancel_calls()  # A late response of the old address must not overwrite the new list.
+        self._host_port, self._generation, self._moved = host_port, None, True
+        self._fallbacks = tuple(fallbacks)
+        self._failover = self._create_failover()
+        self._watch_task = self._fetch_task = None
+        self._availability_unknown = False
+        if self._watch_wanted or self._watch_after_move:
             self.watch()
 
     def close(self) -> None:
-        """End what is under way; nothing is asked any more."""
+        """Cancel the calls in progress and make no more."""
         self._closed = True
-        self._end_calls()
+        self._cancel_calls()
 
-    def _end_calls(self) -> None:
-        for task in (self._watch, self._fetch):
+    def _cancel_calls(self) -> None:
+        for task in (self._watch_task, self._fetch_task):
             if task is not None:
                 task.cancel()
 
-    async def _keep_watching(self) -> None:
-        line = _Line(self._place, self._descriptors, self._connect_timeout_ms)
-        pauses = _Pauses(self._spread_s, self._rng)
+    async def _watch_loop(self) -> None:
+        connection = _DiscoveryConnection(self._host_port, self._descriptors, self._connect_timeout_ms)
+        retry_intervals = _RetryIntervals(self._retry_spread_s, self._rng)
         loop = asyncio.get_running_loop()
         try:
             while True:
-                await self._leave()
-                line = await self._at_current(line)
-                began = loop.time()
-                waits = self._generation is not None and not self._doubted
-                error = await self._ask(line, Call.WATCH if waits else Call.LOOK)
-                took = loop.time() - began
-                if waits and (error is None or took > AGAIN_S[1]):
-                    pauses.begin()
+                await self._wait_until_allowed()
+                connection = await self._select_connection(connection)
+                began_at = loop.time()
+                is_long_poll = self._generation is not None and not self._availability_unknown
+                error = await self._call(connection, CallKind.WATCH if is_long_poll else CallKind.CHECK)
+                took_s = loop.time() - began_at
+                if is_long_poll and (error is None or took_s > RETRY_INTERVAL_LIMITS_S[1]):
+                    retry_intervals.reset()
                 if error is None:
-                    if self._places is not None:
-                        self._places.answered()
+                    if self._failover is not None:
+                        self._failover.record_success()
                     continue
-                self._doubted = True
+                self._availability_unknown = True
                 self.on_failure(str(error) or type(error).__name__)
-                if self._places is not None:
-                    await asyncio.sleep(self._go_on(line.place, 0.0 if waits else took))
+                if self._failover is not None:
+                    await asyncio.sleep(
+                        self._fail_over(connection.host_port, 0.0 if is_long_poll else took_s)
+                    )
+                    continue
+                if is_long_poll and isinstance(error, TimeoutError):
+                    # The timeout has already used up the time, and the contract counts what was missed as
+                    # known soon.
                     continue
-                if waits and isinstance(error, TimeoutError):
-                    continue  # it took its time, and what it missed counts as told soon
-                await self._pause(pauses, 0.0 if waits else took)
+                await self._wait_before_retry(retry_intervals, 0.0 if is_long_poll else took_s)
         finally:
-            line.close()
+            connection.close()
 
-    async def _keep_fetching(self) -> None:
-        """Until the list has come, or a watch that failed tries on."""
-        line = _Line(self._place, self._descriptors, self._connect_timeout_ms)
-        pauses = _Pauses(self._spread_s, self._rng)
+    async def _fetch_loop(self) -> None:
+        """Call until the list arrives, or until a watch that failed takes over the retries."""
+        connection = _DiscoveryConnection(self._host_port, self._descriptors, self._connect_timeout_ms)
+        retry_intervals = _RetryIntervals(self._retry_spread_s, self._rng)
         loop = asyncio.get_running_loop()
         try:
             while True:
-                began = loop.time()
-                error = await self._ask(line, Call.LIST)
-                tries_on = self._doubted and self._watch is not None and not self._watch.done()
-                if error is None or tries_on:
-                    self._fetch = None  # before it is told: what is told may ask for the next one
+                began_at = loop.time()
+                error = await self._call(connection, CallKind.FULL_LIST)
+                watch_retries = (
+                    self._availability_unknown
+                    and self._watch_task is not None
+                    and not self._watch_task.done()
+                )
+                if error is None or watch_retries:
+                    # Cleared before reporting, since the report may cause the next fetch.
+                    self._fetch_task = None
                 if error is not None:
                     self.on_failure(str(error) or type(error).__name__)
-                if error is None or tries_on:
+                if error is None or watch_retries:
                     return
-                if self._places is not None:
-                    await asyncio.sleep(self._go_on(line.place, loop.time() - began))
-                    line.close()
-                    line = _Line(self._place, self._descriptors, self._connect_timeout_ms)
+                if self._failover is not None:
+                    await asyncio.sleep(self._fail_over(connection.host_port, loop.time() - began_at))
+                    connection.close()
+                    connection = _DiscoveryConnection(
+                        self._host_port, self._descriptors, self._connect_timeout_ms
+                    )
                 else:
-                    await self._pause(pauses, loop.time() - began)
-                await self._leave()
+                    await self._wait_before_retry(retry_intervals, loop.time() - began_at)
+                await self._wait_until_allowed()
         finally:
-            line.close()
-
-    def _go_on(self, failed: tuple[str, int], took_s: float) -> float:
-        """This place has failed, a call in `took_s`: ask the next one, in so many seconds."""
-        assert self._places is not None
-        if failed != self._place:
-            return 0.0  # another call has found that out before
-        wait_s = self._places.failed(asyncio.get_running_loop().time())
-        self._place = self._places.current
-        return min(wait_s, max(AGAIN_S[1] - took_s, 0.0))
-
-    async def _at_current(self, line: "_Line") -> "_Line":
-        """The line to whom is to be asked now; away from home, home is asked first once in a while."""
-        places = self._places
-        if places is None:
-            return line
+            connection.close()
+
+    def _fail_over(self, failed_host_port: tuple[str, int], took_s: float) -> float:
+        """Fail over from an address whose call failed after `took_s`. Returns how many seconds to wait before
+        the next call.
+        """
+        assert self._failover is not None
+        if failed_host_port != self._host_port:
+            return 0.0  # Another call has already failed over.
+        wait_s = self._failover.record_failure(asyncio.get_running_loop().time())
+        self._host_port = self._failover.current
+        return min(wait_s, max(RETRY_INTERVAL_LIMITS_S[1] - took_s, 0.0))
+
+    async def _select_connection(self, connection: "_DiscoveryConnection") -> "_DiscoveryConnection":
+        """Return a connection to the address to call now. While a fallback is in use, the primary is checked
+        first from time to time.
+        """
+        failover = self._failover
+        if failover is None:
+            return connection
         now = asyncio.get_running_loop().time()
-        if places.look_home(now) and not self._doubted:
-            home = _Line(places.home, self._descriptors, self._connect_timeout_ms)
-            good = False
+        if failover.should_check_primary(now) and not self._availability_unknown:
+            primary_connection = _DiscoveryConnection(
+                failover.primary, self._descriptors, self._connect_timeout_ms
+            )
+            primary_answers = False
             try:
-                async with asyncio.timeout(HOME_S):
-                    good = await self._ask(home, Call.LOOK) is None
+                async with asyncio.timeout(PRIMARY_CHECK_TIMEOUT_S):
+                    primary_answers = await self._call(primary_connection, CallKind.CHECK) is None
             except TimeoutError:
                 pass
             finally:
-                if not good:
-                    home.close()
-            places.looked(now, good)
-            if good:
-                line.close()
-                line, self._place = home, places.home
-        if line.place != self._place:
-            line.close()
-            line = _Line(self._place, self._descriptors, self._connect_timeout_ms)
-        return line
-
-    async def _leave(self) -> None:
-        """Wait for leave to call. Who has waited may be called on because discovery answers nobody."""
-        while self.gate is not None and not self.gate():
-            self._doubted = True
-            await asyncio.sleep(GATE_S)
-
-    async def _pause(self, pauses: "_Pauses", took_s: float) -> None:
-        """After a call that failed in `took_s`: the next one begins so soon after that one began."""
-        wait_s = pauses.draw() - took_s if self.gate is None else TURN_S
+                if not primary_answers:
+                    primary_connection.close()
+            failover.record_primary_check(now, primary_answers)
+            if primary_answers:
+                connection.close()
+                connection, self._host_port = primary_connection, failover.primary
+        if connection.host_port != self._host_port:
+            connection.close()
+            connection = _DiscoveryConnection(self._host_port, self._descriptors, self._connect_timeout_ms)
+        return connection
+
+    async def _wait_until_allowed(self) -> None:
+        """Wait until a call is allowed. After such a wait, the call may have become allowed because discovery
+        does not respond to anyone.
+        """
+        while self.may_call is not None and not self.may_call():
+            self._availability_unknown = True
+            await asyncio.sleep(GATE_POLL_INTERVAL_S)
+
+    async def _wait_before_retry(self, retry_intervals: "_RetryIntervals", took_s: float) -> None:
+        """Wait after a call that failed after `took_s`. The interval to the next call counts from the start
+        of the failed one.
+        """
+        wait_s = retry_intervals.next_interval_s() - took_s if self.may_call is None else TURN_RETRY_DELAY_S
         await asyncio.sleep(max(wait_s, 0.0))
 
-    async def _ask(self, line: "_Line", call: Call) -> Exception | None:
-        """One call; why it failed, None where it did not."""
-        told = self._told
-        self._tally.discovery_calls += 1
-        whole = call is Call.LIST or self._generation is None
+    async def _call(self, connection: "_DiscoveryConnection", call_kind: CallKind) -> Exception | None:
+        """Make one call. Returns the error if it failed, None otherwise."""
+        watch_answers_before = self._watch_answer_count
+        self._counters.discovery_calls += 1
+        asks_full_list = call_kind is CallKind.FULL_LIST or self._generation is None
         try:
-            response = await self._get(line, call)
+            response = await self._get_with_retry(connection, call_kind)
             if response.status != 200:
                 raise ConnectionLostError(f"answered {response.status}")
             listing = discovery.parse(response.body, self._names)
-            if whole and not listing.whole:
+            if asks_full_list and not listing.whole:
                 listing = Listing(listing.generation, True, listing.endpoints, listing.places)
-            self._tally.lists += 1
-            self._doubted = False
-            if call is not Call.LIST:
-                self._told += 1
-            elif told != self._told:
-                return (
-                    None  # the watch has told something since this was asked for: it lives, and knows better
-                )
-            dead = call is Call.LIST and listing.generation != self._generation
+            self._counters.lists += 1
+            self._availability_unknown = False
+            if call_kind is not CallKind.FULL_LIST:
+                self._watch_answer_count += 1
+            elif watch_answers_before != self._watch_answer_count:
+                # A watch has succeeded since this call started, so it is alive and its data is newer.
+                return None
+            watch_is_dead = call_kind is CallKind.FULL_LIST and listing.generation != self._generation
             self._generation = listing.generation
-            if dead and self._watch is not None and not self._watch.done():
-                # A watch that lives would have told this: a machine that vanished is silent on old ones.
-                self._watch.cancel()
-                self._watch = None
+            if watch_is_dead and self._watch_task is not None and not self._watch_task.done():
+                # A live watch would have reported this change. If a machine vanished, connections to it stay
+                # silent.
+                self._watch_task.cancel()
+                self._watch_task = None
                 self.watch()
             self.on_list(listing)
         except (
@@ -303,90 +350,114 @@
             http1.MessageError,
             discovery.ListError,
         ) as error:
-            line.close()
-            self._tally.discovery_failures += 1
+            connection.close()
+            self._counters.discovery_failures += 1
             return error
-        except Exception as error:  # told as a failure, or nobody would ever ask again
-            line.close()
-            self._tally.crashed += 1
-            self._failed("discovery", error)
+        except Exception as error:  # Reported as a failure, since otherwise no further call would be made.
+            connection.close()
+            self._counters.crashed += 1
+            self._report_failure("discovery", error)
             return error
         return None
 
-    async def _get(self, line: "_Line", call: Call) -> http1.Response:
+    async def _get_with_retry(
+        self, connection: "_DiscoveryConnection", call_kind: CallKind
+    ) -> http1.Response:
         try:
-            return await self._get_once(line, call)
-        except _CrossedError:
-            # Made once more, but not to wait: what ended the connection may be discovery's own end.
-            return await self._get_once(line, Call.LOOK if call is Call.WATCH else call)
-
-    async def _get_once(self, line: "_Line", call: Call) -> http1.Response:
-        target, timeout = discovery.LIST_TARGET, FETCH_TIMEOUT_MS
-        if self._generation is not None and call is Call.LOOK:
-            target = discovery.watch_target(self._generation, LOOK_MS)
-        elif self._generation is not None and call is Call.WATCH:
-            wait_ms = WATCH_MS if self._watch_ms is None else self._watch_ms
-            target, timeout = discovery.watch_target(self._generation, wait_ms), wait_ms + SLACK_MS
-        async with asyncio.timeout(timeout / 1000.0):
-            return await line.get(target)
-
-
-class _Pauses:
-    """From the beginning of a call that failed to that of the next one, in a row of them.
-
-    Many fail together. Their first repeats are spread evenly; later ones come at least half of the longest
-    time apart and differ by as much, so that callers do not fall into step.
+            return await self._get_once(connection, call_kind)
+        except _StaleConnectionError:
+            # Repeat the call, but without a wait: the connection may have ended because discovery itself did.
+            return await self._get_once(
+                connection, CallKind.CHECK if call_kind is CallKind.WATCH else call_kind
+            )
+
+    async def _get_once(self, connection: "_DiscoveryConnection", call_kind: CallKind) -> http1.Response:
+        target, timeout_ms = discovery.LIST_TARGET, IMMEDIATE_CALL_TIMEOUT_MS
+        if self._generation is not None and call_kind is CallKind.CHECK:
+            target = discovery.watch_target(self._generation, CHECK_WAIT_MS)
+        elif self._generation is not None and call_kind is CallKind.WATCH:
+            wait_ms = MAX_WATCH_WAIT_MS if self._watch_wait_ms is None else self._watch_wait_ms
+            target, timeout_ms = (
+                discovery.watch_target(self._generation, wait_ms),
+                wait_ms + WATCH_TIMEOUT_SLACK_MS,
+            )
+        async with asyncio.timeout(timeout_ms / 1000.0):
+            return await connection.get(target)
+
+
+class _RetryIntervals:
+    """Intervals between the starts of successive failing calls.
+
+    Many clients fail together. Their first retries are spread evenly. Later retries come after at least half
+    of the longest interval and vary by as much, so that clients do not synchronize.
     """
 
-    def __init__(self, spread_s: float, rng: Random) -> None:
-        self._first_s = min(max(spread_s, AGAIN_S[0]), AGAIN_S[1])
+    def __init__(self, retry_spread_s: float, rng: Random) -> None:
+        self._first_max_interval_s = min(
+            max(retry_spread_s, RETRY_INTERVAL_LIMITS_S[0]), RETRY_INTERVAL_LIMITS_S[1]
+        )
         self._rng = rng
-        self.begin()
+        self.reset()
 
-    def begin(self) -> None:
-        self._least, self._longest_s = 0.0, self._first_s
+    def reset(self) -> None:
+        self._min_fraction, self._max_interval_s = 0.0, self._first_max_interval_s
 
-    def draw(self) -> float:
-        """Seconds; `AGAIN_S[1]` at most."""
-        drawn = self._longest_s * (self._least + (1.0 - self._least) * self._rng.random())
-        self._least, self._longest_s = 0.5, min(2 * self._longest_s, AGAIN_S[1])
-        return drawn
+    def next_interval_s(self) -> float:
+        """Return the next interval in seconds, at most `RETRY_INTERVAL_LIMITS_S[1]`."""
+        interval_s = self._max_interval_s * (
+            self._min_fraction + (1.0 - self._min_fraction) * self._rng.random()
+        )
+        self._min_fraction, self._max_interval_s = (
+            0.5,
+            min(2 * self._max_interval_s, RETRY_INTERVAL_LIMITS_S[1]),
+        )
+        return interval_s
 
 
-class _CrossedError(ConnectionLostError):
-    """The call met the end of a kept connection, which was on its way."""
+class _StaleConnectionError(ConnectionLostError):
+    """The peer closed a kept connection while the call was on its way."""
 
 
-class _Line:
-    """A connection to discovery, kept between calls."""
+class _DiscoveryConnection:
+    """A connection to discovery, kept open between calls."""
 
-    def __init__(self, place: tuple[str, int], descriptors: Descriptors, connect_timeout_ms: float) -> None:
-        self.place, self._descriptors, self._connect_timeout_ms = place, descriptors, connect_timeout_ms
+    def __init__(
+        self, host_port: tuple[str, int], descriptors: Descriptors, connect_timeout_ms: float
+    ) -> None:
+        self.host_port, self._descriptors, self._connect_timeout_ms = (
+            host_port,
+            descriptors,
+            connect_timeout_ms,
+        )
         self._connection: Connection | None = None
 
     async def get(self, target: bytes) -> http1.Response:
-        """One call. Raises `_CrossedError` where it met the end of a kept one; the next has a new one."""
+        """Make one call. Raises `_StaleConnectionError` if a kept connection had been closed by the peer; the
+        next call opens a new one.
+        """
         loop = asyncio.get_running_loop()
         if self._connection is not None and self._connection.is_quiet():
-            began = loop.time()
+            began_at = loop.time()
             try:
                 return await self._get(self._connection, target)
             except ConnectionLostError as error:
-                if loop.time() - began > self._connect_timeout_ms / 1000.0:
-                    raise  # it had been taken: all watches may have ended, and all would come at once
+                if loop.time() - began_at > self._connect_timeout_ms / 1000.0:
+                    # Discovery had accepted the call. All watches may have ended at once, and immediate
+                    # retries would all arrive together.
+                    raise
                 self.close()
-                raise _CrossedError(str(error)) from None
+                raise _StaleConnectionError(str(error)) from None
         self.close()
-        connecting = Connecting(self.place, self._descriptors, Use.DISCOVERY)
+        connecting = Connecting(self.host_port, self._descriptors, Use.DISCOVERY)
         self._connection = connecting.connection
         return await self._get(await connecting.wait(self._connect_timeout_ms), target)
 
     async def _get(self, connection: Connection, target: bytes) -> http1.Response:
-        host = b"Host: %s:%d" % (self.place[0].encode(), self.place[1])
+        host = b"Host: %s:%d" % (self.host_port[0].encode(), self.host_port[1])
         await connection.write(http1.request_bytes(b"GET", target, (host,)))
-        parser = http1.ResponseParser(max_body=MAX_LIST)
+        parser = http1.ResponseParser(max_body=MAX_LIST_BYTES)
         parser.feed(await connection.read())
-        async with asyncio.timeout(REST_S):
+        async with asyncio.timeout(RESPONSE_READ_TIMEOUT_S):
             while not parser.complete:
                 parser.feed(await connection.read())
         response = parser.response()
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -1,4 +1,6 @@
-"""Feeds the decisions with events, one at a time, and carries out what they decide. It decides nothing."""
+"""Passes events to the balancer one at a time and executes the actions it returns. The driver makes no
+routing decisions.
+"""
 
 import asyncio
 from collections import deque
@@ -33,21 +35,22 @@
 )
 from larkcrank.protocol import platform
 from larkcrank.protocol.discovery import Listing
-from larkcrank.routing.discovery import Discovery
+from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.exchange import Exchange
-from larkcrank.routing.servers import Attempt, Servers
+from larkcrank.routing.servers import Attempt, AttemptExecutor
 
-OVERDUE_SHARE = 0.5  # of the grace after the deadline: then a request still open is failed here
+# Fraction of the grace period after the deadline at which a request that is still open is failed.
+OVERDUE_GRACE_FRACTION = 0.5
 
 
-class Decisions(Protocol):
-    """What decides: the balancer, or whatever stands in its place."""
+class BalancerInterface(Protocol):
+    """The interface through which the driver uses the balancer, or a substitute for it."""
 
     def handle(self, now: float, event: Event) -> list[Action]: ...
 
 
-class Tally(Protocol):
-    """What the driver counts."""
+class DriverCounters(Protocol):
+    """Counters that the driver increments."""
 
     taken: int
     served: int
@@ -62,250 +65,263 @@
     def outcome(self, result: Result) -> None: ...
 
 
-class Journal(Protocol):
-    """Where events are logged."""
+class EventLog(Protocol):
+    """The log that the driver writes its events to."""
 
     def event(self, name: str, **fields: object) -> None: ...
 
 
 class Driver:
-    """One for a sidecar. `handle` is never entered twice: what arises meanwhile queues up."""
+    """The event loop around the balancer; a sidecar has one.
+
+    The balancer's `handle` is never re-entered: events that arise while it runs are queued.
+    """
 
     def __init__(
         self,
-        decisions: Decisions,
+        balancer: BalancerInterface,
         clock: Callable[[], float],
-        servers: Servers,
-        discovery: Discovery,
+        attempt_executor: AttemptExecutor,
+        discovery: DiscoveryClient,
         max_open: int,
         grace_ms: float,
-        tally: Tally,
-        journal: Journal,
+        counters: DriverCounters,
+        event_log: EventLog,
     ) -> None:
-        self._decisions = decisions
+        self._balancer = balancer
         self._clock = clock
-        self._servers = servers
+        self._attempt_executor = attempt_executor
         self._discovery = discovery
         self._max_open = max_open
-        self._overdue_ms = grace_ms * OVERDUE_SHARE
-        self._tally = tally
-        self._journal = journal
+        self._overdue_delay_ms = grace_ms * OVERDUE_GRACE_FRACTION
+        self._counters = counters
+        self._event_log = event_log
         self._loop = asyncio.get_running_loop()
-        self._events: deque[Event] = deque()
-        self._busy = False
-        self._open: dict[int, Exchange] = {}
-        self._guards: dict[int, asyncio.TimerHandle] = {}
-        self._timer: asyncio.TimerHandle | None = None
-        self._last_id = 0
+        self._pending_events: deque[Event] = deque()
+        self._is_handling = False
+        self._open_exchanges: dict[int, Exchange] = {}
+        self._overdue_timers: dict[int, asyncio.TimerHandle] = {}
+        self._balancer_timer: asyncio.TimerHandle | None = None
+        self._last_request_id = 0
         self._discovery_down = False
-        servers.on_outcome = self._attempt_ended
-        servers.on_stream = self._stream_started
-        servers.on_client_gone = self.client_gone
-        servers.on_probe = self._probe_ended
-        discovery.on_list = self.told
+        attempt_executor.on_outcome = self._attempt_ended
+        attempt_executor.on_stream_started = self._stream_started
+        attempt_executor.on_client_gone = self.handle_client_gone
+        attempt_executor.on_probe_result = self._probe_ended
+        discovery.on_list = self.receive_list
         discovery.on_failure = self._discovery_failed
 
-    # What the client side needs
+    # Interface of the client side
 
-    def next_id(self) -> int:
-        self._last_id += 1
-        return self._last_id
+    def next_request_id(self) -> int:
+        self._last_request_id += 1
+        return self._last_request_id
 
     def is_full(self) -> bool:
-        return len(self._open) >= self._max_open
+        return len(self._open_exchanges) >= self._max_open
 
-    def take(self, exchange: Exchange) -> None:
-        self._tally.taken += 1
-        self._open[exchange.id] = exchange
+    def start_request(self, exchange: Exchange) -> None:
+        self._counters.taken += 1
+        self._open_exchanges[exchange.id] = exchange
         uploading = exchange.upload is not None
-        left = exchange.wait_ms if uploading else self._guard(exchange)
-        self.feed(
+        time_left_ms = exchange.client_timeout_ms if uploading else self._start_overdue_timer(exchange)
+        self.dispatch(
             Request(
                 id=exchange.id,
-                class_index=exchange.cls,
-                time_left_ms=left,
-                tenant_index=exchange.tenant,
+                class_index=exchange.class_index,
+                time_left_ms=time_left_ms,
+                tenant_index=exchange.tenant_index,
                 key=exchange.key,
-                is_retry=exchange.call.is_retry,
+                is_retry=exchange.call_info.is_retry,
                 uploading=uploading,
             )
         )
 
-    def uploaded(self, exchange: Exchange) -> None:
-        """Its last byte has come: its time begins."""
-        if self._open.get(exchange.id) is exchange:
-            left = self._guard(exchange)
-            self._servers.uploaded(exchange)
-            self.feed(Uploaded(exchange.id, left))
-
-    def _guard(self, exchange: Exchange) -> float:
-        left = exchange.deadline - self._clock()
-        self._guards[exchange.id] = self._loop.call_later(
-            (left + self._overdue_ms) / 1000.0, self._overdue, exchange
+    def complete_upload(self, exchange: Exchange) -> None:
+        """Record that the last byte of an uploaded body has arrived, which starts the request's time."""
+        if self._open_exchanges.get(exchange.id) is exchange:
+            time_left_ms = self._start_overdue_timer(exchange)
+            self._attempt_executor.complete_upload(exchange)
+            self.dispatch(Uploaded(exchange.id, time_left_ms))
+
+    def _start_overdue_timer(self, exchange: Exchange) -> float:
+        time_left_ms = exchange.deadline - self._clock()
+        self._overdue_timers[exchange.id] = self._loop.call_later(
+            (time_left_ms + self._overdue_delay_ms) / 1000.0, self._fail_overdue, exchange
         )
-        return left
-
-    def end_by(self, latest: float) -> None:
-        """What is open has its answer by then, whatever its client would wait: we are gone after that."""
-        for exchange in self._open.values():
-            if exchange.id in self._guards and latest < exchange.deadline:
-                exchange.deadline = latest
-                self._guards.pop(exchange.id).cancel()
-                self._guard(exchange)
-
-    def client_gone(self, exchange: Exchange) -> None:
-        """Its client has left. Whoever sees that first tells it; the second time changes nothing."""
-        if not exchange.leave():
+        return time_left_ms
+
+    def limit_deadlines(self, latest_deadline: float) -> None:
+        """Move the deadlines of open requests to `latest_deadline` at the latest, since the process exits
+        after that.
+        """
+        for exchange in self._open_exchanges.values():
+            if exchange.id in self._overdue_timers and latest_deadline < exchange.deadline:
+                exchange.deadline = latest_deadline
+                self._overdue_timers.pop(exchange.id).cancel()
+                self._start_overdue_timer(exchange)
+
+    def handle_client_gone(self, exchange: Exchange) -> None:
+        """Handle a client that has disconnected. It may be reported more than once; only the first report has
+        an effect.
+        """
+        if not exchange.abandon():
             return
-        self._tally.clients_gone += 1
-        if not exchange.written:
-            self._tally.gone_before_send += 1
-        self._forget(exchange)
-        self._servers.drop_unwritten(exchange)
-        self.feed(ClientGone(exchange.id))
+        self._counters.clients_gone += 1
+        if not exchange.written_attempts:
+            self._counters.gone_before_send += 1
+        self._remove_exchange(exchange)
+        self._attempt_executor.abandon_unwritten(exchange)
+        self.dispatch(ClientGone(exchange.id))
 
-    # What the server side and discovery tell
+    # Callbacks of the server side and of discovery
 
-    def told(self, listing: Listing, cached: bool = False) -> None:
-        self._servers.learn(listing)
+    def receive_list(self, server_list: Listing, cached: bool = False) -> None:
+        self._attempt_executor.apply_list(server_list)
         if self._discovery_down and not cached:
             self._discovery_down = False
-            self._journal.event("discovery_answers", generation=listing.generation)
-        self.feed(ServerList(listing.endpoints, listing.whole, cached, listing.generation))
+            self._event_log.event("discovery_answers", generation=server_list.generation)
+        self.dispatch(ServerList(server_list.endpoints, server_list.whole, cached, server_list.generation))
 
     def _discovery_failed(self, reason: str) -> None:
-        if not self._discovery_down:  # the log tells changes of state only
+        if not self._discovery_down:  # Only changes of state are logged.
             self._discovery_down = True
-            self._journal.event("discovery_failed", reason=reason)
-        self.feed(DiscoveryFailed())
+            self._event_log.event("discovery_failed", reason=reason)
+        self.dispatch(DiscoveryFailed())
 
     def _attempt_ended(self, attempt: Attempt, result: Result, load: tuple[float, ...]) -> None:
         exchange = attempt.exchange
-        self._tally.outcome(result)
-        if result is Result.OK and self._open.get(exchange.id) is exchange:
-            self._tally.served += 1
-            self._forget(exchange)
-        elapsed = self._clock() - attempt.started
-        self.feed(
+        self._counters.outcome(result)
+        if result is Result.OK and self._open_exchanges.get(exchange.id) is exchange:
+            self._counters.served += 1
+            self._remove_exchange(exchange)
+        elapsed_ms = self._clock() - attempt.started_at
+        self.dispatch(
             Outcome(
                 exchange.id,
                 attempt.index,
                 attempt.address,
                 result,
-                elapsed,
+                elapsed_ms,
                 exchange.closed,
                 load,
-                can_resend=exchange.upload is None or exchange.upload.again,
+                can_resend=exchange.upload is None or exchange.upload.can_resend,
             )
         )
 
     def _stream_started(self, attempt: Attempt) -> None:
-        self._tally.served += 1
-        self._forget(attempt.exchange)
-        elapsed = self._clock() - attempt.started
-        self.feed(StreamStarted(attempt.exchange.id, attempt.index, attempt.address, elapsed))
+        self._counters.served += 1
+        self._remove_exchange(attempt.exchange)
+        elapsed_ms = self._clock() - attempt.started_at
+        self.dispatch(StreamStarted(attempt.exchange.id, attempt.index, attempt.address, elapsed_ms))
 
-    def _probe_ended(self, address: Address, result: Result, elapsed: float, load: tuple[float, ...]) -> None:
-        self.feed(ProbeResult(address, result, elapsed, load))
+    def _probe_ended(
+        self, address: Address, result: Result, elapsed_ms: float, load: tuple[float, ...]
+    ) -> None:
+        self.dispatch(ProbeResult(address, result, elapsed_ms, load))
 
-    # Events in, actions out
+    # Event dispatch and execution of actions
 
-    def feed(self, event: Event) -> None:
-        self._events.append(event)
-        if self._busy:
+    def dispatch(self, event: Event) -> None:
+        self._pending_events.append(event)
+        if self._is_handling:
             return
-        self._busy = True
+        self._is_handling = True
         try:
-            while self._events:
-                self._step(self._events.popleft())
+            while self._pending_events:
+                self._handle_event(self._pending_events.popleft())
         finally:
-            self._busy = False
+            self._is_handling = False
 
-    def _step(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         try:
-            actions = self._decisions.handle(self._clock(), event)
+            actions = self._balancer.handle(self._clock(), event)
         except Exception as error:
-            self._tally.crashed += 1
-            self._journal.event("decision_crashed", on=type(event).__name__, error=repr(error))
-            number = getattr(event, "id", None)
-            if number in self._open:  # one request ends by it, the others go on
-                self._finish(self._open[number], 500, (), "failed")
-                self._events.append(ClientGone(number))
+            self._counters.crashed += 1
+            self._event_log.event("decision_crashed", on=type(event).__name__, error=repr(error))
+            request_id = getattr(event, "id", None)
+            if request_id in self._open_exchanges:  # Only the request concerned fails; the others continue.
+                self._finish_with_error(self._open_exchanges[request_id], 500, (), "failed")
+                self._pending_events.append(ClientGone(request_id))
             return
         for action in actions:
             try:
-                self._carry_out(action)
+                self._execute(action)
             except Exception as error:
-                self._tally.crashed += 1
-                self._journal.event("action_crashed", on=type(action).__name__, error=repr(error))
+                self._counters.crashed += 1
+                self._event_log.event("action_crashed", on=type(action).__name__, error=repr(error))
 
-    def _carry_out(self, action: Action) -> None:
+    def _execute(self, action: Action) -> None:
         match action:
             case SetTimer():
-                if self._timer is not None:
-                    self._timer.cancel()
-                self._timer = self._loop.call_later(
-                    max(action.wait_ms, 0.0) / 1000.0, self.feed, TimerFired(action.token)
+                if self._balancer_timer is not None:
+                    self._balancer_timer.cancel()
+                self._balancer_timer = self._loop.call_later(
+                    max(action.wait_ms, 0.0) / 1000.0, self.dispatch, TimerFired(action.token)
                 )
             case Send():
-                self._send(action)
+                self._start_attempt(action)
             case Refuse():
-                if (exchange := self._open.get(action.id)) is not None:
-                    lines = (
+                if (exchange := self._open_exchanges.get(action.id)) is not None:
+                    header_lines = (
                         (platform.retry_after_line(action.retry_after_ms),) if action.retry_after_ms else ()
                     )
-                    self._finish(exchange, 503, lines, "refused")
+                    self._finish_with_error(exchange, 503, header_lines, "refused")
             case Fail():
-                if (exchange := self._open.get(action.id)) is not None:
-                    late = self._clock() + 2 * self._overdue_ms >= exchange.deadline
-                    self._finish(exchange, 504 if late else 502, (), "failed")
+                if (exchange := self._open_exchanges.get(action.id)) is not None:
+                    at_deadline = self._clock() + 2 * self._overdue_delay_ms >= exchange.deadline
+                    self._finish_with_error(exchange, 504 if at_deadline else 502, (), "failed")
             case Cancel():
-                self._servers.cancel(action.id, action.attempt)
+                self._attempt_executor.cancel(action.id, action.attempt)
             case Probe():
-                self._servers.probe(action.address)
+                self._attempt_executor.probe(action.address)
             case Watch():
                 self._discovery.watch(action.subscribe)
             case FetchList():
-                self._discovery.fetch()
+                self._discovery.fetch_list()
             case CloseIdle():
-                self._servers.close_idle(action.address)
+                self._attempt_executor.close_idle(action.address)
             case Log():
-                self._journal.event("decision", text=action.text)
+                self._event_log.event("decision", text=action.text)
             case Tell():
-                self._journal.event("not_carried_out", action="Tell")
+                self._event_log.event("not_carried_out", action="Tell")
 
-    def _send(self, action: Send) -> None:
-        exchange = self._open.get(action.id)
-        if exchange is None:  # after its answer nothing is sent for a request
-            self._journal.event("not_carried_out", action="Send")
+    def _start_attempt(self, action: Send) -> None:
+        exchange = self._open_exchanges.get(action.id)
+        if exchange is None:  # Nothing is sent for a request that already has its response.
+            self._event_log.event("not_carried_out", action="Send")
             return
-        index = exchange.attempts
-        exchange.attempts += 1
-        stop_at = min(action.stop_at_ms or exchange.deadline, exchange.deadline)
-        self._servers.start(exchange, index, action.address, stop_at, action.begin_by_ms)
-
-    def _finish(self, exchange: Exchange, status: int, lines: tuple[bytes, ...], how: str) -> None:
-        self._forget(exchange)
-        if how == "refused":
-            self._tally.refused += 1
+        attempt_index = exchange.attempt_count
+        exchange.attempt_count += 1
+        stop_at_ms = min(action.stop_at_ms or exchange.deadline, exchange.deadline)
+        self._attempt_executor.start_attempt(
+            exchange, attempt_index, action.address, stop_at_ms, action.begin_by_ms
+        )
+
+    def _finish_with_error(
+        self, exchange: Exchange, status: int, header_lines: tuple[bytes, ...], outcome_text: str
+    ) -> None:
+        self._remove_exchange(exchange)
+        if outcome_text == "refused":
+            self._counters.refused += 1
         else:
-            self._tally.failed += 1
-        spent = self._clock() - exchange.came_at
-        if not exchange.written and spent > (exchange.deadline - exchange.came_at) / 2:
-            self._tally.unsent_late += 1
-        exchange.answer(status, lines, how.encode())
-        self._servers.drop_unwritten(exchange)
-
-    def _overdue(self, exchange: Exchange) -> None:
-        """The deadline has passed and nothing was decided: the client is not left without an answer."""
-        if self._open.get(exchange.id) is exchange:
-            self._tally.overdue += 1
-            self._journal.event("overdue", request=exchange.call.id, attempts=exchange.attempts)
-            self._finish(exchange, 504, (), "failed")
-            self.feed(ClientGone(exchange.id))
-
-    def _forget(self, exchange: Exchange) -> None:
-        self._open.pop(exchange.id, None)
-        guard = self._guards.pop(exchange.id, None)
-        if guard is not None:
-            guard.cancel()
+            self._counters.failed += 1
+        elapsed_ms = self._clock() - exchange.arrived_at
+        if not exchange.written_attempts and elapsed_ms > (exchange.deadline - exchange.arrived_at) / 2:
+            self._counters.unsent_late += 1
+        exchange.respond(status, header_lines, outcome_text.encode())
+        self._attempt_executor.abandon_unwritten(exchange)
+
+    def _fail_overdue(self, exchange: Exchange) -> None:
+        """Fail a request whose deadline passed without a decision, so that the client gets a response."""
+        if self._open_exchanges.get(exchange.id) is exchange:
+            self._counters.overdue += 1
+            self._event_log.event("overdue", request=exchange.call_info.id, attempts=exchange.attempt_count)
+            self._finish_with_error(exchange, 504, (), "failed")
+            self.dispatch(ClientGone(exchange.id))
+
+    def _remove_exchange(self, exchange: Exchange) -> None:
+        self._open_exchanges.pop(exchange.id, None)
+        overdue_timer = self._overdue_timers.pop(exchange.id, None)
+        if overdue_timer is not None:
+            overdue_timer.cancel()
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -1,4 +1,6 @@
-"""One request taken, and the only place where client side and server side meet."""
+"""The state of one request, shared by the client side that received it and the server side that sends it on.
+This is the only place where the two sides meet.
+"""
 
 import asyncio
 from collections import deque
@@ -10,202 +12,214 @@
 from larkcrank.transport.budget import Budget
 from larkcrank.transport.connection import ConnectionLostError
 
-AHEAD = 512 * 1024  # of a body that its endpoint has not taken yet, while memory is plenty
-PARTS_HELD = 1  # of a stream, while the client is slow to take them
+# Limit on the part of a body that its endpoint has not read yet, while memory is plentiful.
+UPLOAD_BUFFER_BYTES = 512 * 1024
+MAX_BUFFERED_STREAM_PARTS = 1  # Parts of a streamed response held for a client that reads slowly.
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
-    """The final answer, whole."""
+class BufferedResponse:
+    """A final response whose body is complete."""
 
     status: int
-    lines: tuple[bytes, ...]
+    header_lines: tuple[bytes, ...]
     body: bytes
 
 
 @dataclass(slots=True, frozen=True)
-class StreamAnswer:
-    """The beginning of an answer whose body follows in parts."""
+class StreamedResponse:
+    """The start of a final response whose body follows in parts."""
 
     status: int
-    lines: tuple[bytes, ...]
-    length: int | None = None  # of the body, where the endpoint told it
+    header_lines: tuple[bytes, ...]
+    content_length: int | None = None  # None if the endpoint did not announce it.
 
 
 class Upload:
-    """A long body on its way from the client to an endpoint. The client side adds, an attempt takes.
+    """A long request body on its way from the client to an endpoint. The client side appends parts; an
+    attempt consumes them.
 
-    The beginning stays held, and can be sent again, until more than `HELD` has passed.
+    The start of the body stays buffered, so that it can be sent again, until the buffer exceeds `HELD` bytes.
     """
 
-    def __init__(self, beginning: bytes, budget: Budget) -> None:
+    def __init__(self, first_part: bytes, budget: Budget) -> None:
         self._budget = budget
         self._parts: deque[bytes] = deque()
-        self._held = 0
-        self._dropped = 0  # parts that are gone
-        self._taken = 0  # parts, from the first on, that the present attempt took
-        self._moved = asyncio.Event()
-        self.whole = False  # its last byte has come
-        self.over = False  # nobody takes it any more: what still comes is dropped
-        self.broken = False  # the client has gone
-        self.put(beginning)
+        self._buffered_bytes = 0
+        self._dropped_parts = 0  # Number of parts removed from the buffer.
+        # Number of parts, counted from the first, that the current attempt has consumed.
+        self._taken_parts = 0
+        self._changed = asyncio.Event()
+        self.complete = False  # The last byte has arrived.
+        self.discarded = False  # No attempt needs the body any more; further data is dropped.
+        self.aborted = False  # The client stopped before the end of the body.
+        self.append(first_part)
 
     @property
-    def again(self) -> bool:
-        """It can be sent from its first byte on."""
-        return not self._dropped
+    def can_resend(self) -> bool:
+        """Whether the body can still be sent from its first byte."""
+        return not self._dropped_parts
 
     # Client side
 
-    def put(self, data: bytes) -> None:
-        if data and not self.over:
+    def append(self, data: bytes) -> None:
+        if data and not self.discarded:
             self._parts.append(data)
-            self._held += len(data)
+            self._buffered_bytes += len(data)
             self._budget.hold(len(data))
-            self._drop()
-            self._moved.set()
+            self._drop_taken_parts()
+            self._changed.set()
 
     @property
     def is_full(self) -> bool:
-        """No more should be read. What is left unread may hold the last byte, and time runs from that one: so
-        an endpoint's delay is made up for here as long as the memory allows it."""
-        return self._held > (http1.HELD if self._budget.is_short else AHEAD) and not self.over
+        """Whether reading from the client should pause.
 
-    async def room(self) -> None:
+        Data left unread may include the last byte, and the request's time starts with that byte. So the body
+        is buffered here for a slow endpoint as long as memory allows.
+        """
+        return (
+            self._buffered_bytes > (http1.HELD if self._budget.is_short else UPLOAD_BUFFER_BYTES)
+            and not self.discarded
+        )
+
+    async def wait_for_room(self) -> None:
         while self.is_full:
-            self._moved.clear()
-            await self._moved.wait()
-
-    def finish(self, whole: bool) -> None:
-        self.whole, self.broken = whole, not whole
-        self._moved.set()
-
-    def end(self) -> None:
-        """Nothing of it is wanted any more; the one place where its bytes are given back."""
-        self.over = True
-        self._budget.give_back(self._held)
-        self._held = 0
+            self._changed.clear()
+            await self._changed.wait()
+
+    def finish(self, complete: bool) -> None:
+        self.complete, self.aborted = complete, not complete
+        self._changed.set()
+
+    def release(self) -> None:
+        """Drop the body. This is the only place where its remaining bytes are returned to the budget."""
+        self.discarded = True
+        self._budget.give_back(self._buffered_bytes)
+        self._buffered_bytes = 0
         self._parts.clear()
-        self._moved.set()
+        self._changed.set()
 
     # Server side
 
-    def begin(self) -> None:
-        """Another attempt takes it from the first byte on."""
-        self._taken = 0
+    def restart(self) -> None:
+        """Let another attempt consume the body from its first byte."""
+        self._taken_parts = 0
 
     async def next_part(self) -> bytes | None:
-        """The next part, None at the end. Raises `ConnectionLostError` where there will be none."""
-        while self._taken - self._dropped >= len(self._parts):
-            if self.whole and not self.over:
+        """Return the next part, or None at the end. Raises `ConnectionLostError` if it was cut short."""
+        while self._taken_parts - self._dropped_parts >= len(self._parts):
+            if self.complete and not self.discarded:
                 return None
-            if self.broken or self.over:
-                raise ConnectionLostError("the body ended before its end")
-            self._moved.clear()
-            await self._moved.wait()
-        part = self._parts[self._taken - self._dropped]
-        self._taken += 1
-        self._drop()
+            if self.aborted or self.discarded:
+                raise ConnectionLostError("the request body was cut short")
+            self._changed.clear()
+            await self._changed.wait()
+        part = self._parts[self._taken_parts - self._dropped_parts]
+        self._taken_parts += 1
+        self._drop_taken_parts()
         return part
 
-    def _drop(self) -> None:
-        while self._held > http1.HELD and self._taken > self._dropped:
-            gone = len(self._parts.popleft())
-            self._dropped += 1
-            self._held -= gone
-            self._budget.give_back(gone)
-            self._moved.set()
+    def _drop_taken_parts(self) -> None:
+        while self._buffered_bytes > http1.HELD and self._taken_parts > self._dropped_parts:
+            dropped_bytes = len(self._parts.popleft())
+            self._dropped_parts += 1
+            self._buffered_bytes -= dropped_bytes
+            self._budget.give_back(dropped_bytes)
+            self._changed.set()
 
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request from its last byte in (of a long one: its head) to its last byte out.
+    """A request from its last byte received (for a long one, its head) to the last byte of its response.
 
-    The client side makes it and waits; the server side answers it, through the driver. Whatever
-    comes after the first answer is dropped.
+    The client side creates it and waits; the server side responds to it through the driver. Responses after
+    the first are ignored.
     """
 
     id: int
-    cls: int
-    call: Call
+    class_index: int
+    call_info: Call
     request: http1.Request
-    came_at: float
+    arrived_at: float
     deadline: float
     streaming: bool
-    tenant: int = 0
-    upload: Upload | None = None  # its body, where that passes through
-    wait_ms: float = 0.0  # how long the client waits, from the last byte on
-    key: int = 0  # its subject, where turns or homes go by it; 0: none
-    attempts: int = 0
-    written: int = 0  # attempts whose last byte was handed over
-    closed: bool = False  # it has its final answer, or the client has gone
-    left: bool = False  # the client went before it had one
-    _first: asyncio.Future[Answer | StreamAnswer] = field(
+    tenant_index: int = 0
+    upload: Upload | None = None  # The body, if it is forwarded while it is still being received.
+    client_timeout_ms: float = 0.0  # How long the client waits, counted from the last byte of the request.
+    key: int = 0  # The request's subject key, where requests are ordered or routed by it; 0 if there is none.
+    attempt_count: int = 0
+    written_attempts: int = 0  # Attempts whose last byte was passed to the kernel for sending.
+    closed: bool = False  # The final response was given, or the client has disconnected.
+    abandoned: bool = False  # The client disconnected before the final response.
+    _response: asyncio.Future[BufferedResponse | StreamedResponse] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
-    _parts: deque[bytes | None] = field(default_factory=deque)
-    _moved: asyncio.Event = field(default_factory=asyncio.Event)
-    broken: bool = False  # a stream that could not be finished
-    on_left: Callable[[], None] | None = None  # while a stream is under way
-    # A look at the client's connection just now: its end may not have been read yet.
-    client_ended: Callable[[], bool] = lambda: False
+    _stream_parts: deque[bytes | None] = field(default_factory=deque)
+    _stream_changed: asyncio.Event = field(default_factory=asyncio.Event)
+    stream_broken: bool = False  # The streamed response could not be completed.
+    on_client_gone: Callable[[], None] | None = None  # Set while a response is being streamed.
+    # Checks the client's connection directly, since its end may not have been read yet.
+    has_client_ended: Callable[[], bool] = lambda: False
 
     # Server side
 
-    def answer(self, status: int, lines: Iterable[bytes], body: bytes) -> bool:
-        """Give the final answer; False where there is one already."""
-        return self._close(Answer(status, tuple(lines), body))
+    def respond(self, status: int, header_lines: Iterable[bytes], body: bytes) -> bool:
+        """Set the final response. Returns False if there is one already."""
+        return self._resolve(BufferedResponse(status, tuple(header_lines), body))
 
-    def begin_stream(self, status: int, lines: Iterable[bytes], length: int | None) -> bool:
-        return self._close(StreamAnswer(status, tuple(lines), length))
+    def begin_stream(self, status: int, header_lines: Iterable[bytes], content_length: int | None) -> bool:
+        return self._resolve(StreamedResponse(status, tuple(header_lines), content_length))
 
-    def _close(self, answer: Answer | StreamAnswer) -> bool:
+    def _resolve(self, response: BufferedResponse | StreamedResponse) -> bool:
         if self.closed:
             return False
         self.closed = True
         if self.upload is not None:
-            self.upload.end()
-        self._first.set_result(answer)
+            self.upload.release()
+        self._response.set_result(response)
         return True
 
-    async def add_part(self, data: bytes) -> None:
-        """Pass on a part of the stream; waits while the client has enough to take."""
-        while len(self._parts) >= PARTS_HELD and not self.broken:
-            self._moved.clear()
-            await self._moved.wait()
-        self._parts.append(data)
-        self._moved.set()
+    async def add_stream_part(self, data: bytes) -> None:
+        """Forward a part of the stream; waits while the client has enough unread parts."""
+        while len(self._stream_parts) >= MAX_BUFFERED_STREAM_PARTS and not self.stream_broken:
+            self._stream_changed.clear()
+            await self._stream_changed.wait()
+        self._stream_parts.append(data)
+        self._stream_changed.set()
 
-    def end_stream(self, whole: bool) -> None:
-        self.on_left = None
-        self.broken = self.broken or not whole
-        self._parts.append(None)
-        self._moved.set()
+    def end_stream(self, complete: bool) -> None:
+        self.on_client_gone = None
+        self.stream_broken = self.stream_broken or not complete
+        self._stream_parts.append(None)
+        self._stream_changed.set()
 
     # Client side
 
-    def first(self) -> "asyncio.Future[Answer | StreamAnswer]":
-        return self._first
+    def response_future(self) -> "asyncio.Future[BufferedResponse | StreamedResponse]":
+        return self._response
 
-    async def next_part(self) -> bytes | None:
-        """The next part of the stream, None at its end."""
-        while not self._parts:
-            self._moved.clear()
-            await self._moved.wait()
-        part = self._parts.popleft()
-        self._moved.set()
+    async def next_stream_part(self) -> bytes | None:
+        """Return the next part of the stream, or None at its end."""
+        while not self._stream_parts:
+            self._stream_changed.clear()
+            await self._stream_changed.wait()
+        part = self._stream_parts.popleft()
+        self._stream_changed.set()
         return part
 
-    def leave(self) -> bool:
-        """The client has gone; False where it has its answer, or a stream's beginning, already."""
-        self.broken = True
-        self._moved.set()
-        if self.on_left is not None:
-            self.on_left()  # an endpoint that is silent just now would not notice
+    def abandon(self) -> bool:
+        """Record that the client has disconnected. Returns False if it already had its response, or the start
+        of a streamed one.
+        """
+        self.stream_broken = True
+        self._stream_changed.set()
+        if self.on_client_gone is not None:
+            # An attempt that is waiting for a silent endpoint would not notice otherwise.
+            self.on_client_gone()
         if self.closed:
             return False
-        self.closed = self.left = True
+        self.closed = self.abandoned = True
         if self.upload is not None:
-            self.upload.end()
-        self._first.cancel()
+            self.upload.release()
+        self._response.cancel()
         return True
--- a/larkcrank/routing/life.py
+++ b/larkcrank/routing/life.py
@@ -1,4 +1,4 @@
-"""What the sidecar is to its clients just now: the one place where that is known."""
+"""The lifecycle phase of the sidecar as its clients see it. It is kept in this one place."""
 
 import math
 from collections.abc import Callable
@@ -6,23 +6,23 @@
 
 
 class Phase(Enum):
-    STARTING = "starting"  # not yet ready
+    STARTING = "starting"  # The sidecar is not ready yet.
     READY = "ready"
-    DRAINING = "draining"  # clients are sent away until an operator calls them back
-    ENDING = "ending"  # for good
+    DRAINING = "draining"  # Clients are asked to disconnect until an operator revokes the drain.
+    ENDING = "ending"  # The sidecar is shutting down, which cannot be revoked.
 
 
-class Life:
-    """Readiness, whether connections are kept and how long a request may take follow from here.
+class Lifecycle:
+    """Determines readiness, whether connections are kept open, and how long a request may take.
 
-    Calls may come twice, crossed, or before the start is done: each leaves a whole state behind. A
-    drain asked for during the start holds when the start is done. Nothing brings back what is ending.
+    Calls may be repeated, arrive in any order, or come before startup is complete; each leaves a consistent
+    state. A drain requested during startup takes effect when startup completes. A shutdown cannot be revoked.
     """
 
     def __init__(self) -> None:
-        self._started = self._away = self._ending = False
-        self.latest = math.inf  # no request may be open any more then
-        self.changed: Callable[[], None] = lambda: None
+        self._started = self._draining = self._ending = False
+        self.latest_deadline = math.inf  # Time after which no request may be open.
+        self.on_change: Callable[[], None] = lambda: None
 
     @property
     def phase(self) -> Phase:
@@ -30,33 +30,33 @@
             return Phase.ENDING
         if not self._started:
             return Phase.STARTING
-        return Phase.DRAINING if self._away else Phase.READY
+        return Phase.DRAINING if self._draining else Phase.READY
 
     @property
     def is_ready(self) -> bool:
         return self.phase is Phase.READY
 
     @property
-    def sends_away(self) -> bool:
-        """Every answer ends its connection."""
-        return self._away or self._ending
+    def closes_connections(self) -> bool:
+        """Whether every response closes its connection."""
+        return self._draining or self._ending
 
     def start(self) -> None:
         self._started = True
-        self.changed()
+        self.on_change()
 
     def drain(self) -> bool:
-        """Send clients away. Also while ending that is what happens already."""
-        self._away = True
-        self.changed()
+        """Start draining clients. Returns True always: during a shutdown clients are drained already."""
+        self._draining = True
+        self.on_change()
         return True
 
     def rejoin(self) -> bool:
-        """Back to work; False where the end has begun, which nothing takes back."""
-        self._away = False
-        self.changed()
+        """Revoke a drain. Returns False during a shutdown, which cannot be revoked."""
+        self._draining = False
+        self.on_change()
         return not self._ending
 
-    def end(self, latest: float) -> None:
-        self._ending, self.latest = True, latest
-        self.changed()
+    def begin_shutdown(self, latest_deadline: float) -> None:
+        self._ending, self.latest_deadline = True, latest_deadline
+        self.on_change()
--- a/larkcrank/routing/places.py
+++ b/larkcrank/routing/places.py
@@ -1,76 +1,90 @@
-"""Which of several addresses of one service to ask, and when. Pure: time in seconds and chance given in."""
+"""Chooses which of several addresses of one service to use, and when. Does no I/O: the time, in seconds, and
+the random generator are passed in.
+"""
 
 from collections.abc import Sequence
 from random import Random
 
-Place = tuple[str, int]
+HostPort = tuple[str, int]
 
 
-class Places:
-    """The first place is home. After a failure the next is asked, after a drawn wait so that those who lost
-    the same place don't come as one; away from home it is looked at again after a drawn while."""
+class AddressFailover:
+    """Fails over between addresses; the first one is the primary.
+
+    After a failure the next address is used, after a random wait so that callers that lost the same address
+    do not all reconnect at the same moment. While a fallback is in use, the primary is checked again after a
+    random interval.
+    """
 
     def __init__(
         self,
-        places: Sequence[Place],
+        host_ports: Sequence[HostPort],
         rng: Random,
-        spread_s: float = 0.5,
-        back_s: tuple[float, float] = (20.0, 60.0),
-        again_s: float = 2.0,
+        max_failover_wait_s: float = 0.5,
+        primary_retry_range_s: tuple[float, float] = (20.0, 60.0),
+        max_mean_wait_s: float = 2.0,
     ) -> None:
-        """`again_s`: the longest mean wait where all places have failed in turn."""
-        self._places = tuple(places)
+        """`max_mean_wait_s` limits the mean wait once every address has failed in turn."""
+        self._host_ports = tuple(host_ports)
         self._rng = rng
-        self._spread_s, self._back_s, self._again_s = spread_s, back_s, again_s
+        self._max_failover_wait_s, self._primary_retry_range_s, self._max_mean_wait_s = (
+            max_failover_wait_s,
+            primary_retry_range_s,
+            max_mean_wait_s,
+        )
         self._index = 0
-        self._failures = 0  # since the last answer
-        self._back_at: float | None = None
+        self._consecutive_failures = 0  # Failures since the last successful call.
+        self._check_primary_at: float | None = None
 
     @property
-    def current(self) -> Place:
-        return self._places[self._index]
+    def current(self) -> HostPort:
+        return self._host_ports[self._index]
 
     @property
-    def home(self) -> Place:
-        return self._places[0]
+    def primary(self) -> HostPort:
+        return self._host_ports[0]
 
     @property
-    def away(self) -> bool:
+    def on_fallback(self) -> bool:
         return self._index != 0
 
-    def failed(self, now: float) -> float:
-        """The current place has failed: go to the next. Returns the wait before it is asked."""
-        if not self.away:
-            self._back_at = now + self._rng.uniform(*self._back_s)
-        self._index = (self._index + 1) % len(self._places)
-        self._failures += 1
-        rounds = (self._failures - 1) // len(self._places)
-        if len(self._places) > 1 and not rounds:
-            return self._rng.uniform(0.0, self._spread_s)
-        mean = min(self._spread_s / 2 * 2.0 ** min(rounds, 10), self._again_s)
-        return mean * self._rng.uniform(0.5, 1.5)
+    def record_failure(self, now: float) -> float:
+        """Record that the current address has failed and switch to the next one. Returns how long to wait
+        before using it.
+        """
+        if not self.on_fallback:
+            self._check_primary_at = now + self._rng.uniform(*self._primary_retry_range_s)
+        self._index = (self._index + 1) % len(self._host_ports)
+        self._consecutive_failures += 1
+        full_rounds = (self._consecutive_failures - 1) // len(self._host_ports)
+        if len(self._host_ports) > 1 and not full_rounds:
+            return self._rng.uniform(0.0, self._max_failover_wait_s)
+        mean_wait_s = min(self._max_failover_wait_s / 2 * 2.0 ** min(full_rounds, 10), self._max_mean_wait_s)
+        return mean_wait_s * self._rng.uniform(0.5, 1.5)
 
-    def answered(self) -> None:
-        """The current place has answered."""
-        self._failures = 0
+    def record_success(self) -> None:
+        """Record that the current address has answered."""
+        self._consecutive_failures = 0
 
-    def look_home(self, now: float) -> bool:
-        """Whether it is time to ask at home again, beside the current place."""
-        return self.away and self._back_at is not None and now >= self._back_at
+    def should_check_primary(self, now: float) -> bool:
+        """Whether it is time to check the primary again while a fallback is in use."""
+        return self.on_fallback and self._check_primary_at is not None and now >= self._check_primary_at
 
-    def looked(self, now: float, answered: bool) -> None:
-        """What came of asking at home: with an answer that is the current place again."""
+    def record_primary_check(self, now: float, answered: bool) -> None:
+        """Record the result of checking the primary. If it answered, it becomes the current address again."""
         if answered:
-            self._index, self._back_at = 0, None
+            self._index, self._check_primary_at = 0, None
         else:
-            self._back_at = now + self._rng.uniform(*self._back_s)
+            self._check_primary_at = now + self._rng.uniform(*self._primary_retry_range_s)
 
-    def others(self) -> tuple[Place, ...]:
-        """All but the current place, those after it first."""
-        return self._places[self._index + 1 :] + self._places[: self._index]
+    def other_addresses(self) -> tuple[HostPort, ...]:
+        """Return all addresses but the current one, starting with those after it."""
+        return self._host_ports[self._index + 1 :] + self._host_ports[: self._index]
 
-    def go(self, place: Place, now: float) -> None:
-        """That place is the better one now."""
-        self._index = self._places.index(place)
-        self._failures = 0
-        self._back_at = now + self._rng.uniform(*self._back_s) if self.away else None
+    def switch_to(self, host_port: HostPort, now: float) -> None:
+        """Make another address the current one."""
+        self._index = self._host_ports.index(host_port)
+        self._consecutive_failures = 0
+        self._check_primary_at = (
+            now + self._rng.uniform(*self._primary_retry_range_s) if self.on_fallback else None
+        )
--- a/larkcrank/routing/servers.py
+++ b/larkcrank/routing/servers.py
@@ -15,13 +15,15 @@
 from larkcrank.transport.descriptors import Descriptors, Use
 from larkcrank.transport.pool import Pool
 
-TAKES_S = 10.0  # an endpoint that takes not even one part of a body in so long will not take the rest
-STALL_S = 20.0  # without a byte of a long answer: its endpoint has gone without a word
-PROBE_TIMEOUT_TIMES = 2.0  # of the connect time-out: a probe's answer is made beside the queue
+# An endpoint that does not accept one part of a body within this time is treated as failed.
+BODY_WRITE_TIMEOUT_S = 10.0
+# Time without a byte of a streamed response after which its endpoint counts as gone.
+STREAM_READ_TIMEOUT_S = 20.0
+PROBE_TIMEOUT_FACTOR = 2.0  # Multiple of the connect timeout. Endpoints answer probes without queueing them.
 
 
-class Tally(Protocol):
-    """What the server side counts."""
+class ServerCounters(Protocol):
+    """Counters that the server side increments."""
 
     sends: int
     connects: int
@@ -30,21 +32,24 @@
 
 
 class Attempt:
-    """One attempt. `end` is the one place where it ends, its timer stops and its connection goes."""
+    """One attempt at sending a request to an endpoint.
+
+    `end` is the only place where an attempt ends, its timer stops and its connection is released.
+    """
 
     __slots__ = (
-        "_report",
+        "_on_end",
         "address",
-        "answered",
-        "begin_by",
-        "begun",
+        "begin_by_ms",
         "connection",
         "ended",
         "exchange",
+        "fully_written",
         "index",
-        "started",
+        "response_started",
+        "started_at",
         "timer",
-        "written",
+        "writing_started",
     )
 
     def __init__(
@@ -52,19 +57,19 @@
         exchange: Exchange,
         index: int,
         address: Address,
-        started: float,
-        begin_by: float,
-        report: "Callable[[Attempt, Result, tuple[float, ...]], None]",
+        started_at: float,
+        begin_by_ms: float,
+        on_end: "Callable[[Attempt, Result, tuple[float, ...]], None]",
     ) -> None:
-        self.exchange, self.index, self.address, self.started = exchange, index, address, started
+        self.exchange, self.index, self.address, self.started_at = exchange, index, address, started_at
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.begin_by = begin_by
-        self.begun = False  # its first byte was handed over
-        self.written = False  # and its last one
-        self.answered = False  # a long answer has begun
+        self.begin_by_ms = begin_by_ms
+        self.writing_started = False  # The first byte was passed to the kernel for sending.
+        self.fully_written = False  # So was the last one.
+        self.response_started = False  # A streamed response has started.
         self.ended = False
-        self._report = report
+        self._on_end = on_end
 
     def end(self, result: Result, load: tuple[float, ...] = ()) -> None:
         if self.ended:
@@ -72,14 +77,14 @@
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
-        if self.connection is not None:  # an attempt is given up by closing its connection
+        if self.connection is not None:  # Closing the connection is how an attempt is abandoned.
             self.connection.close()
             self.connection = None
-        self._report(self, result, load)
+        self._on_end(self, result, load)
 
 
-class Servers:
-    """Carries out attempts and says how each ended."""
+class AttemptExecutor:
+    """Executes attempts and probes and reports their results."""
 
     def __init__(
         self,
@@ -89,272 +94,298 @@
         load_fields: tuple[str, ...],
         max_body: int,
         budget: Budget,
-        now: Callable[[], float],
-        tally: Tally,
-        failed: Callable[[str, BaseException], None],
+        clock: Callable[[], float],
+        counters: ServerCounters,
+        report_failure: Callable[[str, BaseException], None],
         only_draining_binds: bool = False,
     ) -> None:
         self._pool = pool
+        # If set, only a drain stops requests to a server; being absent from the list or gone does not.
         self._only_draining_binds = only_draining_binds
         self._descriptors = descriptors
         self._connect_timeout_ms = connect_timeout_ms
         self._load_fields = load_fields
         self._max_body = max_body
         self._budget = budget
-        self._now = now
-        self._tally = tally
-        self._failed = failed
+        self._clock = clock
+        self._counters = counters
+        self._report_failure = report_failure
         self._loop = asyncio.get_running_loop()
-        self._places: dict[Address, tuple[str, int]] = {}
-        self._started: dict[Address, float] = {}
+        self._host_ports: dict[Address, tuple[str, int]] = {}
+        self._started_at: dict[Address, float] = {}
         self._ready: set[Address] = set()
         self._attempts: dict[tuple[int, int], Attempt] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self.on_outcome: Callable[[Attempt, Result, tuple[float, ...]], None] = lambda *_: None
-        self.on_stream: Callable[[Attempt], None] = lambda _: None
+        self.on_stream_started: Callable[[Attempt], None] = lambda _: None
         self.on_client_gone: Callable[[Exchange], None] = lambda _: None
-        self.on_probe: Callable[[Address, Result, float, tuple[float, ...]], None] = lambda *_: None
+        self.on_probe_result: Callable[[Address, Result, float, tuple[float, ...]], None] = lambda *_: None
 
     @property
-    def under_way(self) -> int:
+    def active_attempts(self) -> int:
         return len(self._attempts)
 
-    def places(self) -> dict[Address, tuple[str, int]]:
-        """Where the servers are, as last told."""
-        return dict(self._places)
+    def host_ports(self) -> dict[Address, tuple[str, int]]:
+        """Return host and port of each server, as last listed."""
+        return dict(self._host_ports)
 
-    def learn(self, listing: Listing) -> None:
-        """Follow the list: where servers are, and which still take work."""
-        if listing.whole and not self._only_draining_binds:
-            named = {endpoint.address for endpoint in listing.endpoints}
-            for address in self._ready - named:
+    def apply_list(self, server_list: Listing) -> None:
+        """Apply a server list: update the addresses of servers and which of them accept requests."""
+        if server_list.whole and not self._only_draining_binds:
+            listed_addresses = {endpoint.address for endpoint in server_list.endpoints}
+            for address in self._ready - listed_addresses:
                 self._retire(address)
-        for endpoint in listing.endpoints:
-            address, place = endpoint.address, listing.places.get(endpoint.address)
+        for endpoint in server_list.endpoints:
+            address, host_port = endpoint.address, server_list.places.get(endpoint.address)
             if endpoint.state is State.GONE and self._only_draining_binds:
-                continue  # it may still be sent to, unless it drained: that has retired it already
+                # A server that vanished without draining may still be used. One that drained was retired when
+                # it began to drain.
+                continue
             if endpoint.state is not State.READY:
                 self._retire(address)
                 continue
-            if self._places.get(address, place) != place or (
-                self._started.get(address, endpoint.started_at) != endpoint.started_at
+            if self._host_ports.get(address, host_port) != host_port or (
+                self._started_at.get(address, endpoint.started_at) != endpoint.started_at
             ):
-                self._pool.close_to(address)  # another process: the old one's connections lead nowhere
+                # The address now belongs to another process; connections to the old one are useless.
+                self._pool.close_to(address)
             self._ready.add(address)
-            self._started[address] = endpoint.started_at
-            if place is not None:
-                self._places[address] = place
+            self._started_at[address] = endpoint.started_at
+            if host_port is not None:
+                self._host_ports[address] = host_port
 
     def _retire(self, address: Address) -> None:
         self._ready.discard(address)
         self._pool.close_to(address)
 
-    def start(
-        self, exchange: Exchange, index: int, address: Address, stop_at: float, begin_by: float = math.inf
+    def start_attempt(
+        self,
+        exchange: Exchange,
+        attempt_index: int,
+        address: Address,
+        stop_at_ms: float,
+        begin_by_ms: float = math.inf,
     ) -> None:
-        now = self._now()
-        attempt = Attempt(exchange, index, address, now, begin_by, self._ended)
-        self._attempts[exchange.id, index] = attempt
-        if exchange.closed or address not in self._places or stop_at <= now:
+        now = self._clock()
+        attempt = Attempt(exchange, attempt_index, address, now, begin_by_ms, self._attempt_ended)
+        self._attempts[exchange.id, attempt_index] = attempt
+        if exchange.closed or address not in self._host_ports or stop_at_ms <= now:
             attempt.end(Result.NOT_SENT)
             return
-        if stop_at < math.inf:
-            self._stop_at(attempt, stop_at)
-        self._keep(self._run(attempt, stop_at))
+        if stop_at_ms < math.inf:
+            self._start_timeout(attempt, stop_at_ms)
+        self._start_task(self._run_attempt(attempt, stop_at_ms))
 
-    def uploaded(self, exchange: Exchange) -> None:
-        """The time of what is out for it runs from now on: a slow client must not look like a slow server."""
+    def complete_upload(self, exchange: Exchange) -> None:
+        """Start the timeouts of a request's attempts. They start after the upload so that a slow client does
+        not make the server look slow.
+        """
         for attempt in self._attempts.values():
             if attempt.exchange is exchange and attempt.timer is None:
-                attempt.started = self._now()
-                self._stop_at(attempt, exchange.deadline)
+                attempt.started_at = self._clock()
+                self._start_timeout(attempt, exchange.deadline)
 
-    def _stop_at(self, attempt: Attempt, when: float) -> None:
-        wait_s = max(when - self._now(), 0.0) / 1000.0
-        attempt.timer = self._loop.call_later(wait_s, self._time_out, attempt)
+    def _start_timeout(self, attempt: Attempt, stop_at_ms: float) -> None:
+        wait_s = max(stop_at_ms - self._clock(), 0.0) / 1000.0
+        attempt.timer = self._loop.call_later(wait_s, self._attempt_timed_out, attempt)
 
-    def cancel(self, number: int, index: int) -> None:
-        attempt = self._attempts.get((number, index))
-        if attempt is not None:  # without its first byte it can't have run, and nothing need wait for that
-            attempt.end(Result.CANCELLED if attempt.begun else Result.NOT_SENT)
+    def cancel(self, request_id: int, attempt_index: int) -> None:
+        attempt = self._attempts.get((request_id, attempt_index))
+        # An attempt that has not sent its first byte cannot have run, so nothing depends on its result.
+        if attempt is not None:
+            attempt.end(Result.CANCELLED if attempt.writing_started else Result.NOT_SENT)
 
-    def drop_unwritten(self, exchange: Exchange) -> None:
-        """The request is over: what of it is not out yet stays here, also where nothing may be cancelled.
+    def abandon_unwritten(self, exchange: Exchange) -> None:
+        """Abandon those attempts of a finished request that are not fully sent, even if sent requests may not
+        be cancelled.
 
-        Whether the kernel has just taken the last byte of one that has begun is not known here yet.
+        For an attempt that has started sending, it is not known yet whether the kernel has just accepted the
+        last byte.
         """
-        for index in range(exchange.attempts):
-            attempt = self._attempts.get((exchange.id, index))
-            if attempt is not None and not attempt.written:
-                if attempt.begun and attempt.connection is not None:
-                    attempt.connection.break_off()  # the endpoint must not take it for the whole
-                self.cancel(exchange.id, index)
+        for attempt_index in range(exchange.attempt_count):
+            attempt = self._attempts.get((exchange.id, attempt_index))
+            if attempt is not None and not attempt.fully_written:
+                if attempt.writing_started and attempt.connection is not None:
+                    attempt.connection.break_off()  # The endpoint must not take the body as complete.
+                self.cancel(exchange.id, attempt_index)
 
     def close_idle(self, address: Address) -> None:
         self._pool.close_to(address)
 
     def probe(self, address: Address) -> None:
-        self._keep(self._probe(address))
+        self._start_task(self._run_probe(address))
 
-    def _keep(self, work: "asyncio._CoroutineLike[None]") -> None:
-        task = self._loop.create_task(work)
+    def _start_task(self, coroutine: "asyncio._CoroutineLike[None]") -> None:
+        task = self._loop.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _ended(self, attempt: Attempt, result: Result, load: tuple[float, ...]) -> None:
+    def _attempt_ended(self, attempt: Attempt, result: Result, load: tuple[float, ...]) -> None:
         self._attempts.pop((attempt.exchange.id, attempt.index), None)
-        waited = self._now() - attempt.started > self._connect_timeout_ms
+        past_connect_timeout = self._clock() - attempt.started_at > self._connect_timeout_ms
         unanswered = (
-            attempt.written
-            and not attempt.answered
-            and not attempt.exchange.left  # a client that does not wait tells nothing of the server
+            attempt.fully_written
+            and not attempt.response_started
+            and not attempt.exchange.abandoned  # A client that gives up early says nothing about the server.
             and result in (Result.TIMEOUT, Result.CANCELLED)
-            and waited
+            and past_connect_timeout
         )
         if unanswered or result in (Result.RESET, Result.CONNECT_FAILED):
-            # What ended one connection has likely ended them all; and a machine that says nothing may be
-            # gone: a request written to an old connection may have run, a new one that fails proves not.
+            # Whatever ended one connection has probably ended all of them, and a machine that does not
+            # respond may be gone. A request written to an old connection may have run; a failing new
+            # connection proves that it has not.
             self._pool.close_to(attempt.address)
         self.on_outcome(attempt, result, load)
 
     @staticmethod
-    def _time_out(attempt: Attempt) -> None:
-        # From the first byte on: whether the kernel has just taken the last one is not known here yet.
-        attempt.end(Result.TIMEOUT if attempt.begun else Result.CONNECT_FAILED)
+    def _attempt_timed_out(attempt: Attempt) -> None:
+        # Once the first byte is written the result is TIMEOUT, since it is not known here yet whether the
+        # kernel has just accepted the last one.
+        attempt.end(Result.TIMEOUT if attempt.writing_started else Result.CONNECT_FAILED)
 
-    async def _run(self, attempt: Attempt, stop_at: float) -> None:
+    async def _run_attempt(self, attempt: Attempt, stop_at_ms: float) -> None:
         try:
-            await self._attempt(attempt, stop_at)
+            await self._perform_attempt(attempt, stop_at_ms)
         except NoRoomError:
             attempt.end(Result.NOT_SENT)
         except ConnectionLostError:
-            # Broken before the last byte was handed over, it never ran; after that it may have.
-            attempt.end(Result.RESET if attempt.written else Result.CONNECT_FAILED)
+            # If the connection broke before the last byte was sent, the request never ran; after that it may
+            # have.
+            attempt.end(Result.RESET if attempt.fully_written else Result.CONNECT_FAILED)
         except http1.MessageError:
-            attempt.end(Result.ERROR if attempt.written else Result.NOT_SENT)
+            attempt.end(Result.ERROR if attempt.fully_written else Result.NOT_SENT)
         except Exception as error:
-            self._tally.crashed += 1
-            self._failed("attempt", error)
-            attempt.end(Result.ERROR if attempt.written else Result.NOT_SENT)
-
-    async def _attempt(self, attempt: Attempt, stop_at: float) -> None:
-        if not self._may_begin(attempt):
-            return  # and takes no connection, which others may need
-        connection = self._pooled(attempt)
+            self._counters.crashed += 1
+            self._report_failure("attempt", error)
+            attempt.end(Result.ERROR if attempt.fully_written else Result.NOT_SENT)
+
+    async def _perform_attempt(self, attempt: Attempt, stop_at_ms: float) -> None:
+        if not self._may_start_writing(attempt):
+            return  # Returns before taking a connection that others may need.
+        connection = self._take_pooled(attempt)
         if connection is None:
-            connection = await self._connected(attempt)
-            if not self._may_begin(attempt):
+            connection = await self._open_connection(attempt)
+            if not self._may_start_writing(attempt):
                 return
-        # From that look to the first byte there is no turn of the loop, which could be a long one.
+        # The event loop, whose iterations may be long, does not run between this check and the first byte.
         exchange = attempt.exchange
-        self._tally.sends += 1
-        attempt.begun = True
-        wait_ms = exchange.wait_ms if stop_at == math.inf else stop_at - self._now()
+        self._counters.sends += 1
+        attempt.writing_started = True
+        wait_ms = exchange.client_timeout_ms if stop_at_ms == math.inf else stop_at_ms - self._clock()
         head = platform.request_to_endpoint(exchange.request, wait_ms)
         await connection.write(head)
         if exchange.upload is None:
-            self._written(attempt)
-            await self._read_answer(attempt, connection)
+            self._mark_written(attempt)
+            await self._read_response(attempt, connection)
             return
-        exchange.upload.begin()
-        sending = self._loop.create_task(self._send_body(attempt, connection, exchange.upload))
+        exchange.upload.restart()
+        send_task = self._loop.create_task(self._send_body(attempt, connection, exchange.upload))
         try:
-            await self._read_answer(attempt, connection, sending)
+            await self._read_response(attempt, connection, send_task)
         finally:
-            sending.cancel()
+            send_task.cancel()
 
-    def _may_begin(self, attempt: Attempt) -> bool:
-        """The last look. What was decided some turns ago, or before a connection came up, may be void."""
+    def _may_start_writing(self, attempt: Attempt) -> bool:
+        """Check once more whether to send. The decision is some loop iterations old, or older than the
+        connection, and may no longer hold.
+        """
         exchange = attempt.exchange
-        if not (attempt.ended or exchange.closed) and exchange.client_ended():
-            self.on_client_gone(exchange)  # seen here first: its end waits to be read, or behind unread bytes
-        if exchange.closed or attempt.address not in self._ready or self._now() >= attempt.begin_by:
-            # Meanwhile it got its answer, the server left or its key's window closed: nothing new goes out.
+        if not (attempt.ended or exchange.closed) and exchange.has_client_ended():
+            # Noticed here first: the end of the client's connection is still unread, possibly behind unread
+            # data.
+            self.on_client_gone(exchange)
+        if exchange.closed or attempt.address not in self._ready or self._clock() >= attempt.begin_by_ms:
+            # In the meantime the request was answered, the server left, or the window of the idempotency key
+            # closed. Nothing new may be sent.
             attempt.end(Result.NOT_SENT)
         return not attempt.ended
 
     @staticmethod
-    def _written(attempt: Attempt) -> None:
+    def _mark_written(attempt: Attempt) -> None:
         if not attempt.ended:
-            attempt.written = True
-            attempt.exchange.written += 1
+            attempt.fully_written = True
+            attempt.exchange.written_attempts += 1
 
     async def _send_body(self, attempt: Attempt, connection: Connection, upload: Upload) -> None:
-        """Pass the body on as it comes. Where that breaks, so does the answer that is awaited meanwhile.
+        """Forward the body as it arrives. If that fails, reading the response fails too.
 
-        It counts as written from before its last byte is handed over: whether the kernel took that one
-        could be learnt too late, after the answer's side has seen the connection break.
+        The attempt counts as fully written just before its last byte is sent. Whether the kernel accepted
+        that byte could become known only after the reading side has seen the connection break.
         """
-        left = attempt.exchange.request.length
+        bytes_left = attempt.exchange.request.length
         try:
             while (part := await upload.next_part()) is not None:
-                if left is not None:
-                    left -= len(part)
-                    if not left:
-                        self._written(attempt)
-                async with asyncio.timeout(TAKES_S):
-                    await connection.write(http1.chunk_bytes(part) if left is None else part)
-            if left is None:
-                self._written(attempt)
+                if bytes_left is not None:
+                    bytes_left -= len(part)
+                    if not bytes_left:
+                        self._mark_written(attempt)
+                async with asyncio.timeout(BODY_WRITE_TIMEOUT_S):
+                    await connection.write(http1.chunk_bytes(part) if bytes_left is None else part)
+            if bytes_left is None:
+                self._mark_written(attempt)
                 await connection.write(http1.chunk_bytes(b""))
         except (ConnectionLostError, TimeoutError):
-            if upload.broken or upload.over:
-                connection.break_off()  # the endpoint must not take it for the whole
-                attempt.end(Result.NOT_SENT)  # which says nothing of the server
-            attempt.end(Result.RESET if attempt.written else Result.CONNECT_FAILED)
+            if upload.aborted or upload.discarded:
+                connection.break_off()  # The endpoint must not take the body as complete.
+                attempt.end(Result.NOT_SENT)  # This says nothing about the server.
+            attempt.end(Result.RESET if attempt.fully_written else Result.CONNECT_FAILED)
 
-    async def _read_answer(
-        self, attempt: Attempt, connection: Connection, sending: "asyncio.Task[None] | None" = None
+    async def _read_response(
+        self, attempt: Attempt, connection: Connection, send_task: "asyncio.Task[None] | None" = None
     ) -> None:
         exchange, address = attempt.exchange, attempt.address
         parser = http1.ResponseParser(math.inf if exchange.streaming else self._max_body)
         while parser.head is None:
             parser.feed(await connection.read())
         result = platform.result_of(parser.head)
-        if sending is not None and not sending.done():
-            sending.cancel()  # it answers before it has read everything: it gets no more, nor another request
-        long = (parser.head.length or 0) > http1.HELD
-        if result is not Result.OK and long:
+        if send_task is not None and not send_task.done():
+            # The endpoint responds before it has read everything: it gets no more data, and the connection is
+            # not reused.
+            send_task.cancel()
+        is_long = (parser.head.length or 0) > http1.HELD
+        if result is not Result.OK and is_long:
             attempt.end(result)
             return
-        while not (parser.complete or long or (exchange.streaming and result is Result.OK)):
+        while not (parser.complete or is_long or (exchange.streaming and result is Result.OK)):
             try:
                 parser.feed(await connection.read())
             except ConnectionLostError as error:
                 if not error.in_order or not parser.end():
                     raise
-            long = parser.held > http1.HELD
+            is_long = parser.held > http1.HELD
         if attempt.ended:
             return
         if result is Result.OK and (exchange.streaming or not parser.complete):
-            await self._pass_stream(attempt, connection, parser)
+            await self._relay_stream(attempt, connection, parser)
             return
         if not parser.complete:
-            attempt.end(result)  # a long word of trouble: its beginning says it all
+            attempt.end(result)  # The rest of a long error response is not needed.
             return
         response = parser.response()
-        if response.keep_alive and (sending is None or attempt.written):
+        if response.keep_alive and (send_task is None or attempt.fully_written):
             attempt.connection = None
             self._pool.put(address, connection)
         if result is Result.OK:
-            exchange.answer(200, response.fields.passed_on(), response.body)
+            exchange.respond(200, response.fields.passed_on(), response.body)
         attempt.end(result, platform.load_of(response.fields, self._load_fields))
 
-    def _pooled(self, attempt: Attempt) -> Connection | None:
-        attempt.connection = self._pool.take(attempt.address, self._places[attempt.address])
-        self._tally.reuses += attempt.connection is not None
+    def _take_pooled(self, attempt: Attempt) -> Connection | None:
+        attempt.connection = self._pool.take(attempt.address, self._host_ports[attempt.address])
+        self._counters.reuses += attempt.connection is not None
         return attempt.connection
 
-    async def _connected(self, attempt: Attempt) -> Connection:
-        self._tally.connects += 1
-        connecting = Connecting(self._places[attempt.address], self._descriptors, Use.ATTEMPT)
+    async def _open_connection(self, attempt: Attempt) -> Connection:
+        self._counters.connects += 1
+        connecting = Connecting(self._host_ports[attempt.address], self._descriptors, Use.ATTEMPT)
         attempt.connection = connecting.connection
         return await connecting.wait(self._connect_timeout_ms)
 
-    async def _pass_stream(
+    async def _relay_stream(
         self, attempt: Attempt, connection: Connection, parser: http1.ResponseParser
     ) -> None:
-        """From its first part on the answer is the client's: neither deadline nor time-out runs."""
+        """Forward a streamed response. From its first part on, neither the deadline nor the attempt's timeout
+        applies.
+        """
         exchange, head = attempt.exchange, parser.head
         if attempt.ended or head is None:
             return
@@ -363,56 +394,58 @@
             return
         if attempt.timer is not None:
             attempt.timer.cancel()
-        attempt.answered = True
-        exchange.on_left = partial(attempt.end, Result.CANCELLED)
-        self.on_stream(attempt)
+        attempt.response_started = True
+        exchange.on_client_gone = partial(attempt.end, Result.CANCELLED)
+        self.on_stream_started(attempt)
         try:
             while True:
-                await self._add_part(exchange, parser.take_body())
-                if exchange.broken:  # the client has gone
+                await self._relay_part(exchange, parser.take_body())
+                if exchange.stream_broken:  # The client has disconnected.
                     attempt.end(Result.CANCELLED)
                     return
                 if parser.complete:
                     break
-                async with asyncio.timeout(STALL_S):
+                async with asyncio.timeout(STREAM_READ_TIMEOUT_S):
                     data = await connection.read(self._budget.step)
                 parser.feed(data)
         except ConnectionLostError as error:
             if not (error.in_order and parser.end()):
-                exchange.end_stream(whole=False)
+                exchange.end_stream(complete=False)
                 attempt.end(Result.RESET)
                 return
         except (TimeoutError, http1.MessageError):
-            exchange.end_stream(whole=False)
+            exchange.end_stream(complete=False)
             attempt.end(Result.RESET)
             return
-        exchange.end_stream(whole=True)
+        exchange.end_stream(complete=True)
         if head.keep_alive and not parser.left_over:
             attempt.connection = None
             self._pool.put(attempt.address, connection)
         attempt.end(Result.OK, platform.load_of(head.fields, self._load_fields))
 
-    async def _add_part(self, exchange: Exchange, data: bytes) -> None:
-        """Hand a part to the client side; counted until that has room for it."""
+    async def _relay_part(self, exchange: Exchange, data: bytes) -> None:
+        """Pass a part to the client side. It counts against the memory budget until the client side accepts
+        it.
+        """
         if not data:
             return
         self._budget.hold(len(data))
         try:
-            await exchange.add_part(data)
+            await exchange.add_stream_part(data)
         finally:
             self._budget.give_back(len(data))
 
-    async def _probe(self, address: Address) -> None:
-        started, result = self._now(), Result.NOT_SENT
+    async def _run_probe(self, address: Address) -> None:
+        started_at, result = self._clock(), Result.NOT_SENT
         load: tuple[float, ...] = ()
         target = platform.LOAD_PATH if self._load_fields else platform.LIVE_PATH
-        place = self._places.get(address)
+        host_port = self._host_ports.get(address)
         connection: Connection | None = None
         try:
-            if place is not None:
-                async with asyncio.timeout(PROBE_TIMEOUT_TIMES * self._connect_timeout_ms / 1000.0):
+            if host_port is not None:
+                async with asyncio.timeout(PROBE_TIMEOUT_FACTOR * self._connect_timeout_ms / 1000.0):
                     result = Result.CONNECT_FAILED
-                    connecting = Connecting(place, self._descriptors, Use.ATTEMPT)
+                    connecting = Connecting(host_port, self._descriptors, Use.ATTEMPT)
                     connection = connecting.connection
                     await connecting.wait(self._connect_timeout_ms)
                     await connection.write(http1.request_bytes(b"GET", target, (b"Host: " + address,)))
@@ -431,11 +464,12 @@
             pass
         except http1.MessageError:
             result = Result.ERROR
-        except Exception as error:  # told: a probe without a result would shut its server for good
-            self._tally.crashed += 1
-            self._failed("probe", error)
+        except Exception as error:
+            # A result is always reported, since a server whose probe had none would never be used again.
+            self._counters.crashed += 1
+            self._report_failure("probe", error)
             result = Result.ERROR
         finally:
             if connection is not None:
                 connection.close()
-        self.on_probe(address, result, self._now() - started, load)
+        self.on_probe_result(address, result, self._clock() - started_at, load)
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -22,7 +22,7 @@
 from larkcrank.program.counters import Counters
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import Listing, Names
-from larkcrank.routing.discovery import Discovery
+from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.transport.connection import Connecting, Connection
 from larkcrank.transport.descriptors import Descriptors
 from tests import bed as b
@@ -36,7 +36,7 @@
         self.on_outcome: Callable[[api.Outcome], list[api.Action]] = lambda _: []
         self._say: list[api.Action] = []
         self._driver = bed.sidecar._driver
-        bed.sidecar._driver._decisions = self
+        bed.sidecar._driver._balancer = self
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.events.append(event)
@@ -48,7 +48,7 @@
     def say(self, *actions: api.Action) -> None:
         """Have these decided now."""
         self._say = list(actions)
-        self._driver.feed(api.TimerFired(0))
+        self._driver.dispatch(api.TimerFired(0))
 
     def seen(self, kind: type) -> list[Any]:
         return [event for event in self.events if isinstance(event, kind)]
@@ -202,7 +202,7 @@
         await self.script.start()
         place = ("127.0.0.1", self.script.port)
         self.counters = Counters()
-        self.discovery = Discovery(
+        self.discovery = DiscoveryClient(
             place, Descriptors(256), Names([], []), 5000.0, self.always, Random(1), self.counters, print
         )
         self.discovery.on_list = self.lists.append
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -35,7 +35,7 @@
     async def work() -> None:
         async with x.dialling(monkeypatch, lambda client: client.send("view")) as it:
             drains = api.Endpoint(b"s-1", state=api.State.DRAINING)
-            it.bed.sidecar._driver.told(Listing(2, False, (drains,)))
+            it.bed.sidecar._driver.receive_list(Listing(2, False, (drains,)))
             it.late.up.set()
             assert await it.outcomes() == [api.Result.NOT_SENT] and not it.endpoint.requests
 
@@ -79,7 +79,7 @@
                 await b.say_ok(endpoint, _, writer)  # it is in the kernel now
                 if not timer_first:
                     await b.until(lambda: attempt.ended)
-                bed.sidecar._servers._time_out(attempt)
+                bed.sidecar._servers._attempt_timed_out(attempt)
 
             one.serve = answer_in_that_turn
             client.send("view")
@@ -89,7 +89,7 @@
             if timer_first:
                 waiting.say(api.Refuse(number))
             assert (await client.answer()).status == (503 if timer_first else 200)
-            await b.until(lambda: bed.sidecar._servers.under_way == 0)
+            await b.until(lambda: bed.sidecar._servers.active_attempts == 0)
             wanted = api.Result.TIMEOUT if timer_first else api.Result.OK
             assert [outcome.result for outcome in waiting.seen(api.Outcome)] == [wanted]
             assert bed.sidecar.counters.crashed == 0
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -32,7 +32,7 @@
             if phase == "draining":
                 bed.sidecar.life.drain()
             if phase == "ending":
-                bed.sidecar.life.end(bed.sidecar._clock() + 8000.0)
+                bed.sidecar.life.begin_shutdown(bed.sidecar._clock() + 8000.0)
             x.ask(client, shape)
             number = await waiting.request()
             await asyncio.sleep(0)
@@ -41,12 +41,12 @@
             time.sleep(BUSY_S)  # and none of it is read yet, however long ago it was
             waiting.say(api.Send(number, b"s-1"))  # in the same turn of the loop
             await b.until(lambda: bool(waiting.seen(api.ClientGone)))
-            await b.until(lambda: not bed.sidecar.clients.open)
+            await b.until(lambda: not bed.sidecar.clients.open_count)
             assert len(one.requests) == 1  # the one before
             counters = bed.sidecar.counters
             assert (counters.clients_gone, counters.gone_before_send, counters.crashed) == (1, 1, 0)
             (outcome,) = waiting.seen(api.Outcome)
-            assert outcome.result is api.Result.NOT_SENT and outcome.closed
+            assert outcome.result is api.Result.NOT_SENT and outcome.request_answered
 
     b.run(work())
 
@@ -64,7 +64,7 @@
             x.leave(client, how)
             await b.until(lambda: bool(waiting.seen(api.ClientGone)))
             assert bed.sidecar.counters.gone_before_send == 1
-            await b.until(lambda: not bed.sidecar.clients.open)
+            await b.until(lambda: not bed.sidecar.clients.open_count)
 
     b.run(work())
 
@@ -101,10 +101,12 @@
             client.writer.write(head + b"Content-Length: %d\r\n\r\n" % (64 * x.LONG))
             client.writer.write(b"x" * x.LONG * 8)
             await waiting.request()
-            await b.until(lambda: any(visit.blocked for visit in bed.sidecar.clients._open.values()))
+            await b.until(
+                lambda: any(visit.reading_paused for visit in bed.sidecar.clients._sessions.values())
+            )
             x.leave(client, "reset")
             await b.until(lambda: bool(waiting.seen(api.ClientGone)))
-            await b.until(lambda: not bed.sidecar.clients.open)
+            await b.until(lambda: not bed.sidecar.clients.open_count)
             assert not one.requests and bed.sidecar.budget.held == 0
 
     b.run(work())
@@ -118,7 +120,7 @@
             x.leave(it.client, "closed")
             it.late.up.set()
             assert await it.outcomes() == [api.Result.NOT_SENT]
-            await b.until(lambda: not it.bed.sidecar.clients.open)
+            await b.until(lambda: not it.bed.sidecar.clients.open_count)
             assert not it.endpoint.requests and it.bed.sidecar.counters.gone_before_send == 1
 
     b.run(work())
@@ -133,7 +135,7 @@
         async with x.dialling(monkeypatch, lambda client: client.send("view")) as it:
             x.leave(it.client, "closed")
             assert await it.outcomes() == [api.Result.NOT_SENT]  # though the connection never comes up
-            assert it.bed.sidecar._servers.under_way == 0
+            assert it.bed.sidecar._servers.active_attempts == 0
 
     b.run(work())
 
@@ -163,7 +165,7 @@
             x.ask(client, shape)
             waiting.say(api.Send(await waiting.request(), b"s-1"))
             await b.until(lambda: bool(waiting.seen(api.ClientGone)))
-            await b.until(lambda: not bed.sidecar.clients.open)
+            await b.until(lambda: not bed.sidecar.clients.open_count)
             assert len(two.requests) == before
 
     b.run(work())
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -20,10 +20,10 @@
     async def work() -> None:
         async with x.Asker() as asker:
             script = asker.script
-            asker.discovery.go_on_from(4)
+            asker.discovery.set_generation(4)
             asker.discovery.watch()
             assert (await script.called(1)).startswith(b"/registry/instances?after=4&")
-            asker.discovery.fetch()
+            asker.discovery.fetch_list()
             assert await script.called(2) == b"/registry/instances"
             script.answer(0, 5, "Terminating", whole=False)
             assert (await script.called(3)).startswith(b"/registry/instances?after=5&")
@@ -43,10 +43,10 @@
 
     async def work() -> None:
         async with x.Asker() as asker:
-            asker.discovery.go_on_from(4)
+            asker.discovery.set_generation(4)
             asker.discovery.watch()
             await asker.script.called(1)
-            asker.discovery.fetch()
+            asker.discovery.fetch_list()
             await asker.script.called(2)
             asker.script.answer(1, generation, "Ready", whole=True)
             assert b"after=%d&" % generation in await asker.script.called(3)
@@ -60,7 +60,7 @@
         async with x.Asker(always=False) as asker:
             asker.discovery.watch()
             await asker.script.called(1)
-            asker.discovery.watch(on=False)
+            asker.discovery.watch(enabled=False)
             asker.discovery.watch()
             await asker.script.called(2)
 
@@ -92,12 +92,12 @@
 
     In virtual time, with the times as they are but for the watch's own wait.
     """
-    monkeypatch.setattr(discovery, "WATCH_MS", 1 if not half else 60000)
-    monkeypatch.setattr(discovery, "AGAIN_S", (3600.0, 3600.0))
+    monkeypatch.setattr(discovery, "MAX_WATCH_WAIT_MS", 1 if not half else 60000)
+    monkeypatch.setattr(discovery, "RETRY_INTERVAL_LIMITS_S", (3600.0, 3600.0))
 
     async def work() -> None:
         async with asyncio.timeout(10.0), x.Asker(always) as asker:
-            asker.discovery.go_on_from(4)
+            asker.discovery.set_generation(4)
             asker.discovery.watch()
             await asker.script.called(1)
             asker.script.calls[0][1].write(half)
@@ -112,9 +112,14 @@
 def test_the_waits_of_discovery_calls_fit_what_counts_as_told() -> None:
     """2 s after a call's wait; 4 s after a move to another discovery, in which one call may hang; 6 s after
     the return of one that failed, where it takes 2 s for an answer at most."""
-    assert discovery.SLACK_MS + 250.0 < 2000.0 and discovery.FETCH_TIMEOUT_MS < 4000.0
-    assert 2000.0 < discovery.FETCH_TIMEOUT_MS < 1000.0 * discovery.AGAIN_S[1] <= 6000.0 - 2000.0
-    assert discovery.WATCH_MS <= 60000
+    assert discovery.WATCH_TIMEOUT_SLACK_MS + 250.0 < 2000.0 and discovery.IMMEDIATE_CALL_TIMEOUT_MS < 4000.0
+    assert (
+        2000.0
+        < discovery.IMMEDIATE_CALL_TIMEOUT_MS
+        < 1000.0 * discovery.RETRY_INTERVAL_LIMITS_S[1]
+        <= 6000.0 - 2000.0
+    )
+    assert discovery.MAX_WATCH_WAIT_MS <= 60000
 
 
 def test_a_call_that_crosses_the_end_of_a_kept_connection_is_made_again() -> None:
@@ -125,7 +130,7 @@
 
     async def work() -> None:
         async with x.Asker(always=False) as asker:
-            asker.discovery.go_on_from(4)
+            asker.discovery.set_generation(4)
             asker.discovery.watch()
             await asker.script.called(1)
             asker.script.answer(0, 5, "Ready", whole=False)
@@ -147,8 +152,8 @@
         async with x.Asker() as asker:
             other = x.Script()
             await other.start()
-            asker.discovery.move(("127.0.0.1", other.port))
-            asker.discovery.go_on_from(41)
+            asker.discovery.move_to(("127.0.0.1", other.port))
+            asker.discovery.set_generation(41)
             assert await other.called(1) == b"/registry/instances"
             assert asker.discovery.generation is None
             other.stop()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -14,10 +14,10 @@
 from larkcrank.program.log import MOST_A_SECOND, Log
 from larkcrank.protocol import http1, platform
 from larkcrank.protocol.discovery import Listing, Names
-from larkcrank.routing.discovery import Discovery
+from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.driver import Driver
-from larkcrank.routing.exchange import Answer, Exchange
-from larkcrank.routing.servers import Servers
+from larkcrank.routing.exchange import BufferedResponse, Exchange
+from larkcrank.routing.servers import AttemptExecutor
 from larkcrank.transport.budget import Budget
 from larkcrank.transport.descriptors import Descriptors, Use
 from larkcrank.transport.pool import Pool
@@ -75,10 +75,10 @@
         log = Log("test", self.log)
         descriptors = Descriptors(256)
         self.pool = Pool(descriptors, 60000.0)
-        self.servers = Servers(
+        self.servers = AttemptExecutor(
             self.pool, descriptors, 250.0, (), 65536, Budget(1 << 26), self.clock, self.counters, log.failure
         )
-        discovery = Discovery(
+        discovery = DiscoveryClient(
             ("127.0.0.1", 1), descriptors, Names([], []), 250.0, False, Random(1), self.counters, log.failure
         )
         self.driver = Driver(
@@ -90,7 +90,7 @@
     def tell(self, *endpoints: b.Endpoint, state: api.State = api.State.READY) -> None:
         lines = tuple(api.Endpoint(endpoint.name.encode(), state) for endpoint in endpoints)
         places = {endpoint.name.encode(): ("127.0.0.1", endpoint.port) for endpoint in endpoints}
-        self.driver.told(Listing(1, False, lines, places))
+        self.driver.receive_list(Listing(1, False, lines, places))
 
     def take(self, left_ms: float = 5000.0) -> Exchange:
         now = self.clock()
@@ -98,8 +98,8 @@
             b"GET", b"/view", http1.Fields((http1.Field(b"host", b"a", b"Host: a"),)), b"", True
         )
         call = platform.Call("id", "view", left_ms, False, False, "")
-        exchange = Exchange(self.driver.next_id(), 0, call, request, now, now + left_ms, False)
-        self.driver.take(exchange)
+        exchange = Exchange(self.driver.next_request_id(), 0, call, request, now, now + left_ms, False)
+        self.driver.start_request(exchange)
         return exchange
 
     async def outcome(self) -> api.Outcome:
@@ -146,8 +146,8 @@
         stand = Stand(decide)
         first, second, third = stand.take(), stand.take(), stand.take()
         assert (first.closed, second.closed, third.closed) == (False, True, True)
-        answer = second.first().result()
-        assert isinstance(answer, Answer) and answer.status == 500
+        answer = second.response_future().result()
+        assert isinstance(answer, BufferedResponse) and answer.status == 500
         assert stand.decisions.seen(api.ClientGone) == [api.ClientGone(2)]
         assert stand.counters.crashed == 1 and "decision_crashed" in stand.logged()
 
@@ -172,8 +172,8 @@
     async def work() -> None:
         stand = Stand(lambda event: [])
         exchange = stand.take(left_ms=5.0)
-        answer = await exchange.first()
-        assert isinstance(answer, Answer) and answer.status == 504
+        answer = await exchange.response_future()
+        assert isinstance(answer, BufferedResponse) and answer.status == 504
         assert stand.counters.overdue == stand.counters.unsent_late == 1
         assert stand.decisions.seen(api.ClientGone) == [api.ClientGone(exchange.id)]
 
@@ -212,7 +212,7 @@
         exchange = stand.take()
         outcome = await stand.outcome()
         assert (outcome.result, outcome.request_answered) == (api.Result.NOT_SENT, True)
-        assert not one.requests and exchange.attempts == 1
+        assert not one.requests and exchange.attempt_count == 1
         await one.stop()
 
     b.run(work())
@@ -229,7 +229,7 @@
                 case api.Request():
                     return [api.Send(event.id, b"s-1")]
                 case api.Outcome(result=api.Result.CANCELLED):
-                    assert stand.servers.under_way == 0
+                    assert stand.servers.active_attempts == 0
                     return [api.Send(event.id, b"s-2")]
                 case api.TimerFired():
                     return [api.Cancel(1, 0)]
@@ -238,9 +238,9 @@
         stand = Stand(decide, one, two)
         exchange = stand.take()
         await b.until(lambda: len(one.requests) == 1)
-        stand.driver.feed(api.TimerFired(0))
-        answer = await exchange.first()
-        assert isinstance(answer, Answer) and answer.body == b"made by /view"
+        stand.driver.dispatch(api.TimerFired(0))
+        answer = await exchange.response_future()
+        assert isinstance(answer, BufferedResponse) and answer.body == b"made by /view"
         await b.until(lambda: one.ended == 1)
         await one.stop()
         await two.stop()
@@ -299,7 +299,7 @@
         await one.start()
         monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", broken)
         stand = Stand(lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], one)
-        stand.driver.feed(api.TimerFired(0))
+        stand.driver.dispatch(api.TimerFired(0))
         await b.until(lambda: bool(stand.decisions.seen(api.ProbeResult)))
         (probed,) = stand.decisions.seen(api.ProbeResult)
         assert isinstance(probed, api.ProbeResult) and probed.result is api.Result.ERROR
@@ -316,7 +316,7 @@
         stand = Stand(lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], one)
         if not up:
             await one.stop()
-        stand.driver.feed(api.TimerFired(0))
+        stand.driver.dispatch(api.TimerFired(0))
         await b.until(lambda: bool(stand.decisions.seen(api.ProbeResult)))
         (probed,) = stand.decisions.seen(api.ProbeResult)
         assert isinstance(probed, api.ProbeResult) and (probed.address, probed.result) == (b"s-1", result)
@@ -326,8 +326,8 @@
     b.run(work())
 
 
-async def watched(place: tuple[str, int], always: bool) -> tuple[Discovery, list[Listing], list[str]]:
-    discovery = Discovery(
+async def watched(place: tuple[str, int], always: bool) -> tuple[DiscoveryClient, list[Listing], list[str]]:
+    discovery = DiscoveryClient(
         place, Descriptors(256), Names([], []), 250.0, always, Random(1), Counters(), lambda *_: None
     )
     lists: list[Listing] = []
@@ -355,7 +355,7 @@
         discovery.close()
         before = asyncio.all_tasks()
         discovery.watch()
-        discovery.fetch()
+        discovery.fetch_list()
         assert asyncio.all_tasks() == before  # at the end nothing is begun
         await toy.stop()
 
@@ -408,7 +408,7 @@
         stand = Stand(send_on, one)
         stand.pool.close()
         stand.servers._pool = stand.pool = Pool(Descriptors(256), keepalive_ms=40.0)
-        await stand.take().first()
+        await stand.take().response_future()
         await b.until(lambda: one.ended == 1)
         assert len(stand.pool) == 0
         await one.stop()
@@ -429,8 +429,8 @@
         await b.until(lambda: len(old.requests) == 1)
         stand.tell(new)
         gate.set()
-        await first.first()
-        await stand.take().first()
+        await first.response_future()
+        await stand.take().response_future()
         assert (len(old.requests), len(new.requests)) == (1, 1)
         await old.stop()
         await new.stop()
@@ -500,7 +500,7 @@
 
         stand = Stand(send_for(300.0), one)
         first, second = stand.take(), stand.take()
-        await asyncio.gather(first.first(), second.first())
+        await asyncio.gather(first.response_future(), second.response_future())
         assert len(stand.pool) == 2
         one.serve = b.say_nothing
         stand.take()
@@ -518,7 +518,7 @@
             driver = bed.sidecar._driver
             driver._discovery_failed("down")
             driver._discovery_failed("still down")
-            driver.told(Listing(3, False, ()))
+            driver.receive_list(Listing(3, False, ()))
             assert [name for name in bed.events() if name.startswith("discovery")] == [
                 "discovery_failed",
                 "discovery_answers",
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -291,7 +291,7 @@
 
     def listen(self, number: int, sidecar: Sidecar) -> None:
         """Note when its decisions know of the drain."""
-        decisions = sidecar._driver._decisions
+        decisions = sidecar._driver._balancer
         handle = decisions.handle
 
         def noting(now: float, event: api.Event) -> list[api.Action]:
@@ -301,7 +301,7 @@
                     self.told.setdefault(number, asyncio.get_running_loop().time())
             return handle(now, event)
 
-        sidecar._driver._decisions.handle = noting  # type: ignore[method-assign]
+        sidecar._driver._balancer.handle = noting  # type: ignore[method-assign]
 
     def move(self, port: int) -> None:
         for file, sidecar in zip(self.files, self.sidecars, strict=True):
@@ -468,7 +468,7 @@
             await asyncio.sleep(CALM_S)
             await service.fail(way, ends=False)
             for sidecar in some.sidecars:
-                sidecar._discovery.fetch()
+                sidecar._discovery.fetch_list()
             await asyncio.sleep(12.0)
             service.drain(watches=False)
             assert not some.told
@@ -499,14 +499,16 @@
 @pytest.mark.parametrize("spread_s", [0.0, 0.5, 2.0, 30.0])
 def test_calls_begin_so_soon_after_each_other(spread_s: float) -> None:
     for seed in range(50):
-        pauses = discovery._Pauses(spread_s, Random(seed))
-        drawn = [pauses.draw() for _ in range(2000)]
-        assert min(drawn) >= 0.0 and max(drawn) <= discovery.AGAIN_S[1] == 4.0
+        pauses = discovery._RetryIntervals(spread_s, Random(seed))
+        drawn = [pauses.next_interval_s() for _ in range(2000)]
+        assert min(drawn) >= 0.0 and max(drawn) <= discovery.RETRY_INTERVAL_LIMITS_S[1] == 4.0
         assert max(drawn) > 3.9  # at their longest
-        assert min(drawn[5:]) >= discovery.AGAIN_S[1] / 2  # and discovery is not asked more than needed
+        assert (
+            min(drawn[5:]) >= discovery.RETRY_INTERVAL_LIMITS_S[1] / 2
+        )  # and discovery is not asked more than needed
         first = min(max(spread_s, 1.0), 4.0)
-        pauses.begin()
-        assert pauses.draw() <= first
+        pauses.reset()
+        assert pauses.next_interval_s() <= first
 
 
 def test_turns_are_the_same_for_all_whenever_each_ones_call_failed() -> None:
