--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -15,7 +15,7 @@
 from larkcrank.fleet.ranks import Ranks
 from larkcrank.fleet.records import Record, Standing
 from larkcrank.fleet.wire import Codec, DatagramError
-from larkcrank.routing.driver import Journal
+from larkcrank.routing.driver import EventLog
 
 LIFE_BITS = 62
 COUNT_MS = 1000.0  # between looks at how many there are
@@ -47,7 +47,7 @@
         zone: str,
         configured: FleetSize,
         clock: Callable[[], float],
-        log: Journal,
+        log: EventLog,
         on_size: Callable[[FleetSize], None],
         joined: Callable[[Membership, float], None],
         step: Callable[[float], list[Out]],
--- a/larkcrank/lab/scale/hollow.py
+++ b/larkcrank/lab/scale/hollow.py
@@ -36,9 +36,9 @@
 from larkcrank.program.together import Together
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import Listing, Names
-from larkcrank.routing.discovery import Call, Discovery
+from larkcrank.routing.discovery import CallKind, DiscoveryClient
 from larkcrank.routing.driver import Driver
-from larkcrank.routing.servers import Servers
+from larkcrank.routing.servers import AttemptExecutor
 from larkcrank.transport.budget import Budget
 from larkcrank.transport.descriptors import Descriptors
 from larkcrank.transport.pool import Pool
@@ -171,13 +171,13 @@
 HOST = b"127.0.0.1:65535"  # as long as one mostly is
 
 
-class _CountedDiscovery(Discovery):
+class _CountedDiscovery(DiscoveryClient):
     """Discovery's watch as it is, with its bytes counted."""
 
     bytes_in = bytes_out = 0
 
-    async def _ask(self, line: Any, call: Call) -> Exception | None:
-        return await super()._ask(_CountedLine(line, self._add), call)  # type: ignore[arg-type]
+    async def _call(self, line: Any, call: CallKind) -> Exception | None:
+        return await super()._call(_CountedLine(line, self._add), call)  # type: ignore[arg-type]
 
     def _add(self, came: int, went: int) -> None:
         self.bytes_in += came
@@ -217,7 +217,7 @@
         self._names = Names(list(site.zones), list(site.kinds))
         descriptors = Descriptors(config.sockets)
         self._pool = Pool(descriptors, site.keepalive_ms)
-        self._servers = Servers(
+        self._servers = AttemptExecutor(
             self._pool,
             descriptors,
             site.connect_timeout_ms,
@@ -264,7 +264,7 @@
         if self._together is not None:
             self._together.attach(self._discovery)
             known = self._together.known(None)
-        self._driver.told(known if known is not None else Listing(0, True, ()), cached=True)
+        self._driver.receive_list(known if known is not None else Listing(0, True, ()), cached=True)
         if not self._must_ask:
             self._discovery.watch()
         self._clock.beat()
@@ -291,7 +291,7 @@
             number=self.number,
             began=self.began,
             serving=self.serving,
-            servers=len(self._servers.places()),
+            servers=len(self._servers.host_ports()),
             generation=self._discovery.generation,
             seen=list(self._seen),
             unseen=self._seen_count - len(self._seen),
--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -67,10 +67,10 @@
 
 def _stamp() -> None:
     from larkcrank.protocol import http1, platform
-    from larkcrank.routing.clients import Clients
+    from larkcrank.routing.clients import ClientConnections
     from larkcrank.routing.driver import Driver
     from larkcrank.routing.exchange import Exchange
-    from larkcrank.routing.servers import Servers
+    from larkcrank.routing.servers import AttemptExecutor
 
     def number_of(request: http1.Request) -> str:
         return (request.fields.one(b"req-id") or b"").decode("latin-1")
@@ -87,19 +87,21 @@
             _mark(number_of(request), "parsed")
 
     def answered(exchange: Exchange, *_: object) -> None:
-        _mark(exchange.call.id, "heard", _fed["response"])
-        _mark(exchange.call.id, "answered")
+        _mark(exchange.call_info.id, "heard", _fed["response"])
+        _mark(exchange.call_info.id, "answered")
 
     _wrap(http1.RequestParser, "feed", fed("request"))
     _wrap(http1.RequestParser, "next", None, parsed)
     _wrap(http1.ResponseParser, "feed", fed("response"))
-    _wrap(Driver, "take", lambda _, exchange: _mark(exchange.call.id, "taken"))
-    _wrap(Servers, "start", lambda _, exchange, *rest: _mark(exchange.call.id, "decided"))
+    _wrap(Driver, "start_request", lambda _, exchange: _mark(exchange.call_info.id, "taken"))
+    _wrap(
+        AttemptExecutor, "start_attempt", lambda _, exchange, *rest: _mark(exchange.call_info.id, "decided")
+    )
     _wrap(platform, "request_to_endpoint", lambda request, wait: _mark(number_of(request), "going"))
-    _wrap(Servers, "_written", lambda attempt: _mark(attempt.exchange.call.id, "written"))
-    Servers._written = staticmethod(Servers._written)  # type: ignore[method-assign]
-    _wrap(Exchange, "answer", answered)
-    write: Any = Clients._write
+    _wrap(AttemptExecutor, "_mark_written", lambda attempt: _mark(attempt.exchange.call_info.id, "written"))
+    AttemptExecutor._mark_written = staticmethod(AttemptExecutor._mark_written)  # type: ignore[method-assign]
+    _wrap(Exchange, "respond", answered)
+    write: Any = ClientConnections._write_buffered_response
 
     async def reply(clients: Any, visit: Any, request: http1.Request, *rest: Any) -> bool:
         _mark(number_of(request), "replying")
@@ -108,7 +110,7 @@
         _mark(number_of(request), QUEUED, (int(os.pread(_schedule, 64, 0).split()[1]) / 1e9, 0.0))
         return kept
 
-    setattr(Clients, "_write", reply)  # noqa: B010 - a wrapper like those above
+    setattr(ClientConnections, "_write_buffered_response", reply)  # noqa: B010 - a wrapper like those above
 
 
 def main() -> int:
--- a/larkcrank/lab/scale/virtual_way.py
+++ b/larkcrank/lab/scale/virtual_way.py
@@ -34,7 +34,7 @@
 from larkcrank.program.log import Log
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import LIST_TARGET, watch_target
-from larkcrank.routing.places import Places
+from larkcrank.routing.places import AddressFailover
 from larkcrank.tiers import config as configuration
 from larkcrank.tiers import program
 
@@ -337,7 +337,7 @@
     def __init__(self, world: "World", number: int, places: list[Place], group: str) -> None:
         self.number, self.group = number, group
         self._context = acting_as(group)
-        self.places = Places(places, Random(world.rng.getrandbits(64)))
+        self.places = AddressFailover(places, Random(world.rng.getrandbits(64)))
         self.held: dict[str, str] = {}
         self.gone: set[str] = set()
         self.faults: list[str] = []
@@ -400,7 +400,7 @@
         if transport is not None:
             transport.abort()
         loop = self._world.loop
-        loop.call_later(self.places.failed(loop.time()), self._connect)
+        loop.call_later(self.places.record_failure(loop.time()), self._connect)
 
     def data_received(self, data: bytes) -> None:
         if self._parser is None:
@@ -412,7 +412,7 @@
         if response.status != 200:
             self._fail()
             return
-        self.places.answered()
+        self.places.record_success()
         self._take(msgspec.json.decode(response.body))
         if self._transport is not None:
             self._ask()
--- a/larkcrank/program/ops.py
+++ b/larkcrank/program/ops.py
@@ -11,7 +11,7 @@
 
 from larkcrank.protocol import ops
 from larkcrank.protocol.ops import Call, CallError, CallParser
-from larkcrank.routing.life import Life
+from larkcrank.routing.life import Lifecycle
 from larkcrank.transport.connection import Connection, ConnectionLostError
 from larkcrank.transport.descriptors import Descriptors, Use
 
@@ -24,7 +24,7 @@
 
     def __init__(
         self,
-        life: Life,
+        life: Lifecycle,
         descriptors: Descriptors,
         called: Callable[[Call, bool], None],
         failed: Callable[[str, BaseException], None],
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -19,11 +19,11 @@
 from larkcrank.program.ops import Operators
 from larkcrank.protocol.discovery import Listing, Names
 from larkcrank.protocol.ops import Call
-from larkcrank.routing.clients import Clients
-from larkcrank.routing.discovery import Discovery
+from larkcrank.routing.clients import ClientConnections
+from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.driver import Driver
-from larkcrank.routing.life import Life, Phase
-from larkcrank.routing.servers import Servers
+from larkcrank.routing.life import Lifecycle, Phase
+from larkcrank.routing.servers import AttemptExecutor
 from larkcrank.transport.budget import Budget
 from larkcrank.transport.descriptors import Descriptors, Use
 from larkcrank.transport.listener import Listener
@@ -56,7 +56,7 @@
         self.descriptors = Descriptors(config.sockets, operators=config.ops is not None)
         self.budget = Budget(config.memory_mb * (1 << 20))
         self.pool = Pool(self.descriptors, site.keepalive_ms)
-        self._servers = servers = Servers(
+        self._servers = servers = AttemptExecutor(
             self.pool,
             self.descriptors,
             site.connect_timeout_ms,
@@ -69,7 +69,7 @@
             site.decisions.only_draining_binds,
         )
         self._names = Names(list(site.zones), list(site.kinds))
-        self._discovery = Discovery(
+        self._discovery = DiscoveryClient(
             config.discovery,
             self.descriptors,
             self._names,
@@ -96,9 +96,9 @@
             self.counters,
             log,
         )
-        self.life = Life()
-        self.life.changed = self._life_changed
-        self.clients = Clients(
+        self.life = Lifecycle()
+        self.life.on_change = self._life_changed
+        self.clients = ClientConnections(
             site.decisions,
             self._driver,
             self.life,
@@ -172,14 +172,14 @@
             self.log.event("handover_unavailable", message=str(error))
 
     def _told(self) -> bytes:
-        self.log.event("handed_over", servers=len(self._servers.places()))
+        self.log.event("handed_over", servers=len(self._servers.host_ports()))
         handed = handover.Handed(
             self._config.name,
             self._marks(),
             self._discovery.generation,
             self._names.zones,
             self._names.kinds,
-            self._servers.places(),
+            self._servers.host_ports(),
             self._balancer.export_state(),
         )
         return handover.encode(handed)
@@ -238,19 +238,19 @@
             self._names.zones[:], self._names.kinds[:] = handed.zones, handed.kinds
             endpoints = tuple(server.endpoint for server in handed.learnt.servers)
             known = Listing(handed.generation or 0, True, endpoints, handed.places)
-            self._discovery.go_on_from(handed.generation)
-            self._discovery.doubt()  # the process before may have had no answer of late
+            self._discovery.set_generation(handed.generation)
+            self._discovery.mark_availability_unknown()  # the process before may have had no answer of late
             self.log.event("taken_over", known=len(endpoints), taken=handed.learnt.known[1])
         else:
             self._take_up(self._config.kept)
-            known = self._discovery.start_from(self._known) if self._known else None
+            known = self._discovery.load_list(self._known) if self._known else None
             if self._together is not None:
                 known = self._together.known(known)
-                self._discovery.go_on_from(known.generation if known is not None else None)
+                self._discovery.set_generation(known.generation if known is not None else None)
         if known is None:
             known = Listing(0, True, ())
         # Also where none is known: the balancer sets its timer, by which it asks, on its first event.
-        self._driver.told(known, cached=True)
+        self._driver.receive_list(known, cached=True)
         if self._always_watch:
             self._discovery.watch()
         self._clock.beat()
@@ -324,7 +324,7 @@
             return
         host, port = new.discovery
         self.log.event("reloaded", discovery=f"{host}:{port}", needs_restart=self._config.fixed_changes(new))
-        self._discovery.move(new.discovery, new.elsewhere)
+        self._discovery.move_to(new.discovery, new.elsewhere)
 
     def show_counters(self) -> None:
         more = {} if self._together is None else self._together.counters()
@@ -377,15 +377,15 @@
 
     async def wind_down(self) -> None:
         """Serve on while clients still come, then answer what was taken, then go."""
-        self.log.event("winding_down", connections=self.clients.open)
+        self.log.event("winding_down", connections=self.clients.open_count)
         if self._together is not None and not self._others[1]:  # else this member goes on in the successor
             self._together.leave()
         loop = asyncio.get_running_loop()
         began = loop.time()
         longest = max(cls.deadline_ms for cls in self._config.site.decisions.classes)
         last_ms = min(longest, LONGEST_MS) + LAST_MS
-        self.life.end(self._clock() + last_ms)
-        self._driver.end_by(self.life.latest)
+        self.life.begin_shutdown(self._clock() + last_ms)
+        self._driver.limit_deadlines(self.life.latest_deadline)
         if self._listener.is_passed:
             await self.stop_listening()  # what waits there is the successor's
         while (spent := loop.time() - began) < (LEAVE_PASSED_S if self._listener.is_passed else ACCEPT_ON_S):
@@ -394,9 +394,9 @@
                 self.clients.close_idle(REST_S)  # a request that crosses this finds the listener still open
         await self.stop_listening()
         rest_s = REST_S if self._listener.is_passed else 0.0
-        while self.clients.open:
+        while self.clients.open_count:
             await asyncio.sleep(LOOK_S)  # what the last accept brought is read first
             self.clients.close_idle(rest_s)
             if loop.time() - began > (last_ms + CUT_MS - LAST_MS) / 1000.0:
-                self.clients.cut()
+                self.clients.abort_all()
         self.close()
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -21,8 +21,8 @@
 from larkcrank.fleet.speaker import Speaker
 from larkcrank.fleet.wire import Line
 from larkcrank.protocol.discovery import Listing, Names, host_port
-from larkcrank.routing.discovery import Discovery
-from larkcrank.routing.driver import Driver, Journal
+from larkcrank.routing.discovery import DiscoveryClient
+from larkcrank.routing.driver import Driver, EventLog
 
 SAVE_MS = 5000.0  # between two writes of the snapshot at least
 GUESS_MS = 60_000.0  # after a start in which it is found out which restart it was
@@ -36,7 +36,7 @@
         config: Config,
         names: Names,
         clock: Callable[[], float],
-        log: Journal,
+        log: EventLog,
         driver: Driver,
         rng: Random,
     ) -> None:
@@ -53,7 +53,7 @@
             configured,
             clock,
             log,
-            driver.feed,
+            driver.dispatch,
             self._joined,
             self._step,
         )
@@ -63,7 +63,7 @@
         if config.fleet.recovery is not None:
             self._recovery = Recovery(config, config.fleet.recovery, names, clock, log, driver, rng)
 
-    def attach(self, discovery: Discovery) -> None:
+    def attach(self, discovery: DiscoveryClient) -> None:
         """From now on discovery's word meets what the fellows know, and calls to it wait for their turn."""
         if self._recovery is not None and not self._attached:
             self._attached = True
@@ -122,7 +122,7 @@
         recovery: RecoveryConfig,
         names: Names,
         clock: Callable[[], float],
-        log: Journal,
+        log: EventLog,
         driver: Driver,
         rng: Random,
     ) -> None:
@@ -141,7 +141,7 @@
         self._heard: list[tuple[float, list[Line], int, bool]] = []  # before it joined
         self._listed: tuple[list[Line], int, float] = [], -1, -1.0  # the list begun with, and its age
         self._gone: dict[str, tuple[float, State, float]] = {}
-        self._told: Callable[[Listing], None] = driver.told
+        self._told: Callable[[Listing], None] = driver.receive_list
         self._failed: Callable[[str], None] = lambda reason: None
         self._is_off = False
         self._saved: object = None  # what the file holds
@@ -150,9 +150,9 @@
         self._saves = self._save_failures = 0
         self._cannot_save = False
 
-    def attach(self, discovery: Discovery) -> None:
+    def attach(self, discovery: DiscoveryClient) -> None:
         self._told, self._failed = discovery.on_list, discovery.on_failure
-        discovery.on_list, discovery.on_failure, discovery.gate = (
+        discovery.on_list, discovery.on_failure, discovery.may_call = (
             self._on_list,
             self._on_failure,
             self._may_ask,
@@ -217,7 +217,7 @@
     def _go_by(self, told: Told) -> None:
         listing = self._listing(told.generation, True, told.lines)
         self._log.event("list_from_fellow", generation=told.generation, by=told.by, servers=len(told.lines))
-        self._driver.told(listing, cached=True)
+        self._driver.receive_list(listing, cached=True)
 
     def _guess(self, now: float) -> None:
         assert self._lists is not None and self._membership is not None and self._speaker is not None
--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -6,7 +6,7 @@
 from typing import TypeAlias
 
 from larkcrank.protocol.discovery import LIST_TARGET, watch_target
-from larkcrank.routing.places import Places
+from larkcrank.routing.places import AddressFailover
 from larkcrank.tiers import wire
 from larkcrank.tiers.asking import Asker, AskError
 from larkcrank.tiers.config import Settings
@@ -38,7 +38,7 @@
         self.name = name
         self._read, self._take, self._lines, self._event = read, take, lines, event
         self._settings = settings
-        self.places = Places(
+        self.places = AddressFailover(
             places,
             rng,
             settings.spread_ms / 1000.0,
@@ -117,12 +117,12 @@
                 if place != self.places.current:
                     continue  # back at home meanwhile
                 if good:
-                    self.places.answered()
+                    self.places.record_success()
                     if self._last not in (None, place):
                         self._event("tier_moved", feed=self.name, place="{}:{}".format(*place))
                     self._last = place
                 else:
-                    await asyncio.sleep(self.places.failed(loop.time()))
+                    await asyncio.sleep(self.places.record_failure(loop.time()))
         finally:
             for task in (self._probe, self._check):
                 if task is not None:
@@ -132,8 +132,8 @@
 
     def _better(self, now: float) -> Place | None:
         """Where to look, beside the watch: home after a while; elsewhere where the current is stale."""
-        if self.places.look_home(now):
-            return self.places.home
+        if self.places.should_check_primary(now):
+            return self.places.primary
         if not self.stale or self._only:
             self._restless_at = None
             return None
@@ -141,8 +141,8 @@
             self._restless_at = now + self._rng.uniform(0.0, self._settings.spread_ms / 1000.0)
         if now < self._restless_at:
             return None
-        others = self.places.others()
-        place = self.places.home if self.places.away else others[self._turn % len(others)]
+        others = self.places.other_addresses()
+        place = self.places.primary if self.places.on_fallback else others[self._turn % len(others)]
         self._turn += 1
         # Who was heard before tells but what is new; of another it would be the whole list each time.
         span = (
@@ -158,10 +158,10 @@
         now = asyncio.get_running_loop().time()
         stale = self.stale
         good = await self._ask(place, wait_ms=1)  # what the watch elsewhere still tells is taken in as well
-        if good and (not self._place_stale.get(place) or (place == self.places.home and not stale)):
-            self.places.go(place, now)
-        elif place == self.places.home:
-            self.places.looked(now, False)
+        if good and (not self._place_stale.get(place) or (place == self.places.primary and not stale)):
+            self.places.switch_to(place, now)
+        elif place == self.places.primary:
+            self.places.record_primary_check(now, False)
         self._probe = None
 
     def check(self) -> None:
--- a/tests/gone_play.py
+++ b/tests/gone_play.py
@@ -157,7 +157,7 @@
         self.taken: list[int] = []
         self.gone: set[int] = set()
         self._say: list[api.Action] = []
-        self.driver._decisions = self
+        self.driver._balancer = self
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         match event:
@@ -175,7 +175,7 @@
     def send(self, number: int) -> None:
         if number not in self.gone:
             self._say = [api.Send(number, b"s-1")]
-            self.driver.feed(api.TimerFired(0))
+            self.driver.dispatch(api.TimerFired(0))
 
 
 async def play(wait: str, busy: bool, seed: int) -> str:
@@ -207,7 +207,7 @@
                 break
             await asyncio.sleep(0.01)
         if wait == "end":
-            sidecar.life.end(sidecar._clock() + 8000.0)
+            sidecar.life.begin_shutdown(sidecar._clock() + 8000.0)
         start = time.monotonic() + 0.05
         come_up.set()
         clients.send(start)
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -60,7 +60,7 @@
             await b.until(lambda: len(one.requests) == 1)
             await bed.sidecar.wind_down()
             assert (await client.answer()).status == 504
-            assert bed.sidecar.clients.open == 0
+            assert bed.sidecar.clients.open_count == 0
 
     b.run(work())
 
@@ -83,7 +83,7 @@
             with pytest.raises(ConnectionResetError):  # no end in order: it can't be taken for whole
                 while await client.reader.read(65536):
                     pass
-            assert bed.sidecar.clients.open == 0 and bed.sidecar._servers.under_way == 0
+            assert bed.sidecar.clients.open_count == 0 and bed.sidecar._servers.active_attempts == 0
 
     b.run(work())
 
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -34,10 +34,10 @@
 @pytest.fixture(autouse=True)
 def patient(monkeypatch: pytest.MonkeyPatch) -> None:
     """A crowd is never ended for its silence, and who asks discovery asks again at once."""
-    monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 1000.0)
-    monkeypatch.setattr("larkcrank.routing.clients.STALL_S", 1000.0)
-    monkeypatch.setattr("larkcrank.routing.clients.REST_S", 0.0)
-    monkeypatch.setattr("larkcrank.routing.discovery.AGAIN_S", (0.01, 0.02))
+    monkeypatch.setattr("larkcrank.routing.clients.REQUEST_PROGRESS_TIMEOUT_S", 1000.0)
+    monkeypatch.setattr("larkcrank.routing.clients.CLIENT_WRITE_TIMEOUT_S", 1000.0)
+    monkeypatch.setattr("larkcrank.routing.clients.MIN_IDLE_BEFORE_EVICTION_S", 0.0)
+    monkeypatch.setattr("larkcrank.routing.discovery.RETRY_INTERVAL_LIMITS_S", (0.01, 0.02))
 
 
 class Crowd:
@@ -118,7 +118,7 @@
 
 async def told(bed: b.Bed, sidecar: Sidecar, new: b.Endpoint) -> None:
     """It knows what changed while discovery was down."""
-    await b.until(lambda: new.name.encode() in sidecar._servers.places())
+    await b.until(lambda: new.name.encode() in sidecar._servers.host_ports())
 
 
 async def returns(bed: b.Bed, away: Away, *endpoints: b.Endpoint) -> None:
@@ -205,10 +205,10 @@
                 late.append(await bed.client())
                 assert (await late[-1].call("view")).status == 200
                 await b.until(lambda count=newcomers: crowd.ended() == list(range(count)))  # type: ignore[misc]
-                assert sidecar.clients.open == most
+                assert sidecar.clients.open_count == most
             await returns(bed, away, old, new)
             await told(bed, sidecar, new)
-            assert sidecar.clients.open == most  # discovery has its own place
+            assert sidecar.clients.open_count == most  # discovery has its own place
             assert crowd.ended() == list(range(5))
 
     b.run(work())
@@ -396,7 +396,7 @@
             resting = [await bed.client() for _ in range(3)]
             for client in resting:
                 assert (await client.call("view")).status == 200
-            await b.until(lambda: len(sidecar.pool) == 1 and len(sidecar.clients._idle) == 3)
+            await b.until(lambda: len(sidecar.pool) == 1 and len(sidecar.clients._idle_served) == 3)
             sidecar.pool.close()
             for _ in range(5):
                 connecting = Connecting(("127.0.0.1", one.port), descriptors, Use.ATTEMPT)
@@ -404,7 +404,7 @@
             while descriptors.has_room(Use.DISCOVERY):
                 assert descriptors.take(Use.DISCOVERY)
             assert descriptors.take(Use.DISCOVERY)  # somebody's idle connection makes way
-            assert sidecar.clients.open + len(sidecar.pool) == 8
+            assert sidecar.clients.open_count + len(sidecar.pool) == 8
             await b.until(lambda: resting[0].reader.at_eof())
             assert len(sidecar.pool) == 5 and not resting[1].reader.at_eof()
 
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -394,7 +394,7 @@
                 x.leave(client, ("closed", "reset", "half-closed")[index % 3])
             if sent:
                 waiting.say(*(api.Send(request.id, b"s-1") for request in waiting.seen(api.Request)))
-            await b.until(lambda: not bed.sidecar.clients.open)
+            await b.until(lambda: not bed.sidecar.clients.open_count)
             counters = bed.sidecar.counters
             assert (counters.gone_before_send, counters.sends, counters.connects) == (MANY, 0, 0)
             assert counters.crashed == 0 and not one.opened
@@ -453,8 +453,8 @@
         async with b.bed(*servers) as bed:
             client = await bed.client()
             x.ask(client, shape)
-            await b.until(lambda: not bed.sidecar.clients.open and bed.sidecar.counters.taken == 1)
-            await b.until(lambda: not bed.sidecar._servers.under_way)
+            await b.until(lambda: not bed.sidecar.clients.open_count and bed.sidecar.counters.taken == 1)
+            await b.until(lambda: not bed.sidecar._servers.active_attempts)
             assert (bed.sidecar.counters.clients_gone, bed.sidecar.counters.sends) == (1, 1)
 
     b.run(work())
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from larkcrank.protocol import http1
-from larkcrank.routing.exchange import AHEAD, Upload
+from larkcrank.routing.exchange import UPLOAD_BUFFER_BYTES, Upload
 from larkcrank.transport.budget import LARGE, SMALL, Budget
 from larkcrank.transport.connection import ConnectionLostError
 from tests import bed as b
@@ -94,19 +94,19 @@
         budget = Budget(1 << 30)
         upload = Upload(b"x" * 40000, budget)
         assert await upload.next_part() == b"x" * 40000
-        upload.put(b"y" * 20000)
-        assert upload.again  # 60 000 bytes are held still
-        upload.begin()
+        upload.append(b"y" * 20000)
+        assert upload.can_resend  # 60 000 bytes are held still
+        upload.restart()
         assert await upload.next_part() == b"x" * 40000
-        upload.put(b"z" * 20000)
-        assert not upload.again and budget.held == 40000
+        upload.append(b"z" * 20000)
+        assert not upload.can_resend and budget.held == 40000
         assert await upload.next_part() == b"y" * 20000
         assert await upload.next_part() == b"z" * 20000
-        upload.finish(whole=True)
+        upload.finish(complete=True)
         assert await upload.next_part() is None
-        upload.end()
+        upload.release()
         assert budget.held == 0
-        upload.put(b"late")  # dropped
+        upload.append(b"late")  # dropped
         assert budget.held == 0
 
     b.run(work())
@@ -118,7 +118,7 @@
         assert await upload.next_part() == b"x"
         waiting = asyncio.create_task(upload.next_part())
         await asyncio.sleep(0)
-        upload.finish(whole=False)
+        upload.finish(complete=False)
         with pytest.raises(ConnectionLostError):
             await waiting
 
@@ -128,7 +128,7 @@
 def test_with_memory_short_less_is_read_ahead_and_in_smaller_steps() -> None:
     budget = Budget(4 << 20)
     upload = Upload(b"x" * http1.HELD, budget)
-    upload.put(b"x" * 1000)
+    upload.append(b"x" * 1000)
     assert not upload.is_full and budget.step == LARGE
     budget.hold(1 << 20)
     assert upload.is_full and budget.step == SMALL
@@ -136,9 +136,9 @@
     budget.share_with(20)
     assert upload.is_full
     budget.share_with(0)
-    upload.put(b"x" * AHEAD)
+    upload.append(b"x" * UPLOAD_BUFFER_BYTES)
     assert upload.is_full
-    upload.end()
+    upload.release()
     assert (upload.is_full, budget.held) == (False, 0)
 
 
@@ -194,7 +194,7 @@
     """The sweep for half-sent requests cut off answers 2.4 s after a long body: 49 times on a bulk day."""
 
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 0.05)
+        monkeypatch.setattr("larkcrank.routing.clients.REQUEST_PROGRESS_TIMEOUT_S", 0.05)
         gate = asyncio.Event()
         async with b.bed(b.Endpoint("s-1", b.after(gate))) as bed:
             client = await bed.client()
@@ -209,7 +209,7 @@
 
 def test_a_body_that_stops_half_way_ends_and_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 0.2)
+        monkeypatch.setattr("larkcrank.routing.clients.REQUEST_PROGRESS_TIMEOUT_S", 0.2)
         one = b.Endpoint("s-1")
         async with b.bed(one) as bed:
             client = await bed.client()
@@ -219,8 +219,8 @@
             assert one.requests == []
             counters = bed.sidecar.counters
             assert counters.outcomes["reset"] == counters.outcomes["connect failed"] == 0
-            await b.until(lambda: not bed.sidecar._driver._open and not bed.sidecar.budget.held)
-            assert bed.sidecar.clients.open == 0
+            await b.until(lambda: not bed.sidecar._driver._open_exchanges and not bed.sidecar.budget.held)
+            assert bed.sidecar.clients.open_count == 0
 
     b.run(work())
 
@@ -283,7 +283,7 @@
             client = await bed.client()
             for _ in range(4):  # one turn after another
                 client.writer.write(head_of("take", b"Content-Length: 70000") + LONG[:1000])
-                await b.until(lambda: not bed.sidecar._driver._events)
+                await b.until(lambda: not bed.sidecar._driver._pending_events)
                 await asyncio.sleep(0.05)
                 client.writer.write(LONG[1000:70000])
                 assert (await client.answer()).status == 200  # its beginning was still held
@@ -372,7 +372,7 @@
             client.writer.write(head_of("view/long", method=b"GET"))
             with pytest.raises(ConnectionError):
                 await client.answer()
-            assert bed.sidecar.clients.open == 0
+            assert bed.sidecar.clients.open_count == 0
 
     b.run(work())
 
@@ -415,7 +415,7 @@
 
 def test_a_client_that_takes_nothing_does_not_stay_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.STALL_S", 0.2)
+        monkeypatch.setattr("larkcrank.routing.clients.CLIENT_WRITE_TIMEOUT_S", 0.2)
         one = b.Endpoint("s-1")
 
         async def endless(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
@@ -431,7 +431,7 @@
         async with b.bed(one) as bed:
             client = await bed.client()
             client.send("view")
-            await b.until(lambda: one.ended == 1 and bed.sidecar.clients.open == 0)
+            await b.until(lambda: one.ended == 1 and bed.sidecar.clients.open_count == 0)
             assert bed.sidecar.budget.held == 0
             client.close()
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from larkcrank.protocol.ops import MAX_LINE, Call, CallError, CallParser, answer
-from larkcrank.routing.life import Life, Phase
+from larkcrank.routing.life import Lifecycle, Phase
 from larkcrank.transport.descriptors import Descriptors, Use
 from tests import bed as b
 
@@ -41,19 +41,19 @@
 
 
 def test_phases_follow_the_calls_whatever_their_order() -> None:
-    life = Life()
-    assert (life.phase.value, life.is_ready, life.sends_away) == ("starting", False, False)
+    life = Lifecycle()
+    assert (life.phase.value, life.is_ready, life.closes_connections) == ("starting", False, False)
     assert life.drain() and life.phase.value == "starting"  # it holds once the start is done
     life.start()
-    assert life.phase.value == "draining" and life.sends_away and not life.is_ready
+    assert life.phase.value == "draining" and life.closes_connections and not life.is_ready
     assert life.drain() and life.phase.value == "draining"
     assert life.rejoin() and life.rejoin() and life.is_ready
     life.drain()
-    life.end(5.0)
-    assert (life.phase, life.sends_away, life.latest) == (Phase.ENDING, True, 5.0)
+    life.begin_shutdown(5.0)
+    assert (life.phase, life.closes_connections, life.latest_deadline) == (Phase.ENDING, True, 5.0)
     assert not life.rejoin()  # nothing takes the end back
     assert life.drain()
-    assert (life.phase, life.sends_away) == (Phase.ENDING, True)
+    assert (life.phase, life.closes_connections) == (Phase.ENDING, True)
 
 
 def test_operators_have_places_that_nothing_else_fills() -> None:
@@ -121,7 +121,7 @@
             for client in (used, late):
                 answer = await client.answer()
                 assert (answer.status, answer.keep_alive) == (200, False)
-            await b.until(lambda: bed.sidecar.clients.open == 0)
+            await b.until(lambda: bed.sidecar.clients.open_count == 0)
             assert await bed.operator(b"REJOIN\n") == b"200 ready\n"
             again = await bed.client()
             assert (await again.call("view")).keep_alive
@@ -157,8 +157,8 @@
             assert await bed.operator(b"REJOIN\n") == b"400 ending\n"
             client.send("view", 3600.0)  # by then the platform will have killed the process
             await b.until(lambda: bed.sidecar.counters.taken == 1)
-            (exchange,) = bed.sidecar._driver._open.values()
-            assert exchange.deadline == bed.sidecar.life.latest
+            (exchange,) = bed.sidecar._driver._open_exchanges.values()
+            assert exchange.deadline == bed.sidecar.life.latest_deadline
             client.close()
             await ended
 
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -196,7 +196,7 @@
             bed.file["fleet"] = fleet
             sidecar = made(bed)
             await sidecar.begin()
-            assert sidecar._discovery.gate is not None and not sidecar._discovery.gate()
+            assert sidecar._discovery.may_call is not None and not sidecar._discovery.may_call()
             assert await ready(sidecar) and discovery.calls == 0
             assert sidecar.counters.lists == 0
             sidecar.close()
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -447,7 +447,7 @@
 
 def test_silent_connections_end_and_those_that_are_served_stay(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 0.05)
+        monkeypatch.setattr("larkcrank.routing.clients.REQUEST_PROGRESS_TIMEOUT_S", 0.05)
         async with b.bed(b.Endpoint("s-1")) as bed:
             silent, kept = await bed.client(), await bed.client()
             assert (await kept.call("view")).status == 200
@@ -461,7 +461,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.REST_S", 0.0)
+        monkeypatch.setattr("larkcrank.routing.clients.MIN_IDLE_BEFORE_EVICTION_S", 0.0)
         async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
             kept = [await bed.client() for _ in range(9)]
             for client in kept:
@@ -479,13 +479,13 @@
 
 def test_idle_connections_are_closed_only_where_places_grow_short(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.IDLE_S", 0.0)
+        monkeypatch.setattr("larkcrank.routing.clients.MIN_KEEPALIVE_S", 0.0)
         async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
             clients = [await bed.client() for _ in range(20)]
             for client in clients:
                 assert (await client.call("view")).status == 200
-            await b.until(lambda: bed.sidecar.clients.open <= 13)
-            assert bed.sidecar.clients.open == 13
+            await b.until(lambda: bed.sidecar.clients.open_count <= 13)
+            assert bed.sidecar.clients.open_count == 13
             assert await clients[0].reader.read() == b""  # the one that rested longest
             assert (await clients[-1].call("view")).status == 200
 
@@ -608,7 +608,7 @@
             client.send("feed")
             await client.reader.readuntil(b"one")
             client.close()
-            await b.until(lambda: one.ended == 1 and bed.sidecar.clients.open == 0)
+            await b.until(lambda: one.ended == 1 and bed.sidecar.clients.open_count == 0)
             assert bed.sidecar.counters.outcomes["cancelled"] == 1
 
     b.run(work())
@@ -616,7 +616,7 @@
 
 def test_a_request_that_never_gets_whole_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 0.05)
+        monkeypatch.setattr("larkcrank.routing.clients.REQUEST_PROGRESS_TIMEOUT_S", 0.05)
         async with b.bed() as bed:
             client = await bed.client()
             client.writer.write(b"GET /view HTT")
@@ -756,16 +756,16 @@
             discovery = bed.discovery
             await b.until(lambda: discovery.targets[-1:] != [] and b"after=1&" in discovery.targets[-1])
             asked = len(discovery.targets)
-            bed.sidecar._discovery.fetch()
+            bed.sidecar._discovery.fetch_list()
             await b.until(lambda: bed.sidecar.counters.lists == 1)
             assert len(discovery.targets) == asked + 1  # nothing new: the watch stands
             discovery.generation, discovery.endpoints = 7, [two]  # the watch is told nothing of it
-            bed.sidecar._discovery.fetch()
+            bed.sidecar._discovery.fetch_list()
             await b.until(lambda: b"after=7&" in discovery.targets[-1])
             answer = await (await bed.client()).call("view")
             assert answer.fields.one(b"x-from") == b"s-2"
             discovery.generation, discovery.endpoints = 8, [one]
-            bed.sidecar._discovery.fetch()
+            bed.sidecar._discovery.fetch_list()
             await b.until(lambda: b"after=8&" in discovery.targets[-1])
             assert bed.sidecar.counters.discovery_failures == bed.sidecar.counters.crashed == 0
             await two.stop()
@@ -829,7 +829,7 @@
             assert len(one.requests) == before and len(two.requests) > 4
             bed.discovery.endpoints = []  # a list that empties
             bed.discovery.generation += 1
-            bed.sidecar._discovery.fetch()
+            bed.sidecar._discovery.fetch_list()
             await b.until(lambda: bed.sidecar.counters.lists == 4)
             assert (await client.call("view")).status == 200
 
--- a/tests/test_tiers_gather.py
+++ b/tests/test_tiers_gather.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkcrank.routing.places import Places
+from larkcrank.routing.places import AddressFailover
 from larkcrank.tiers.gather import Gather, Turns
 
 
@@ -60,39 +60,43 @@
     assert turns.ask(20.0) == 20.0
 
 
-def places(count: int, seed: int = 1) -> Places:
-    return Places([("h", n) for n in range(count)], Random(seed), 0.5, (20.0, 60.0), 2.0)
+def places(count: int, seed: int = 1) -> AddressFailover:
+    return AddressFailover([("h", n) for n in range(count)], Random(seed), 0.5, (20.0, 60.0), 2.0)
 
 
 def test_who_loses_a_place_goes_to_the_next_after_a_drawn_wait_and_home_after_a_drawn_while() -> None:
     waits, homes = [], []
     for seed in range(200):
         mine = places(3, seed)
-        waits.append(mine.failed(100.0))
-        mine.answered()
-        assert mine.current == ("h", 1) and not mine.look_home(119.9)
+        waits.append(mine.record_failure(100.0))
+        mine.record_success()
+        assert mine.current == ("h", 1) and not mine.should_check_primary(119.9)
         at = 120.0
-        while not mine.look_home(at):
+        while not mine.should_check_primary(at):
             at += 0.5
         homes.append(at)
-        mine.looked(at, answered=False)
-        assert mine.current == ("h", 1) and not mine.look_home(at + 19.9) and mine.look_home(at + 60.0)
-        mine.looked(at + 60.0, answered=True)
-        assert mine.current == ("h", 0) and not mine.look_home(at + 1000.0)
+        mine.record_primary_check(at, answered=False)
+        assert (
+            mine.current == ("h", 1)
+            and not mine.should_check_primary(at + 19.9)
+            and mine.should_check_primary(at + 60.0)
+        )
+        mine.record_primary_check(at + 60.0, answered=True)
+        assert mine.current == ("h", 0) and not mine.should_check_primary(at + 1000.0)
     assert 0.0 <= min(waits) < 0.05 and 0.45 < max(waits) <= 0.5  # spread, not all at one moment
     assert 120.0 <= min(homes) < 125.0 and 155.0 < max(homes) <= 160.5
 
 
 def test_where_all_places_fail_the_waits_grow_to_a_bound() -> None:
     mine = places(2)
-    waits = [mine.failed(float(n)) for n in range(40)]
+    waits = [mine.record_failure(float(n)) for n in range(40)]
     assert max(waits[:2]) <= 0.5 and min(waits[-10:]) >= 1.0 and max(waits) <= 3.0
-    mine.answered()
-    assert mine.failed(50.0) <= 0.5
+    mine.record_success()
+    assert mine.record_failure(50.0) <= 0.5
 
 
 def test_a_lone_place_stays_the_one_that_is_asked() -> None:
     mine = places(1)
     for n in range(5):
-        assert mine.failed(float(n)) > 0.0
-        assert mine.current == mine.home == ("h", 0) and not mine.look_home(1e9)
+        assert mine.record_failure(float(n)) > 0.0
+        assert mine.current == mine.primary == ("h", 0) and not mine.should_check_primary(1e9)
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -41,7 +41,7 @@
     def __init__(self, *places: str, watch_ms: int | None = 1000, seed: int = 1) -> None:
         home, *elsewhere = map(host_port, places)
         self.tally = Counters()
-        self.discovery = discovery.Discovery(
+        self.discovery = discovery.DiscoveryClient(
             home,
             Descriptors(100),
             Names([], []),
@@ -50,8 +50,8 @@
             Random(seed),
             self.tally,
             lambda where, error: self.crashes.append(error),
-            elsewhere=elsewhere,
-            watch_ms=watch_ms,
+            fallbacks=elsewhere,
+            watch_wait_ms=watch_ms,
         )
         self.crashes: list[BaseException] = []
         self.states: dict[bytes, State] = {}
