--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -1,7 +1,7 @@
-"""Peers for tests in which two things meet: what the tests hold back, and release at their word.
+"""Peers for tests of race conditions: each waits until the test releases it.
 
-Each order is forced by the test's own peers, by decisions that wait for the test's word, or by doing both
-things within one turn of the loop. No sleep has to hit anything.
+Each test forces its order of events with its own peers, with a balancer that waits for the test, or by doing
+both things within one iteration of the event loop. No test depends on the length of a sleep.
 """
 
 import asyncio
@@ -25,16 +25,16 @@
 from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.transport.connection import Connecting, Connection
 from larkcrank.transport.descriptors import Descriptors
-from tests import bed as b
+from tests import bed as testbed
 
 
-class Waiting:
-    """Decisions that hold every request until the test says that it goes to a server."""
+class ManualBalancer:
+    """A balancer that holds every request until the test sends it to a server."""
 
-    def __init__(self, bed: b.Bed) -> None:
+    def __init__(self, bed: testbed.Bed) -> None:
         self.events: list[api.Event] = []
         self.on_outcome: Callable[[api.Outcome], list[api.Action]] = lambda _: []
-        self._say: list[api.Action] = []
+        self._next_actions: list[api.Action] = []
         self._driver = bed.sidecar._driver
         bed.sidecar._driver._balancer = self
 
@@ -42,168 +42,187 @@
         self.events.append(event)
         if isinstance(event, api.Outcome):
             return self.on_outcome(event)
-        actions, self._say = self._say, []
+        actions, self._next_actions = self._next_actions, []
         return actions
 
-    def say(self, *actions: api.Action) -> None:
-        """Have these decided now."""
-        self._say = list(actions)
+    def decide(self, *actions: api.Action) -> None:
+        """Make the balancer return these actions now."""
+        self._next_actions = list(actions)
         self._driver.dispatch(api.TimerFired(0))
 
-    def seen(self, kind: type) -> list[Any]:
-        return [event for event in self.events if isinstance(event, kind)]
+    def events_of(self, event_type: type) -> list[Any]:
+        return [event for event in self.events if isinstance(event, event_type)]
 
-    async def request(self, count: int = 1) -> int:
-        """The number of the request that is taken next."""
-        await b.until(lambda: len(self.seen(api.Request)) == count)
-        return int(self.seen(api.Request)[-1].id)
+    async def wait_for_request(self, count: int = 1) -> int:
+        """Wait until `count` requests have arrived. Returns the id of the last one."""
+        await testbed.until(lambda: len(self.events_of(api.Request)) == count)
+        return int(self.events_of(api.Request)[-1].id)
 
 
-def leave(client: b.Client, how: str) -> None:
-    """End the connection in the kernel now, without a turn of the loop in between."""
+def disconnect(client: testbed.Client, ending: str) -> None:
+    """End the connection in the kernel at once, without letting the event loop run."""
     sock = client.writer.get_extra_info("socket")._sock
-    if how == "reset":
+    if ending == "reset":
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         client.writer.transport.abort()
         os.close(sock.detach())
-    elif how == "half-closed":  # it still reads
+    elif ending == "half-closed":  # The client still reads.
         sock.shutdown(socket.SHUT_WR)
     else:
         sock.shutdown(socket.SHUT_RDWR)
 
 
-async def pooled(bed: b.Bed, client: b.Client) -> None:
-    """Have an idle connection to the server, so that nothing is awaited between choice and first byte."""
+async def open_pooled_connection(bed: testbed.Bed, client: testbed.Client) -> None:
+    """Put an idle connection to the server into the pool, so that nothing is awaited between the choice of a
+    server and the first byte.
+    """
     assert (await client.call("view")).status == 200
-    await b.until(lambda: len(bed.sidecar.pool) == 1)
+    await testbed.until(lambda: len(bed.sidecar.pool) == 1)
 
 
-LONG = 200_000  # bytes of a body that passes through
-SHAPES = ["plain", "old", "body", "ahead", "long", "long behind"]
+LONG_BODY_BYTES = 200_000  # Length of a body that is forwarded while it is received.
+REQUEST_KINDS = ["plain", "old", "body", "ahead", "long", "long behind"]
 
 
-def ask(client: b.Client, shape: str) -> None:
-    """Send a request, as one of `SHAPES`."""
-    long = b"POST /take/1 HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: take\r\nContent-Length: %d\r\n\r\n"
-    match shape:
+def send_request(client: testbed.Client, kind: str) -> None:
+    """Send a request of one of `REQUEST_KINDS`."""
+    long_request_head = (
+        b"POST /take/1 HTTP/1.1\r\nHost: a\r\nReq-Id: %s\r\nReq-Kind: take\r\nContent-Length: %d\r\n\r\n"
+    )
+    match kind:
         case "plain":
             client.send("view")
-        case "old":  # neither a host nor a kept connection
+        case "old":  # An HTTP/1.0 request, without a Host header or keep-alive.
             client.writer.write(b"GET /view/1 HTTP/1.0\r\nReq-Id: old\r\nReq-Kind: view\r\n\r\n")
         case "body":
             client.send("take", 8.0, "POST", body=b"ink")
-        case "ahead":  # bytes behind it hide the end from whoever reads
+        case "ahead":  # Pipelined bytes after the request hide the end of the connection from a reader.
             client.send("view")
             client.writer.write(b"GET /view HTTP/1.1\r\nHost: a\r\n")
-        case "long" | "long behind":  # half of a body that passes through
-            client.writer.write(long % (b"long", LONG) + b"x" * (LONG // 2))
+        case "long" | "long behind":  # Half of a body that is forwarded while it is received.
+            client.writer.write(
+                long_request_head % (b"long", LONG_BODY_BYTES) + b"x" * (LONG_BODY_BYTES // 2)
+            )
 
 
-def ask_more(client: b.Client, shape: str) -> None:
-    """What it sends at the very end, so that its end stands behind unread bytes."""
-    match shape:
+def send_trailing_bytes(client: testbed.Client, kind: str) -> None:
+    """Send the last bytes of a request of this kind, so that the end of the connection comes after unread
+    bytes.
+    """
+    match kind:
         case "ahead":
             client.writer.write(b"Req-Kind: view\r\n")
         case "long behind":
             client.writer.write(b"x" * 1000)
 
 
-class Late:
-    """Connections to endpoints that come up only at the test's word."""
+class DelayedConnects:
+    """Holds back new connections to endpoints until the test releases them."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.waiting = 0
-        self.up = asyncio.Event()
-        wait = Connecting.wait
-
-        async def late(connecting: Connecting, timeout_ms: float) -> Connection:
-            self.waiting += 1
-            connection = await wait(connecting, timeout_ms)
-            await self.up.wait()
+        self.started_count = 0
+        self.released = asyncio.Event()
+        original_wait = Connecting.wait
+
+        async def delayed_wait(connecting: Connecting, timeout_ms: float) -> Connection:
+            self.started_count += 1
+            connection = await original_wait(connecting, timeout_ms)
+            await self.released.wait()
             return connection
 
-        monkeypatch.setattr(Connecting, "wait", late)
+        monkeypatch.setattr(Connecting, "wait", delayed_wait)
 
 
 @dataclass(frozen=True)
-class Dialling:
-    """A request whose server is chosen, while the connection to it comes up."""
+class ConnectingRequest:
+    """A request whose server is chosen and whose connection is still being established."""
 
-    bed: b.Bed
-    endpoint: b.Endpoint
-    late: Late
-    client: b.Client
-    waiting: Waiting
+    bed: testbed.Bed
+    endpoint: testbed.Endpoint
+    delayed_connects: DelayedConnects
+    client: testbed.Client
+    balancer: ManualBalancer
 
-    async def outcomes(self) -> list[api.Result]:
-        """How its attempts ended, once one has."""
-        await b.until(lambda: bool(self.waiting.seen(api.Outcome)))
-        return [outcome.result for outcome in self.waiting.seen(api.Outcome)]
+    async def wait_for_outcomes(self) -> list[api.Result]:
+        """Wait until an attempt has ended. Returns the results of all ended attempts."""
+        await testbed.until(lambda: bool(self.balancer.events_of(api.Outcome)))
+        return [outcome.result for outcome in self.balancer.events_of(api.Outcome)]
 
 
 @asynccontextmanager
-async def dialling(
-    monkeypatch: pytest.MonkeyPatch, ask: Callable[[b.Client], None], within_ms: float = math.inf
-) -> AsyncIterator[Dialling]:
-    """Only within so long may its attempt begin."""
-    one = b.Endpoint("s-1")
-    async with b.bed(one, discovery_up=False) as bed:
-        late = Late(monkeypatch)
+async def connecting_request(
+    monkeypatch: pytest.MonkeyPatch,
+    send_request: Callable[[testbed.Client], None],
+    begin_within_ms: float = math.inf,
+) -> AsyncIterator[ConnectingRequest]:
+    """Start a request whose connection is held back. Its attempt may only begin within `begin_within_ms`."""
+    endpoint = testbed.Endpoint("s-1")
+    async with testbed.bed(endpoint, discovery_up=False) as bed:
+        delayed_connects = DelayedConnects(monkeypatch)
         client = await bed.client()
-        waiting = Waiting(bed)
-        ask(client)
-        number = await waiting.request()
-        waiting.say(api.Send(number, b"s-1", begin_by_ms=bed.sidecar._clock() + within_ms))
-        await b.until(lambda: late.waiting > 0)
-        yield Dialling(bed, one, late, client, waiting)
+        balancer = ManualBalancer(bed)
+        send_request(client)
+        request_id = await balancer.wait_for_request()
+        balancer.decide(api.Send(request_id, b"s-1", begin_by_ms=bed.sidecar._clock() + begin_within_ms))
+        await testbed.until(lambda: delayed_connects.started_count > 0)
+        yield ConnectingRequest(bed, endpoint, delayed_connects, client, balancer)
 
 
-class Script:
-    """A discovery whose every answer is given by the test, on whichever connection the call came."""
+class ScriptedDiscovery:
+    """A discovery server whose responses are chosen by the test, on whichever connection the call arrived."""
 
     def __init__(self) -> None:
-        self.calls: list[tuple[bytes, b.Writer]] = []
-        self._server: asyncio.Server | None = None
+        self.calls: list[tuple[bytes, testbed.Writer]] = []
+        self._listener: asyncio.Server | None = None
         self.port = 0
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._connected, "127.0.0.1", 0)
-        self.port = self._server.sockets[0].getsockname()[1]
+        self._listener = await asyncio.start_server(self._connected, "127.0.0.1", 0)
+        self.port = self._listener.sockets[0].getsockname()[1]
 
-    async def _connected(self, reader: b.Reader, writer: b.Writer) -> None:
+    async def _connected(self, reader: testbed.Reader, writer: testbed.Writer) -> None:
         parser = http1.RequestParser()
-        while (request := await b.read_request(reader, parser)) is not None:
+        while (request := await testbed.read_request(reader, parser)) is not None:
             self.calls.append((request.target, writer))
         writer.close()
 
-    def answer(self, index: int, generation: int, state: str, whole: bool) -> None:
-        line = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": state}
-        text = msgspec.json.encode({"generation": generation, "reset": whole, "instances": [line]})
-        self.calls[index][1].write(http1.response_bytes(200, (), text))
+    def send_list(self, index: int, generation: int, lifecycle: str, is_full_list: bool) -> None:
+        list_entry = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": lifecycle}
+        response_body = msgspec.json.encode(
+            {"generation": generation, "reset": is_full_list, "instances": [list_entry]}
+        )
+        self.calls[index][1].write(http1.response_bytes(200, (), response_body))
 
-    async def called(self, count: int) -> bytes:
-        await b.until(lambda: len(self.calls) >= count)
+    async def wait_for_call(self, count: int) -> bytes:
+        await testbed.until(lambda: len(self.calls) >= count)
         return self.calls[count - 1][0]
 
     def stop(self) -> None:
-        assert self._server is not None
-        self._server.close()
+        assert self._listener is not None
+        self._listener.close()
 
 
-class Asker:
-    """A `Discovery` that asks a `Script`."""
+class DiscoveryHarness:
+    """A `DiscoveryClient` that calls a `ScriptedDiscovery`."""
 
-    def __init__(self, always: bool = True) -> None:
-        self.script, self.always = Script(), always
+    def __init__(self, watch_after_move: bool = True) -> None:
+        self.server, self.watch_after_move = ScriptedDiscovery(), watch_after_move
         self.lists: list[Listing] = []
         self.failures: list[str] = []
 
-    async def __aenter__(self) -> "Asker":
-        await self.script.start()
-        place = ("127.0.0.1", self.script.port)
+    async def __aenter__(self) -> "DiscoveryHarness":
+        await self.server.start()
+        host_port = ("127.0.0.1", self.server.port)
         self.counters = Counters()
         self.discovery = DiscoveryClient(
-            place, Descriptors(256), Names([], []), 5000.0, self.always, Random(1), self.counters, print
+            host_port,
+            Descriptors(256),
+            Names([], []),
+            5000.0,
+            self.watch_after_move,
+            Random(1),
+            self.counters,
+            print,
         )
         self.discovery.on_list = self.lists.append
         self.discovery.on_failure = self.failures.append
@@ -211,7 +230,7 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.discovery.close()
-        self.script.stop()
+        self.server.stop()
 
-    def told(self) -> list[tuple[int, bool]]:
+    def received_lists(self) -> list[tuple[int, bool]]:
         return [(listing.generation, listing.whole) for listing in self.lists]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -1,7 +1,7 @@
-"""What changes between the choice of a server and the first byte to it.
+"""Events between the choice of a server and the first byte sent to it.
 
-Each order is forced by the test's own peers, by decisions that wait for the test's word, or by doing both
-things within one turn of the loop. No sleep has to hit anything.
+Each test forces its order of events with its own peers, with a balancer that waits for the test, or by doing
+both things within one iteration of the event loop. No test depends on the length of a sleep.
 """
 
 import pytest
@@ -11,113 +11,133 @@
 from larkcrank.protocol.discovery import Listing
 from larkcrank.transport.connection import Connecting, Connection
 from larkcrank.transport.descriptors import Use
-from tests import bed as b
-from tests import crossing as x
+from tests import bed as testbed
+from tests import crossing
 
-KEY = b"Idempotency-Key: 5c0f"
+IDEMPOTENCY_KEY_LINE = b"Idempotency-Key: 5c0f"
 
 
-def test_a_key_whose_window_closes_while_a_connection_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Decided within the window, it was written after it: by then the group may have forgotten the key."""
+def test_keyed_request_is_not_sent_after_its_window_closed_while_connecting(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The attempt was chosen within the window of its key, but was sent after it. By then the group may have
+    forgotten the key and run the request again.
+    """
 
-    async def work() -> None:
-        async with x.dialling(monkeypatch, lambda client: client.send("book", 8.0, "POST", KEY), 1.0) as it:
-            now = it.bed.sidecar._clock
-            over = now() + 1.0
-            await b.until(lambda: now() > over)
-            it.late.up.set()
-            assert await it.outcomes() == [api.Result.NOT_SENT] and not it.endpoint.requests
+    async def scenario() -> None:
+        async with crossing.connecting_request(
+            monkeypatch, lambda client: client.send("book", 8.0, "POST", IDEMPOTENCY_KEY_LINE), 1.0
+        ) as pending:
+            clock = pending.bed.sidecar._clock
+            window_end_ms = clock() + 1.0
+            await testbed.until(lambda: clock() > window_end_ms)
+            pending.delayed_connects.released.set()
+            assert (
+                await pending.wait_for_outcomes() == [api.Result.NOT_SENT] and not pending.endpoint.requests
+            )
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_drain_that_is_told_while_a_connection_comes_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def work() -> None:
-        async with x.dialling(monkeypatch, lambda client: client.send("view")) as it:
-            drains = api.Endpoint(b"s-1", state=api.State.DRAINING)
-            it.bed.sidecar._driver.receive_list(Listing(2, False, (drains,)))
-            it.late.up.set()
-            assert await it.outcomes() == [api.Result.NOT_SENT] and not it.endpoint.requests
+def test_request_is_not_sent_to_a_server_drained_while_connecting(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
+        async with crossing.connecting_request(monkeypatch, lambda client: client.send("view")) as pending:
+            draining_endpoint = api.Endpoint(b"s-1", state=api.State.DRAINING)
+            pending.bed.sidecar._driver.receive_list(Listing(2, False, (draining_endpoint,)))
+            pending.delayed_connects.released.set()
+            assert (
+                await pending.wait_for_outcomes() == [api.Result.NOT_SENT] and not pending.endpoint.requests
+            )
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_connect_that_times_out_in_the_turn_in_which_it_came_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its timer closed it before whoever waited went on: nothing was written, so nothing ran."""
-    wait = Connecting.wait
+def test_connect_timeout_in_the_iteration_in_which_the_connection_opened(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The timer closed the connection before the waiting task continued. Nothing was written or run."""
+    original_wait = Connecting.wait
 
     async def timed_out(connecting: Connecting, timeout_ms: float) -> Connection:
-        connection = await wait(connecting, timeout_ms)
+        connection = await original_wait(connecting, timeout_ms)
         connection.close()
         return connection
 
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        async with b.bed(one, discovery_up=False) as bed:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        async with testbed.bed(endpoint, discovery_up=False) as bed:
             monkeypatch.setattr(Connecting, "wait", timed_out)
             client = await bed.client()
-            waiting = x.Waiting(bed)
+            balancer = crossing.ManualBalancer(bed)
             client.send("take", 8.0, "POST", body=b"ink")
-            waiting.say(api.Send(await waiting.request(), b"s-1"))
-            await b.until(lambda: bool(waiting.seen(api.Outcome)))
-            assert waiting.seen(api.Outcome)[0].result is api.Result.CONNECT_FAILED and not one.requests
+            balancer.decide(api.Send(await balancer.wait_for_request(), b"s-1"))
+            await testbed.until(lambda: bool(balancer.events_of(api.Outcome)))
+            assert (
+                balancer.events_of(api.Outcome)[0].result is api.Result.CONNECT_FAILED
+                and not endpoint.requests
+            )
             assert bed.sidecar.descriptors._used[Use.ATTEMPT] == 0
 
-    b.run(work())
+    testbed.run(scenario())
 
 
 @pytest.mark.parametrize("timer_first", [True, False])
-def test_an_attempt_whose_time_ends_in_the_turn_of_its_answer_has_one_outcome(timer_first: bool) -> None:
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        async with b.bed(one) as bed:
+def test_attempt_that_times_out_as_its_response_arrives_has_one_outcome(timer_first: bool) -> None:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        async with testbed.bed(endpoint) as bed:
             client = await bed.client()
-            waiting = x.Waiting(bed)
+            balancer = crossing.ManualBalancer(bed)
 
-            async def answer_in_that_turn(endpoint: b.Endpoint, _: http1.Request, writer: b.Writer) -> None:
+            async def respond_and_time_out(
+                endpoint: testbed.Endpoint, _: http1.Request, writer: testbed.Writer
+            ) -> None:
                 (attempt,) = bed.sidecar._servers._attempts.values()
-                await b.say_ok(endpoint, _, writer)  # it is in the kernel now
+                await testbed.say_ok(endpoint, _, writer)  # The response is now in the kernel.
                 if not timer_first:
-                    await b.until(lambda: attempt.ended)
+                    await testbed.until(lambda: attempt.ended)
                 bed.sidecar._servers._attempt_timed_out(attempt)
 
-            one.serve = answer_in_that_turn
+            endpoint.serve = respond_and_time_out
             client.send("view")
-            number = await waiting.request()
-            waiting.say(api.Send(number, b"s-1"))
-            await b.until(lambda: bool(waiting.seen(api.Outcome)))
+            request_id = await balancer.wait_for_request()
+            balancer.decide(api.Send(request_id, b"s-1"))
+            await testbed.until(lambda: bool(balancer.events_of(api.Outcome)))
             if timer_first:
-                waiting.say(api.Refuse(number))
+                balancer.decide(api.Refuse(request_id))
             assert (await client.answer()).status == (503 if timer_first else 200)
-            await b.until(lambda: bed.sidecar._servers.active_attempts == 0)
-            wanted = api.Result.TIMEOUT if timer_first else api.Result.OK
-            assert [outcome.result for outcome in waiting.seen(api.Outcome)] == [wanted]
+            await testbed.until(lambda: bed.sidecar._servers.active_attempts == 0)
+            expected_result = api.Result.TIMEOUT if timer_first else api.Result.OK
+            assert [outcome.result for outcome in balancer.events_of(api.Outcome)] == [expected_result]
             assert bed.sidecar.counters.crashed == 0
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-@pytest.mark.parametrize("at_once", [True, False])
-def test_a_second_answer_ends_its_connection_before_the_next_request(at_once: bool) -> None:
-    """Read as the answer to the next one, it would be served to the wrong client."""
+@pytest.mark.parametrize("sent_together", [True, False])
+def test_unexpected_second_response_closes_the_connection(sent_together: bool) -> None:
+    """Taken as the response to the next request, it would be served to the wrong client."""
 
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        text = http1.response_bytes(200, (), b"of another")
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        second_response = http1.response_bytes(200, (), b"of another")
 
-        async def twice(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            await b.say_ok(endpoint, request, writer)
-            if at_once:
-                writer.write(text)
+        async def respond_twice(
+            endpoint: testbed.Endpoint, request: http1.Request, writer: testbed.Writer
+        ) -> None:
+            await testbed.say_ok(endpoint, request, writer)
+            if sent_together:
+                writer.write(second_response)
 
-        async with b.bed(one) as bed:
-            one.serve = twice
+        async with testbed.bed(endpoint) as bed:
+            endpoint.serve = respond_twice
             client = await bed.client()
             assert (await client.call("view")).body == b"made by /view/1"
-            if not at_once:
-                one.writers[0].write(text)  # in the kernel before the next request is
+            if not sent_together:
+                # It reaches the kernel before the next request does.
+                endpoint.writers[0].write(second_response)
             assert (await client.call("view")).body == b"made by /view/1"
-            assert one.opened == 2
-            await b.until(lambda: one.ended >= 1)
+            assert endpoint.opened == 2
+            await testbed.until(lambda: endpoint.ended >= 1)
 
-    b.run(work())
+    testbed.run(scenario())
--- a/tests/test_crossings_lists.py
+++ b/tests/test_crossings_lists.py
@@ -1,7 +1,7 @@
-"""Lists that cross each other, fall silent, or end at the wrong moment.
+"""Discovery responses that overlap, time out or end at an inconvenient moment.
 
-Each order is forced by the test's own peers, by decisions that wait for the test's word, or by doing both
-things within one turn of the loop. No sleep has to hit anything.
+Each test forces its order of events with its own peers, with a balancer that waits for the test, or by doing
+both things within one iteration of the event loop. No test depends on the length of a sleep.
 """
 
 import asyncio
@@ -9,109 +9,116 @@
 import pytest
 
 from larkcrank.routing import discovery
-from tests import bed as b
-from tests import crossing as x
-from tests import virtual_loop
+from tests import bed as testbed
+from tests import crossing, virtual_loop
 
 
-def test_a_whole_list_that_comes_after_the_watch_told_a_drain_is_left() -> None:
-    """It was made before the drain: taken, the server would have had turns again, and the count gone back."""
+def test_full_list_older_than_a_watch_update_is_ignored() -> None:
+    """The list was made before the drain. Applied, it would have sent requests to the draining server again
+    and moved the generation backwards.
+    """
 
-    async def work() -> None:
-        async with x.Asker() as asker:
-            script = asker.script
-            asker.discovery.set_generation(4)
-            asker.discovery.watch()
-            assert (await script.called(1)).startswith(b"/registry/instances?after=4&")
-            asker.discovery.fetch_list()
-            assert await script.called(2) == b"/registry/instances"
-            script.answer(0, 5, "Terminating", whole=False)
-            assert (await script.called(3)).startswith(b"/registry/instances?after=5&")
-            script.answer(1, 4, "Ready", whole=True)
-            await b.until(lambda: asker.counters.lists == 2)
-            assert asker.told() == [(5, False)] and asker.discovery.generation == 5
-            assert len(script.calls) == 3  # the watch goes on
+    async def scenario() -> None:
+        async with crossing.DiscoveryHarness() as harness:
+            server = harness.server
+            harness.discovery.set_generation(4)
+            harness.discovery.watch()
+            assert (await server.wait_for_call(1)).startswith(b"/registry/instances?after=4&")
+            harness.discovery.fetch_list()
+            assert await server.wait_for_call(2) == b"/registry/instances"
+            server.send_list(0, 5, "Terminating", is_full_list=False)
+            assert (await server.wait_for_call(3)).startswith(b"/registry/instances?after=5&")
+            server.send_list(1, 4, "Ready", is_full_list=True)
+            await testbed.until(lambda: harness.counters.lists == 2)
+            assert harness.received_lists() == [(5, False)] and harness.discovery.generation == 5
+            assert len(server.calls) == 3  # The watch continues.
 
-    b.run(work())
+    testbed.run(scenario())
 
 
 @pytest.mark.parametrize("generation", [2, 9])
-def test_a_whole_list_that_differs_with_nothing_told_meanwhile_counts_and_the_watch_is_dead(
+def test_full_list_that_differs_without_a_watch_update_replaces_the_watch(
     generation: int,
 ) -> None:
-    """Newer: the watch would have told it. Older: discovery counts anew, and the watch waits at none."""
+    """A newer list would have been reported by a live watch. An older one means that discovery has restarted
+    its generations, so that the watch waits for one that does not come.
+    """
 
-    async def work() -> None:
-        async with x.Asker() as asker:
-            asker.discovery.set_generation(4)
-            asker.discovery.watch()
-            await asker.script.called(1)
-            asker.discovery.fetch_list()
-            await asker.script.called(2)
-            asker.script.answer(1, generation, "Ready", whole=True)
-            assert b"after=%d&" % generation in await asker.script.called(3)
-            assert asker.told() == [(generation, True)]
+    async def scenario() -> None:
+        async with crossing.DiscoveryHarness() as harness:
+            harness.discovery.set_generation(4)
+            harness.discovery.watch()
+            await harness.server.wait_for_call(1)
+            harness.discovery.fetch_list()
+            await harness.server.wait_for_call(2)
+            harness.server.send_list(1, generation, "Ready", is_full_list=True)
+            assert b"after=%d&" % generation in await harness.server.wait_for_call(3)
+            assert harness.received_lists() == [(generation, True)]
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_watch_called_off_and_asked_for_again_in_one_breath_is_there() -> None:
-    async def work() -> None:
-        async with x.Asker(always=False) as asker:
-            asker.discovery.watch()
-            await asker.script.called(1)
-            asker.discovery.watch(enabled=False)
-            asker.discovery.watch()
-            await asker.script.called(2)
+def test_watch_stopped_and_restarted_at_once_is_running() -> None:
+    async def scenario() -> None:
+        async with crossing.DiscoveryHarness(watch_after_move=False) as harness:
+            harness.discovery.watch()
+            await harness.server.wait_for_call(1)
+            harness.discovery.watch(enabled=False)
+            harness.discovery.watch()
+            await harness.server.wait_for_call(2)
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_watch_asked_for_by_whoever_hears_of_its_failure_is_there() -> None:
-    """The task that told the failure was not done yet, and the call was taken for one too many."""
+def test_watch_restarted_from_its_failure_callback_is_running() -> None:
+    """The task that reported the failure was not done yet, so the new call was dropped as a duplicate."""
 
-    async def work() -> None:
-        async with x.Asker(always=False) as asker:
-            asker.discovery.on_failure = lambda _: asker.discovery.watch()
-            asker.discovery.watch()
-            await asker.script.called(1)
-            asker.script.calls[0][1].close()
-            await asker.script.called(2)
+    async def scenario() -> None:
+        async with crossing.DiscoveryHarness(watch_after_move=False) as harness:
+            harness.discovery.on_failure = lambda _: harness.discovery.watch()
+            harness.discovery.watch()
+            await harness.server.wait_for_call(1)
+            harness.server.calls[0][1].close()
+            await harness.server.wait_for_call(2)
 
-    b.run(work())
+    testbed.run(scenario())
 
 
 @pytest.mark.parametrize(
-    "half", [b"", b"HTTP/1.1 200 OK\r\nContent-", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"]
+    "partial_response",
+    [b"", b"HTTP/1.1 200 OK\r\nContent-", b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{"],
 )
-@pytest.mark.parametrize("always", [False, True])
-def test_a_watch_that_fell_silent_is_opened_anew_at_once(
-    half: bytes, always: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("watch_after_move", [False, True])
+def test_watch_that_times_out_is_repeated_at_once(
+    partial_response: bytes, watch_after_move: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also within a head or a list. What it missed counts as told 2 s after its wait: no pause fits in.
+    """This includes a timeout within a head or a list. The contract counts missed changes as known 2 s after
+    the end of the watch's wait, which leaves no time for a pause.
 
-    In virtual time, with the times as they are but for the watch's own wait.
+    Runs in virtual time, with the usual timeouts except for the wait of the watch.
     """
-    monkeypatch.setattr(discovery, "MAX_WATCH_WAIT_MS", 1 if not half else 60000)
+    monkeypatch.setattr(discovery, "MAX_WATCH_WAIT_MS", 1 if not partial_response else 60000)
     monkeypatch.setattr(discovery, "RETRY_INTERVAL_LIMITS_S", (3600.0, 3600.0))
 
-    async def work() -> None:
-        async with asyncio.timeout(10.0), x.Asker(always) as asker:
-            asker.discovery.set_generation(4)
-            asker.discovery.watch()
-            await asker.script.called(1)
-            asker.script.calls[0][1].write(half)
-            began = asyncio.get_running_loop().time()
-            assert b"after=4&" in await asker.script.called(2)
-            assert asyncio.get_running_loop().time() - began < 2.1
-            assert not asker.lists and asker.failures
+    async def scenario() -> None:
+        async with asyncio.timeout(10.0), crossing.DiscoveryHarness(watch_after_move) as harness:
+            harness.discovery.set_generation(4)
+            harness.discovery.watch()
+            await harness.server.wait_for_call(1)
+            harness.server.calls[0][1].write(partial_response)
+            started_at = asyncio.get_running_loop().time()
+            assert b"after=4&" in await harness.server.wait_for_call(2)
+            assert asyncio.get_running_loop().time() - started_at < 2.1
+            assert not harness.lists and harness.failures
 
-    virtual_loop.run(work())
+    virtual_loop.run(scenario())
 
 
-def test_the_waits_of_discovery_calls_fit_what_counts_as_told() -> None:
-    """2 s after a call's wait; 4 s after a move to another discovery, in which one call may hang; 6 s after
-    the return of one that failed, where it takes 2 s for an answer at most."""
+def test_discovery_timeouts_fit_the_contract() -> None:
+    """The contract counts a change as known 2 s after the end of a call's wait, 4 s after a move to another
+    discovery (in which one call may hang), and 6 s after a discovery that failed is reachable again and needs
+    2 s at most to respond.
+    """
     assert discovery.WATCH_TIMEOUT_SLACK_MS + 250.0 < 2000.0 and discovery.IMMEDIATE_CALL_TIMEOUT_MS < 4000.0
     assert (
         2000.0
@@ -122,40 +129,42 @@
     assert discovery.MAX_WATCH_WAIT_MS <= 60000
 
 
-def test_a_call_that_crosses_the_end_of_a_kept_connection_is_made_again() -> None:
-    """The end was on its way when the call went out: nobody has failed, and no pause is due.
+def test_call_on_a_kept_connection_closed_by_the_server_is_repeated() -> None:
+    """The server closed the connection as the call was sent: nothing has failed, and no pause is due.
+
+    Discovery itself may have ended, though, so the second call does not wait. The one after it does.
+    """
 
-    But it may have been discovery's own end: the second call does not wait, the one after it does.
+    async def scenario() -> None:
+        async with crossing.DiscoveryHarness(watch_after_move=False) as harness:
+            harness.discovery.set_generation(4)
+            harness.discovery.watch()
+            await harness.server.wait_for_call(1)
+            harness.server.send_list(0, 5, "Ready", is_full_list=False)
+            await harness.server.wait_for_call(2)
+            harness.server.calls[1][1].close()  # The second call is answered by the end of its connection.
+            assert harness.server.calls[1][0] == b"/registry/instances?after=5&wait_ms=60000"
+            assert await harness.server.wait_for_call(3) == b"/registry/instances?after=5&wait_ms=50"
+            harness.server.send_list(2, 5, "Ready", is_full_list=False)
+            assert await harness.server.wait_for_call(4) == harness.server.calls[1][0]
+            assert not harness.failures
+
+    testbed.run(scenario())
+
+
+def test_generation_of_the_previous_discovery_is_not_used_after_a_move() -> None:
+    """A handover may complete after a SIGHUP has changed the discovery address; the two count generations
+    differently.
     """
 
-    async def work() -> None:
-        async with x.Asker(always=False) as asker:
-            asker.discovery.set_generation(4)
-            asker.discovery.watch()
-            await asker.script.called(1)
-            asker.script.answer(0, 5, "Ready", whole=False)
-            await asker.script.called(2)
-            asker.script.calls[1][1].close()  # the second call's answer is its end
-            assert asker.script.calls[1][0] == b"/registry/instances?after=5&wait_ms=60000"
-            assert await asker.script.called(3) == b"/registry/instances?after=5&wait_ms=50"
-            asker.script.answer(2, 5, "Ready", whole=False)
-            assert await asker.script.called(4) == asker.script.calls[1][0]
-            assert not asker.failures
-
-    b.run(work())
-
-
-def test_a_generation_of_the_discovery_before_a_move_is_not_asked_after() -> None:
-    """A hand-over may end after a SIGHUP has moved discovery: the two count differently."""
-
-    async def work() -> None:
-        async with x.Asker() as asker:
-            other = x.Script()
-            await other.start()
-            asker.discovery.move_to(("127.0.0.1", other.port))
-            asker.discovery.set_generation(41)
-            assert await other.called(1) == b"/registry/instances"
-            assert asker.discovery.generation is None
-            other.stop()
-
-    b.run(work())
+    async def scenario() -> None:
+        async with crossing.DiscoveryHarness() as harness:
+            new_server = crossing.ScriptedDiscovery()
+            await new_server.start()
+            harness.discovery.move_to(("127.0.0.1", new_server.port))
+            harness.discovery.set_generation(41)
+            assert await new_server.wait_for_call(1) == b"/registry/instances"
+            assert harness.discovery.generation is None
+            new_server.stop()
+
+    testbed.run(scenario())
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,6 @@
-"""The driver, the server side and discovery's watch, each with the rest played by the test."""
+"""Tests of the driver, the attempt executor and the discovery client, each with the rest simulated by the
+test.
+"""
 
 import asyncio
 import io
@@ -21,314 +23,334 @@
 from larkcrank.transport.budget import Budget
 from larkcrank.transport.descriptors import Descriptors, Use
 from larkcrank.transport.pool import Pool
-from tests import bed as b
+from tests import bed as testbed
 
-Decide = Callable[[api.Event], list[api.Action]]
+DecideFunction = Callable[[api.Event], list[api.Action]]
 
 
-def send_on(event: api.Event) -> list[api.Action]:
-    """Each request goes to the one server there is."""
+def send_to_only_server(event: api.Event) -> list[api.Action]:
+    """Send each request to the only server."""
     return [api.Send(event.id, b"s-1")] if isinstance(event, api.Request) else []
 
 
-def send_for(wait_ms: float) -> Decide:
-    """The same, each attempt for so long."""
+def send_with_timeout(timeout_ms: float) -> DecideFunction:
+    """Send each request to the only server, with a timeout per attempt."""
     clock = Clock()
 
     def decide(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.Request):
-            return [api.Send(event.id, b"s-1", stop_at_ms=clock() + wait_ms)]
+            return [api.Send(event.id, b"s-1", stop_at_ms=clock() + timeout_ms)]
         return []
 
     return decide
 
 
-class Scripted:
-    """Decides as the test says, and sees that it is never entered twice."""
+class ScriptedBalancer:
+    """Returns the actions that the test chooses and checks that `handle` is never re-entered."""
 
-    def __init__(self, decide: Decide) -> None:
+    def __init__(self, decide: DecideFunction) -> None:
         self.decide = decide
         self.events: list[api.Event] = []
-        self._inside = False
+        self._handling = False
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        assert not self._inside
-        self._inside = True
+        assert not self._handling
+        self._handling = True
         self.events.append(event)
         try:
             return self.decide(event)
         finally:
-            self._inside = False
+            self._handling = False
 
-    def seen(self, kind: type) -> list[api.Event]:
-        return [event for event in self.events if isinstance(event, kind)]
+    def events_of(self, event_type: type) -> list[api.Event]:
+        return [event for event in self.events if isinstance(event, event_type)]
 
 
-class Stand:
-    """A driver with its server side, no clients and no discovery."""
+class DriverHarness:
+    """A driver with its attempt executor, without clients or discovery."""
 
-    def __init__(self, decide: Decide, *endpoints: b.Endpoint) -> None:
-        self.decisions = Scripted(decide)
+    def __init__(self, decide: DecideFunction, *endpoints: testbed.Endpoint) -> None:
+        self.balancer = ScriptedBalancer(decide)
         self.counters = Counters()
         self.log = io.BytesIO()
         self.clock = Clock()
         log = Log("test", self.log)
         descriptors = Descriptors(256)
         self.pool = Pool(descriptors, 60000.0)
-        self.servers = AttemptExecutor(
+        self.attempt_executor = AttemptExecutor(
             self.pool, descriptors, 250.0, (), 65536, Budget(1 << 26), self.clock, self.counters, log.failure
         )
         discovery = DiscoveryClient(
             ("127.0.0.1", 1), descriptors, Names([], []), 250.0, False, Random(1), self.counters, log.failure
         )
         self.driver = Driver(
-            self.decisions, self.clock, self.servers, discovery, 100, 20.0, self.counters, log
+            self.balancer, self.clock, self.attempt_executor, discovery, 100, 20.0, self.counters, log
         )
         if endpoints:
-            self.tell(*endpoints)
+            self.announce(*endpoints)
 
-    def tell(self, *endpoints: b.Endpoint, state: api.State = api.State.READY) -> None:
-        lines = tuple(api.Endpoint(endpoint.name.encode(), state) for endpoint in endpoints)
-        places = {endpoint.name.encode(): ("127.0.0.1", endpoint.port) for endpoint in endpoints}
-        self.driver.receive_list(Listing(1, False, lines, places))
+    def announce(self, *endpoints: testbed.Endpoint, state: api.State = api.State.READY) -> None:
+        listed = tuple(api.Endpoint(endpoint.name.encode(), state) for endpoint in endpoints)
+        host_ports = {endpoint.name.encode(): ("127.0.0.1", endpoint.port) for endpoint in endpoints}
+        self.driver.receive_list(Listing(1, False, listed, host_ports))
 
-    def take(self, left_ms: float = 5000.0) -> Exchange:
-        now = self.clock()
+    def start_request(self, time_left_ms: float = 5000.0) -> Exchange:
+        now_ms = self.clock()
         request = http1.Request(
             b"GET", b"/view", http1.Fields((http1.Field(b"host", b"a", b"Host: a"),)), b"", True
         )
-        call = platform.Call("id", "view", left_ms, False, False, "")
-        exchange = Exchange(self.driver.next_request_id(), 0, call, request, now, now + left_ms, False)
+        call_info = platform.Call("id", "view", time_left_ms, False, False, "")
+        exchange = Exchange(
+            self.driver.next_request_id(), 0, call_info, request, now_ms, now_ms + time_left_ms, False
+        )
         self.driver.start_request(exchange)
         return exchange
 
-    async def outcome(self) -> api.Outcome:
-        """The one outcome that was told, once it was."""
-        await b.until(lambda: bool(self.decisions.seen(api.Outcome)))
-        (outcome,) = self.decisions.seen(api.Outcome)
+    async def wait_for_outcome(self) -> api.Outcome:
+        """Wait for the only outcome reported to the balancer."""
+        await testbed.until(lambda: bool(self.balancer.events_of(api.Outcome)))
+        (outcome,) = self.balancer.events_of(api.Outcome)
         assert isinstance(outcome, api.Outcome)
         return outcome
 
-    def logged(self) -> list[str]:
+    def logged_events(self) -> list[str]:
         return [json.loads(line)["event"] for line in self.log.getvalue().splitlines()]
 
 
-def test_outcomes_that_arise_meanwhile_wait_their_turn() -> None:
-    async def work() -> None:
+def test_events_raised_while_handling_an_event_are_queued() -> None:
+    async def scenario() -> None:
         def decide(event: api.Event) -> list[api.Action]:
             match event:
-                case api.Request():  # this server is on no list: the outcome comes at once
+                case api.Request():  # The server is not listed, so the outcome is raised at once.
                     return [api.Send(event.id, b"nowhere"), api.Log("after the send")]
                 case api.Outcome():
-                    logged_before.extend(stand.logged())
+                    logged_before.extend(harness.logged_events())
                     return [api.Fail(event.id)]
             return []
 
         logged_before: list[str] = []
-        stand = Stand(decide)
-        exchange = stand.take()
-        assert logged_before == ["decision"]  # the first event's actions were all carried out
-        (outcome,) = stand.decisions.seen(api.Outcome)
+        harness = DriverHarness(decide)
+        exchange = harness.start_request()
+        assert logged_before == ["decision"]  # All actions of the first event were executed.
+        (outcome,) = harness.balancer.events_of(api.Outcome)
         assert isinstance(outcome, api.Outcome)
         assert (outcome.result, outcome.request_answered) == (api.Result.NOT_SENT, False)
-        assert exchange.closed and stand.logged() == ["decision"]
+        assert exchange.closed and harness.logged_events() == ["decision"]
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_decision_that_crashes_fails_its_request_and_no_other() -> None:
-    async def work() -> None:
+def test_balancer_crash_fails_only_the_request_concerned() -> None:
+    async def scenario() -> None:
         def decide(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request) and event.id == 2:
                 raise ZeroDivisionError
             return [api.Fail(event.id)] if isinstance(event, api.Request) and event.id == 3 else []
 
-        stand = Stand(decide)
-        first, second, third = stand.take(), stand.take(), stand.take()
+        harness = DriverHarness(decide)
+        first, second, third = harness.start_request(), harness.start_request(), harness.start_request()
         assert (first.closed, second.closed, third.closed) == (False, True, True)
         answer = second.response_future().result()
         assert isinstance(answer, BufferedResponse) and answer.status == 500
-        assert stand.decisions.seen(api.ClientGone) == [api.ClientGone(2)]
-        assert stand.counters.crashed == 1 and "decision_crashed" in stand.logged()
+        assert harness.balancer.events_of(api.ClientGone) == [api.ClientGone(2)]
+        assert harness.counters.crashed == 1 and "decision_crashed" in harness.logged_events()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_only_the_latest_timer_counts() -> None:
-    async def work() -> None:
+def test_setting_a_timer_replaces_the_previous_one() -> None:
+    async def scenario() -> None:
         def decide(event: api.Event) -> list[api.Action]:
             return [api.SetTimer(1.0, 1), api.SetTimer(0.0, 2)] if isinstance(event, api.Request) else []
 
-        stand = Stand(decide)
-        stand.take()
-        await b.until(lambda: bool(stand.decisions.seen(api.TimerFired)))
+        harness = DriverHarness(decide)
+        harness.start_request()
+        await testbed.until(lambda: bool(harness.balancer.events_of(api.TimerFired)))
         await asyncio.sleep(0.01)
-        assert stand.decisions.seen(api.TimerFired) == [api.TimerFired(2)]
+        assert harness.balancer.events_of(api.TimerFired) == [api.TimerFired(2)]
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_request_that_nothing_decides_on_is_failed_after_its_time() -> None:
-    async def work() -> None:
-        stand = Stand(lambda event: [])
-        exchange = stand.take(left_ms=5.0)
+def test_request_without_a_decision_fails_after_its_deadline() -> None:
+    async def scenario() -> None:
+        harness = DriverHarness(lambda event: [])
+        exchange = harness.start_request(time_left_ms=5.0)
         answer = await exchange.response_future()
         assert isinstance(answer, BufferedResponse) and answer.status == 504
-        assert stand.counters.overdue == stand.counters.unsent_late == 1
-        assert stand.decisions.seen(api.ClientGone) == [api.ClientGone(exchange.id)]
+        assert harness.counters.overdue == harness.counters.unsent_late == 1
+        assert harness.balancer.events_of(api.ClientGone) == [api.ClientGone(exchange.id)]
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_server_that_leaves_while_its_connection_comes_up_gets_no_request() -> None:
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        await one.start()
+def test_server_drained_while_connecting_gets_no_request() -> None:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
 
-        stand = Stand(send_on, one)
-        stand.take()
-        stand.tell(one, state=api.State.DRAINING)  # before the attempt's first step
-        outcome = await stand.outcome()
+        harness = DriverHarness(send_to_only_server, endpoint)
+        harness.start_request()
+        harness.announce(endpoint, state=api.State.DRAINING)  # Before the attempt's task first runs.
+        outcome = await harness.wait_for_outcome()
         assert outcome.result is api.Result.NOT_SENT
-        assert not one.requests and stand.counters.sends == 0
-        await one.stop()
+        assert not endpoint.requests and harness.counters.sends == 0
+        await endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_after_its_answer_nothing_is_sent_for_a_request() -> None:
-    """Also where attempts may not be called off: one that still connects must not write."""
+def test_nothing_is_sent_for_an_answered_request() -> None:
+    """This holds even if attempts may not be cancelled: one that is still connecting must not write."""
 
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        await one.start()
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
 
         def decide(event: api.Event) -> list[api.Action]:
             if isinstance(event, api.Request):
                 return [api.Send(event.id, b"s-1"), api.Refuse(event.id), api.Send(event.id, b"s-1")]
             return []
 
-        stand = Stand(decide, one)
-        exchange = stand.take()
-        outcome = await stand.outcome()
+        harness = DriverHarness(decide, endpoint)
+        exchange = harness.start_request()
+        outcome = await harness.wait_for_outcome()
         assert (outcome.result, outcome.request_answered) == (api.Result.NOT_SENT, True)
-        assert not one.requests and exchange.attempt_count == 1
-        await one.stop()
+        assert not endpoint.requests and exchange.attempt_count == 1
+        await endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_giving_up_closes_the_connection_before_the_next_attempt_starts() -> None:
-    async def work() -> None:
-        one, two = b.Endpoint("s-1", b.say_nothing), b.Endpoint("s-2")
-        await one.start()
-        await two.start()
+def test_cancel_closes_the_connection_before_the_next_attempt_starts() -> None:
+    async def scenario() -> None:
+        endpoint, second_endpoint = testbed.Endpoint("s-1", testbed.say_nothing), testbed.Endpoint("s-2")
+        await endpoint.start()
+        await second_endpoint.start()
 
         def decide(event: api.Event) -> list[api.Action]:
             match event:
                 case api.Request():
                     return [api.Send(event.id, b"s-1")]
                 case api.Outcome(result=api.Result.CANCELLED):
-                    assert stand.servers.active_attempts == 0
+                    assert harness.attempt_executor.active_attempts == 0
                     return [api.Send(event.id, b"s-2")]
                 case api.TimerFired():
                     return [api.Cancel(1, 0)]
             return []
 
-        stand = Stand(decide, one, two)
-        exchange = stand.take()
-        await b.until(lambda: len(one.requests) == 1)
-        stand.driver.dispatch(api.TimerFired(0))
+        harness = DriverHarness(decide, endpoint, second_endpoint)
+        exchange = harness.start_request()
+        await testbed.until(lambda: len(endpoint.requests) == 1)
+        harness.driver.dispatch(api.TimerFired(0))
         answer = await exchange.response_future()
         assert isinstance(answer, BufferedResponse) and answer.body == b"made by /view"
-        await b.until(lambda: one.ended == 1)
-        await one.stop()
-        await two.stop()
+        await testbed.until(lambda: endpoint.ended == 1)
+        await endpoint.stop()
+        await second_endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_an_attempt_is_stopped_at_the_time_given() -> None:
-    async def work() -> None:
-        one = b.Endpoint("s-1", b.say_nothing)
-        await one.start()
+def test_attempt_times_out_at_stop_time() -> None:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1", testbed.say_nothing)
+        await endpoint.start()
 
-        stand = Stand(send_for(20.0), one)
-        stand.take()
-        outcome = await stand.outcome()
+        harness = DriverHarness(send_with_timeout(20.0), endpoint)
+        harness.start_request()
+        outcome = await harness.wait_for_outcome()
         assert (outcome.result, outcome.request_answered) == (api.Result.TIMEOUT, False)
-        await one.stop()
+        await endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-@pytest.mark.parametrize("hangs_in", ["write", "connect"])
-def test_a_time_out_proves_that_nothing_ran_only_before_the_first_byte(
-    monkeypatch: pytest.MonkeyPatch, hangs_in: str
+@pytest.mark.parametrize("hanging_step", ["write", "connect"])
+def test_timeout_counts_as_not_run_only_before_the_first_byte(
+    monkeypatch: pytest.MonkeyPatch, hanging_step: str
 ) -> None:
-    """The last byte may be with the kernel when the timer comes, before the writer is told."""
+    """The kernel may have accepted the last byte when the timer fires, before the writer is notified."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         async def hang(*_: object) -> None:
             await asyncio.get_running_loop().create_future()
 
-        if hangs_in == "write":
+        if hanging_step == "write":
             monkeypatch.setattr("larkcrank.transport.connection.Connection.write", hang)
         else:
             monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", hang)
-        one = b.Endpoint("s-1")
-        await one.start()
-
-        stand = Stand(send_for(20.0), one)
-        stand.take()
-        outcome = await stand.outcome()
-        assert outcome.result is (api.Result.TIMEOUT if hangs_in == "write" else api.Result.CONNECT_FAILED)
-        await one.stop()
-
-    b.run(work())
-
-
-def test_a_probe_that_fails_unexpectedly_still_has_a_result(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without one the balancer would wait for it for good, and the server get nothing any more."""
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
+
+        harness = DriverHarness(send_with_timeout(20.0), endpoint)
+        harness.start_request()
+        outcome = await harness.wait_for_outcome()
+        assert outcome.result is (
+            api.Result.TIMEOUT if hanging_step == "write" else api.Result.CONNECT_FAILED
+        )
+        await endpoint.stop()
 
-    async def work() -> None:
-        async def broken(*_: object) -> None:
-            raise RuntimeError("planted")
+    testbed.run(scenario())
 
-        one = b.Endpoint("s-1")
-        await one.start()
-        monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", broken)
-        stand = Stand(lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], one)
-        stand.driver.dispatch(api.TimerFired(0))
-        await b.until(lambda: bool(stand.decisions.seen(api.ProbeResult)))
-        (probed,) = stand.decisions.seen(api.ProbeResult)
-        assert isinstance(probed, api.ProbeResult) and probed.result is api.Result.ERROR
-        await one.stop()
 
-    b.run(work())
+def test_probe_that_raises_still_has_a_result(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Without a result the balancer would wait for it forever and the server would get no more requests."""
 
+    async def scenario() -> None:
+        async def raise_error(*_: object) -> None:
+            raise RuntimeError("injected failure")
 
-@pytest.mark.parametrize(("up", "result"), [(True, api.Result.OK), (False, api.Result.CONNECT_FAILED)])
-def test_a_probe_asks_the_server_itself(up: bool, result: api.Result) -> None:
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        await one.start()
-        stand = Stand(lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], one)
-        if not up:
-            await one.stop()
-        stand.driver.dispatch(api.TimerFired(0))
-        await b.until(lambda: bool(stand.decisions.seen(api.ProbeResult)))
-        (probed,) = stand.decisions.seen(api.ProbeResult)
-        assert isinstance(probed, api.ProbeResult) and (probed.address, probed.result) == (b"s-1", result)
-        assert [request.target for request in one.requests] == ([b"/health/live"] if up else [])
-        await one.stop()
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
+        monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", raise_error)
+        harness = DriverHarness(
+            lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], endpoint
+        )
+        harness.driver.dispatch(api.TimerFired(0))
+        await testbed.until(lambda: bool(harness.balancer.events_of(api.ProbeResult)))
+        (probe_result,) = harness.balancer.events_of(api.ProbeResult)
+        assert isinstance(probe_result, api.ProbeResult) and probe_result.result is api.Result.ERROR
+        await endpoint.stop()
+
+    testbed.run(scenario())
+
+
+@pytest.mark.parametrize(("server_up", "result"), [(True, api.Result.OK), (False, api.Result.CONNECT_FAILED)])
+def test_probe_requests_the_health_endpoint(server_up: bool, result: api.Result) -> None:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
+        harness = DriverHarness(
+            lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], endpoint
+        )
+        if not server_up:
+            await endpoint.stop()
+        harness.driver.dispatch(api.TimerFired(0))
+        await testbed.until(lambda: bool(harness.balancer.events_of(api.ProbeResult)))
+        (probe_result,) = harness.balancer.events_of(api.ProbeResult)
+        assert isinstance(probe_result, api.ProbeResult) and (probe_result.address, probe_result.result) == (
+            b"s-1",
+            result,
+        )
+        assert [request.target for request in endpoint.requests] == ([b"/health/live"] if server_up else [])
+        await endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-async def watched(place: tuple[str, int], always: bool) -> tuple[DiscoveryClient, list[Listing], list[str]]:
+async def start_discovery_client(
+    host_port: tuple[str, int], watch_after_move: bool
+) -> tuple[DiscoveryClient, list[Listing], list[str]]:
     discovery = DiscoveryClient(
-        place, Descriptors(256), Names([], []), 250.0, always, Random(1), Counters(), lambda *_: None
+        host_port,
+        Descriptors(256),
+        Names([], []),
+        250.0,
+        watch_after_move,
+        Random(1),
+        Counters(),
+        lambda *_: None,
     )
     lists: list[Listing] = []
     failures: list[str] = []
@@ -337,184 +359,198 @@
     return discovery, lists, failures
 
 
-def test_a_watch_goes_on_and_a_second_call_for_it_is_no_other() -> None:
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        one.port = 9
-        toy = b.ToyDiscovery([one])
-        await toy.start()
-        discovery, lists, _ = await watched(("127.0.0.1", toy.port), always=False)
+def test_watch_continues_and_repeated_watch_calls_have_no_effect() -> None:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        endpoint.port = 9
+        discovery_server = testbed.ToyDiscovery([endpoint])
+        await discovery_server.start()
+        discovery, lists, _ = await start_discovery_client(
+            ("127.0.0.1", discovery_server.port), watch_after_move=False
+        )
         discovery.watch()
-        await b.until(lambda: len(toy.targets) == 2)  # the whole list, then the wait for changes
+        # The full list, then the wait for changes.
+        await testbed.until(lambda: len(discovery_server.targets) == 2)
         discovery.watch()
-        toy.tell(one)
-        await b.until(lambda: len(toy.targets) == 3)
+        discovery_server.tell(endpoint)
+        await testbed.until(lambda: len(discovery_server.targets) == 3)
         assert [(listing.generation, listing.whole) for listing in lists] == [(1, True), (2, False)]
-        assert toy.targets[0] == b"/registry/instances"
-        assert toy.targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
+        assert discovery_server.targets[0] == b"/registry/instances"
+        assert discovery_server.targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
         discovery.close()
-        before = asyncio.all_tasks()
+        tasks_before = asyncio.all_tasks()
         discovery.watch()
         discovery.fetch_list()
-        assert asyncio.all_tasks() == before  # at the end nothing is begun
-        await toy.stop()
+        assert asyncio.all_tasks() == tasks_before  # Nothing is started after close.
+        await discovery_server.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-@pytest.mark.parametrize("always", [False, True])
-def test_a_watch_that_fails_begins_again_by_itself_and_a_call_for_it_is_no_other(always: bool) -> None:
-    """Also where the balancer says when to begin: its waits are longer than a failed call allows."""
+@pytest.mark.parametrize("watch_after_move", [False, True])
+def test_failed_watch_retries_and_repeated_watch_calls_have_no_effect(watch_after_move: bool) -> None:
+    """This holds even if the balancer controls when to start, since its waits are longer than allowed after a
+    failed call.
+    """
 
-    async def work() -> None:
-        discovery, lists, failures = await watched(("127.0.0.1", 1), always)
+    async def scenario() -> None:
+        discovery, lists, failures = await start_discovery_client(("127.0.0.1", 1), watch_after_move)
         discovery.watch()
-        await b.until(lambda: len(failures) == 1)
+        await testbed.until(lambda: len(failures) == 1)
         tasks = asyncio.all_tasks()
         discovery.watch()
-        assert asyncio.all_tasks() == tasks  # the one that failed goes on
-        await b.until(lambda: len(failures) == 3)
+        assert asyncio.all_tasks() == tasks  # The failed watch continues.
+        await testbed.until(lambda: len(failures) == 3)
         assert not lists
         discovery.close()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_a_list_that_crashes_its_reader_is_told_as_a_failure() -> None:
-    """Else the watch would have ended and nobody would begin it again."""
+def test_list_callback_that_raises_is_reported_as_a_failure() -> None:
+    """Otherwise the watch would have ended and nothing would restart it."""
 
-    async def work() -> None:
-        toy = b.ToyDiscovery([])
-        await toy.start()
-        discovery, _, failures = await watched(("127.0.0.1", toy.port), always=False)
+    async def scenario() -> None:
+        discovery_server = testbed.ToyDiscovery([])
+        await discovery_server.start()
+        discovery, _, failures = await start_discovery_client(
+            ("127.0.0.1", discovery_server.port), watch_after_move=False
+        )
 
-        def crash(listing: Listing) -> None:
+        def raise_error(listing: Listing) -> None:
             raise ZeroDivisionError
 
-        discovery.on_list = crash
+        discovery.on_list = raise_error
         discovery.watch()
-        await b.until(lambda: len(failures) == 1)
+        await testbed.until(lambda: len(failures) == 1)
         discovery.close()
-        await toy.stop()
-
-    b.run(work())
+        await discovery_server.stop()
 
+    testbed.run(scenario())
 
-def test_an_old_connection_leaves_the_pool_before_the_endpoint_closes_it() -> None:
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        await one.start()
 
-        stand = Stand(send_on, one)
-        stand.pool.close()
-        stand.servers._pool = stand.pool = Pool(Descriptors(256), keepalive_ms=40.0)
-        await stand.take().response_future()
-        await b.until(lambda: one.ended == 1)
-        assert len(stand.pool) == 0
-        await one.stop()
+def test_pooled_connection_is_closed_after_the_keepalive_time() -> None:
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
 
-    b.run(work())
+        harness = DriverHarness(send_to_only_server, endpoint)
+        harness.pool.close()
+        harness.attempt_executor._pool = harness.pool = Pool(Descriptors(256), keepalive_ms=40.0)
+        await harness.start_request().response_future()
+        await testbed.until(lambda: endpoint.ended == 1)
+        assert len(harness.pool) == 0
+        await endpoint.stop()
 
+    testbed.run(scenario())
 
-def test_a_connection_that_comes_back_after_its_server_moved_is_not_used() -> None:
-    async def work() -> None:
-        gate = asyncio.Event()
 
-        old, new = b.Endpoint("s-1", b.after(gate)), b.Endpoint("s-1")
-        await old.start()
-        await new.start()
+def test_connection_to_the_old_address_is_not_reused_after_a_move() -> None:
+    async def scenario() -> None:
+        may_respond = asyncio.Event()
 
-        stand = Stand(send_on, old)
-        first = stand.take()
-        await b.until(lambda: len(old.requests) == 1)
-        stand.tell(new)
-        gate.set()
+        old_endpoint, new_endpoint = (
+            testbed.Endpoint("s-1", testbed.after(may_respond)),
+            testbed.Endpoint("s-1"),
+        )
+        await old_endpoint.start()
+        await new_endpoint.start()
+
+        harness = DriverHarness(send_to_only_server, old_endpoint)
+        first = harness.start_request()
+        await testbed.until(lambda: len(old_endpoint.requests) == 1)
+        harness.announce(new_endpoint)
+        may_respond.set()
         await first.response_future()
-        await stand.take().response_future()
-        assert (len(old.requests), len(new.requests)) == (1, 1)
-        await old.stop()
-        await new.stop()
+        await harness.start_request().response_future()
+        assert (len(old_endpoint.requests), len(new_endpoint.requests)) == (1, 1)
+        await old_endpoint.stop()
+        await new_endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_no_use_of_descriptors_starves_another() -> None:
+def test_descriptor_uses_do_not_starve_each_other() -> None:
     descriptors = Descriptors(132)
     assert sum(descriptors.take(Use.CLIENT) for _ in range(200)) == 85
     assert sum(descriptors.take(Use.ATTEMPT) for _ in range(200)) == 13
     assert sum(descriptors.take(Use.DISCOVERY) for _ in range(200)) == 2
     assert not descriptors.take(Use.CLIENT) and descriptors.used == 100
-    woken: list[int] = []
-    descriptors.when_free(lambda: woken.append(1))
+    wakeups: list[int] = []
+    descriptors.when_free(lambda: wakeups.append(1))
     assert descriptors.wanted
     descriptors.give_back(Use.CLIENT)
-    assert woken == [1] and not descriptors.wanted and descriptors.take(Use.CLIENT)
+    assert wakeups == [1] and not descriptors.wanted and descriptors.take(Use.CLIENT)
 
 
-def test_a_flood_of_lines_is_cut_and_counted() -> None:
-    out = io.BytesIO()
-    log = Log("n0", out)
+def test_log_limits_lines_per_second() -> None:
+    log_output = io.BytesIO()
+    log = Log("n0", log_output)
     for _ in range(5 * MOST_A_SECOND):
         log.event("same")
-    lines = [json.loads(line) for line in out.getvalue().splitlines()]
+    lines = [json.loads(line) for line in log_output.getvalue().splitlines()]
     assert len(lines) < 5 * MOST_A_SECOND and all(line["sidecar"] == "n0" for line in lines)
 
 
-def test_the_clock_fits_unix_time_and_never_runs_backwards(monkeypatch: pytest.MonkeyPatch) -> None:
-    times = {"time": 1000.0, "monotonic": 50.0}
-    monkeypatch.setattr("time.time", lambda: times["time"])
-    monkeypatch.setattr("time.monotonic", lambda: times["monotonic"])
+def test_clock_follows_unix_time_and_never_runs_backwards(monkeypatch: pytest.MonkeyPatch) -> None:
+    clock_times = {"time": 1000.0, "monotonic": 50.0}
+    monkeypatch.setattr("time.time", lambda: clock_times["time"])
+    monkeypatch.setattr("time.monotonic", lambda: clock_times["monotonic"])
     clock = Clock()
     assert clock() == 1000_000.0
-    times |= {"time": 10.0, "monotonic": 51.0}  # the system's clock was set back
+    clock_times |= {"time": 10.0, "monotonic": 51.0}  # The system's clock was set back.
     assert clock() == 1001_000.0
 
 
-def test_what_waited_unread_while_the_process_stood_still_came_before(
+def test_data_read_after_a_stall_counts_as_arrived_before_it(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its client's time ran meanwhile: counted from the reading, the final answer would come too late."""
+    """The client's time ran during the stall. Counted from the moment of reading, the final response would
+    come too late.
+    """
 
-    async def work() -> None:
-        now = 50.0
-        monkeypatch.setattr("larkcrank.program.clock.time.monotonic", lambda: now)
+    async def scenario() -> None:
+        now_s = 50.0
+        monkeypatch.setattr("larkcrank.program.clock.time.monotonic", lambda: now_s)
         clock = Clock()
         clock.beat()
-        began = clock()
-        now += 0.03  # the loop is a little late: usual
-        assert clock.earliest() == clock() == began + 30.0
-        now += 0.5  # it had no CPU
-        assert clock.earliest() == began
+        started_at = clock()
+        now_s += 0.03  # The loop is slightly late, which is usual.
+        assert clock.earliest() == clock() == started_at + 30.0
+        now_s += 0.5  # The process got no CPU time.
+        assert clock.earliest() == started_at
         clock.beat()
         assert clock.earliest() == clock()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_after_an_attempt_without_an_answer_old_connections_are_not_used() -> None:
-    """A machine that is cut off says nothing on them; a new connection that fails proves that nothing ran."""
+def test_pooled_connections_are_closed_after_an_unanswered_attempt() -> None:
+    """A machine that is cut off does not respond on pooled connections, whereas a failing new connection
+    proves that nothing ran.
+    """
 
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        await one.start()
+    async def scenario() -> None:
+        endpoint = testbed.Endpoint("s-1")
+        await endpoint.start()
 
-        stand = Stand(send_for(300.0), one)
-        first, second = stand.take(), stand.take()
+        harness = DriverHarness(send_with_timeout(300.0), endpoint)
+        first, second = harness.start_request(), harness.start_request()
         await asyncio.gather(first.response_future(), second.response_future())
-        assert len(stand.pool) == 2
-        one.serve = b.say_nothing
-        stand.take()
-        await b.until(lambda: len(stand.decisions.seen(api.Outcome)) == 3)
-        await b.until(lambda: one.ended == 2)
-        assert len(stand.pool) == 0
-        await one.stop()
+        assert len(harness.pool) == 2
+        endpoint.serve = testbed.say_nothing
+        harness.start_request()
+        await testbed.until(lambda: len(harness.balancer.events_of(api.Outcome)) == 3)
+        await testbed.until(lambda: endpoint.ended == 2)
+        assert len(harness.pool) == 0
+        await endpoint.stop()
 
-    b.run(work())
+    testbed.run(scenario())
 
 
-def test_the_log_tells_when_discovery_fails_and_when_it_answers_again() -> None:
-    async def work() -> None:
-        async with b.bed(b.Endpoint("s-1")) as bed:
+def test_log_reports_discovery_failure_and_recovery_once() -> None:
+    async def scenario() -> None:
+        async with testbed.bed(testbed.Endpoint("s-1")) as bed:
             driver = bed.sidecar._driver
             driver._discovery_failed("down")
             driver._discovery_failed("still down")
@@ -524,11 +560,11 @@
                 "discovery_answers",
             ]
 
-    b.run(work())
+    testbed.run(scenario())
 
 
 @pytest.mark.parametrize(
-    "text",
+    "response",
     [
         http1.response_bytes(503, (), b""),
         http1.response_bytes(200, (), b"no list"),
@@ -537,20 +573,20 @@
         b"nonsense\r\n\r\n",
     ],
 )
-def test_an_answer_of_discovery_that_is_no_list_is_a_failure(text: bytes) -> None:
-    async def work() -> None:
-        async def answer(reader: b.Reader, writer: b.Writer) -> None:
+def test_invalid_discovery_response_is_a_failure(response: bytes) -> None:
+    async def scenario() -> None:
+        async def answer(reader: testbed.Reader, writer: testbed.Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(text)
+            writer.write(response)
             writer.close()
 
         server = await asyncio.start_server(answer, "127.0.0.1", 0)
-        place = ("127.0.0.1", server.sockets[0].getsockname()[1])
-        discovery, lists, failures = await watched(place, always=False)
+        host_port = ("127.0.0.1", server.sockets[0].getsockname()[1])
+        discovery, lists, failures = await start_discovery_client(host_port, watch_after_move=False)
         discovery.watch()
-        await b.until(lambda: len(failures) == 1)
+        await testbed.until(lambda: len(failures) == 1)
         assert not lists
         discovery.close()
         server.close()
 
-    b.run(work())
+    testbed.run(scenario())
