--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -164,11 +164,11 @@
         await new.start()
         async with house(*old, sockets=sockets) as (bed, away, crowd):
             sidecar = bed.sidecar
-            waiting = x.Waiting(bed) if how == "asks" else None
+            waiting = x.ManualBalancer(bed) if how == "asks" else None
             for count in range(1, 4):
                 await crowd.come(how, 1)
                 if waiting is not None:
-                    waiting.say(api.Send(await waiting.request(count), b"s-1"))
+                    waiting.decide(api.Send(await waiting.wait_for_request(count), b"s-1"))
             await b.until(lambda: sum(one.opened for one in old) == 3)
             await crowd.come("half")
             await full(sidecar)
@@ -180,8 +180,8 @@
             assert await bed.operator(b"PING\n") == b"200 ready\n"
             if waiting is not None:
                 gate.set()  # and those that hung have their answers
-                await b.until(lambda: len(waiting.seen(api.Outcome)) == 3)
-                assert all(one.result is api.Result.OK for one in waiting.seen(api.Outcome))
+                await b.until(lambda: len(waiting.events_of(api.Outcome)) == 3)
+                assert all(one.result is api.Result.OK for one in waiting.events_of(api.Outcome))
             assert sidecar.counters.crashed == 0
 
     b.run(work())
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -232,7 +232,7 @@
         async with b.bed(one) as bed:
             client = await bed.client()
             if pool:
-                await x.pooled(bed, client)
+                await x.open_pooled_connection(bed, client)
 
             def handed_over(stream: IOStream, data: memoryview) -> int:
                 if stream.socket.getpeername()[1] == one.port:
@@ -241,7 +241,7 @@
 
             monkeypatch.setattr(Connection, "has_ended", looked)
             monkeypatch.setattr(IOStream, "write_to_fd", handed_over)
-            x.ask(client, shape)
+            x.send_request(client, shape)
             await b.until(lambda: "bytes" in order)
             first = order.index("bytes")
             assert order[first - 1] == "look" and order.count("look") == (1 if pool else 2)
@@ -258,14 +258,14 @@
         async with b.bed(one) as bed:
             client = await bed.client()
             if pool:
-                await x.pooled(bed, client)
+                await x.open_pooled_connection(bed, client)
             connects = bed.sidecar.counters.connects
-            waiting = x.Waiting(bed)
+            waiting = x.ManualBalancer(bed)
             client.send("view")
-            number = await waiting.request()
-            x.leave(client, "closed")
-            waiting.say(api.Send(number, b"s-1"))
-            await b.until(lambda: bool(waiting.seen(api.ClientGone)))
+            number = await waiting.wait_for_request()
+            x.disconnect(client, "closed")
+            waiting.decide(api.Send(number, b"s-1"))
+            await b.until(lambda: bool(waiting.events_of(api.ClientGone)))
             assert len(bed.sidecar.pool) == pool and bed.sidecar.counters.connects == connects
 
     b.run(work())
@@ -383,17 +383,17 @@
         one = b.Endpoint("s-1")
         async with b.bed(one, sockets=4 * MANY) as bed:
             clients = [await bed.client() for _ in range(MANY)]
-            waiting, looks = x.Waiting(bed), Looks(monkeypatch)
+            waiting, looks = x.ManualBalancer(bed), Looks(monkeypatch)
             for client in clients:
-                x.ask(client, shape)
-            await b.until(lambda: len(waiting.seen(api.Request)) == MANY)
+                x.send_request(client, shape)
+            await b.until(lambda: len(waiting.events_of(api.Request)) == MANY)
             if shape == "ahead":
                 await b.until(lambda: len(bed.sidecar.clients._close_watch) == MANY)
             looks.singly = 0
             for index, client in enumerate(clients):
-                x.leave(client, ("closed", "reset", "half-closed")[index % 3])
+                x.disconnect(client, ("closed", "reset", "half-closed")[index % 3])
             if sent:
-                waiting.say(*(api.Send(request.id, b"s-1") for request in waiting.seen(api.Request)))
+                waiting.decide(*(api.Send(request.id, b"s-1") for request in waiting.events_of(api.Request)))
             await b.until(lambda: not bed.sidecar.clients.open_count)
             counters = bed.sidecar.counters
             assert (counters.gone_before_send, counters.sends, counters.connects) == (MANY, 0, 0)
@@ -417,7 +417,7 @@
         async def leave_and_answer(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
             await gate.wait()
             if len(one.requests) == 1:
-                x.leave(leaver, how)
+                x.disconnect(leaver, how)
             await b.say_ok(endpoint, request, writer)  # the turn is over in the moment in which it leaves
 
         one = b.Endpoint("s-1", leave_and_answer)
@@ -446,13 +446,13 @@
         client: b.Client
 
         async def leave_and_fail(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            x.leave(client, "closed")
+            x.disconnect(client, "closed")
             await failure(endpoint, request, writer)
 
         servers = [b.Endpoint(f"s-{number}", leave_and_fail) for number in range(3)]
         async with b.bed(*servers) as bed:
             client = await bed.client()
-            x.ask(client, shape)
+            x.send_request(client, shape)
             await b.until(lambda: not bed.sidecar.clients.open_count and bed.sidecar.counters.taken == 1)
             await b.until(lambda: not bed.sidecar._servers.active_attempts)
             assert (bed.sidecar.counters.clients_gone, bed.sidecar.counters.sends) == (1, 1)
@@ -494,7 +494,7 @@
             new = await world.run()
             await world.said(new, "ready")
             old.send_signal(signal.SIGTERM)
-            x.leave(leaver, how)
+            x.disconnect(leaver, how)
             gate.set()
             assert (await first.answer()).status == 200
             counters = await world.said(old, "counters")
