--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -129,7 +129,7 @@
                 session.task.cancel()
 
     def _evict_idle(self) -> bool:
-        """Close one idle connection, preferring those that were never served, once it was idle for the
+        """Close one idle connection, preferring those that were never served, if it has been idle for the
         minimum time. Returns whether one was closed.
         """
         idle_since = asyncio.get_running_loop().time() - MIN_IDLE_BEFORE_EVICTION_S
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -35,7 +35,7 @@
 PRIMARY_CHECK_TIMEOUT_S = 0.7  # Time limit for checking the primary address while a fallback is in use.
 CHECK_WAIT_MS = 50  # Wait of a call that checks whether discovery responds at all.
 MAX_LIST_BYTES = 4 << 20
-GATE_POLL_INTERVAL_S = 0.1  # Interval between checks whether a call is allowed.
+MAY_CALL_POLL_INTERVAL_S = 0.1  # Interval between checks whether a call is allowed.
 
 
 class CallKind(Enum):
@@ -194,6 +194,7 @@
                 task.cancel()
 
     async def _watch_loop(self) -> None:
+        """Watch for changes until cancelled, and retry calls that fail."""
         connection = _DiscoveryConnection(self._host_port, self._descriptors, self._connect_timeout_ms)
         retry_intervals = _RetryIntervals(self._retry_spread_s, self._rng)
         loop = asyncio.get_running_loop()
@@ -306,7 +307,7 @@
         """
         while self.may_call is not None and not self.may_call():
             self._availability_unknown = True
-            await asyncio.sleep(GATE_POLL_INTERVAL_S)
+            await asyncio.sleep(MAY_CALL_POLL_INTERVAL_S)
 
     async def _wait_before_retry(self, retry_intervals: "_RetryIntervals", took_s: float) -> None:
         """Wait after a call that failed after `took_s`. The interval to the next call counts from the start
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -39,7 +39,8 @@
     """A long request body on its way from the client to an endpoint. The client side appends parts; an
     attempt consumes them.
 
-    The start of the body stays buffered, so that it can be sent again, until the buffer exceeds `HELD` bytes.
+    The start of the body stays buffered, so that it can be sent again, until the buffer exceeds the limit for
+    bodies held in memory.
     """
 
     def __init__(self, first_part: bytes, budget: Budget) -> None:
@@ -140,9 +141,9 @@
     class_index: int
     call_info: Call
     request: http1.Request
-    arrived_at: float
-    deadline: float
-    streaming: bool
+    arrived_at: float  # In ms of the process clock.
+    deadline: float  # In ms of the process clock.
+    streaming: bool  # Whether responses of the request's class are streamed.
     tenant_index: int = 0
     upload: Upload | None = None  # The body, if it is forwarded while it is still being received.
     client_timeout_ms: float = 0.0  # How long the client waits, counted from the last byte of the request.
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -1,7 +1,9 @@
-"""After a failed call to discovery, its next word comes within 6 s of its return: aimed at are 5 s.
+"""After discovery has failed and recovered, its news must reach each sidecar within 6 s.
 
-Sidecars and discovery are real and talk over loopback sockets; time is virtual (`virtual_loop.py`), so that
-a minute costs a moment and what is measured does not hang on how busy the machine is.
+The tests demand 5 s.
+
+Sidecars and discovery are real and communicate over loopback sockets. Time is virtual (`virtual_loop.py`), so
+that a minute passes at once and the measured delays do not depend on the load of the machine.
 """
 
 import asyncio
@@ -28,11 +30,11 @@
 from larkcrank.program.sidecar import Sidecar
 from larkcrank.protocol import http1
 from larkcrank.routing import discovery
-from tests import bed as b
+from tests import bed as testbed
 from tests import virtual_loop
 from tests.frames import CONFIG
 
-WAYS = (
+FAILURE_MODES = (
     "refused",
     "never comes up",
     "reset",
@@ -46,35 +48,40 @@
     "flood",
     "no list",
 )
-TOLD_S = 5.0  # aimed at; 6 s are allowed
-SIDECARS = 20
-CALM_S = 10.0  # by then all watch: the first calls of those that have to ask are spread over 3 s
-HOST = f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}"  # its ports are nobody else's
-LIMIT_S = 1000.0  # of virtual time: it ends a test that hangs
+MAX_NEWS_DELAY_S = 5.0  # The target; the contract allows 6 s.
+SIDECAR_COUNT = 20
+# After this time all sidecars watch. The first calls of those that have to ask are spread over 3 s.
+SETTLE_S = 10.0
+# No other process uses ports of this address.
+LOOPBACK_HOST = f"127.77.{os.getpid() >> 8 & 255}.{os.getpid() & 255 or 1}"
+TEST_TIMEOUT_S = 1000.0  # Virtual time after which a test that hangs is ended.
 
 
-def _line(number: int, lifecycle: str) -> dict[str, object]:
-    return {"instanceId": f"s-{number}", "hostPort": f"127.0.0.1:{9 + number}", "lifecycle": lifecycle}
+def _list_entry(index: int, lifecycle: str) -> dict[str, object]:
+    return {"instanceId": f"s-{index}", "hostPort": f"127.0.0.1:{9 + index}", "lifecycle": lifecycle}
 
 
-class Service:
-    """Discovery with one list, which can fail in every way; a call that came while it failed stays failed."""
+class FakeDiscovery:
+    """A discovery server with one list that can fail in each of `FAILURE_MODES`. A call that arrives while it
+    fails is never answered properly.
+    """
 
     def __init__(self) -> None:
-        self.way = ""  # to fail; "" is none
+        self.failure_mode = ""  # "" means that it works.
         self.drained = False
-        self.crosses = False  # a second call on a connection meets its end; one on a new one hangs
+        # A second call on a connection is reset; a call on a new connection hangs.
+        self.resets_reused_connections = False
         self.calls: list[tuple[float, bytes]] = []
-        self.answered = 0
+        self.answer_count = 0
         self._changed, self._never = asyncio.Event(), asyncio.Event()
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sock: socket.socket | None = None
-        self._fillers: list[socket.socket] = []
+        self._unaccepted_socket: socket.socket | None = None
+        self._filler_sockets: list[socket.socket] = []
         self._server: asyncio.Server | None = None
         self.port = 0
 
-    # What a test does with it
+    # Interface for tests
 
     async def start(self) -> None:
         sock = self._listen(128)
@@ -83,54 +90,58 @@
     def _listen(self, backlog: int) -> socket.socket:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind((HOST, self.port))
+        sock.bind((LOOPBACK_HOST, self.port))
         sock.listen(backlog)
         sock.setblocking(False)
         self.port = sock.getsockname()[1]
         return sock
 
-    def drain(self, watches: bool = True) -> None:
-        """From now on it tells that the first server drains, new callers alone where `watches` is off."""
+    def drain(self, notify_watches: bool = True) -> None:
+        """Report from now on that the first server drains. With `notify_watches` off, only new callers are
+        told.
+        """
         self.drained = True
-        if watches:
+        if notify_watches:
             self._changed.set()
 
-    def touch(self) -> None:
-        """Answer all watches with nothing."""
+    def answer_watches(self) -> None:
+        """Answer all watches with an empty list of changes."""
         self._changed.set()
 
-    async def fail(self, way: str, ends: bool = True) -> None:
-        """Fail in this way from now on; open watches end, or stay silent for good."""
-        self.way = way
-        if ends:
+    async def fail(self, failure_mode: str, end_watches: bool = True) -> None:
+        """Fail in this mode from now on. Open watches are reset, or stay silent for good if `end_watches` is
+        off.
+        """
+        self.failure_mode = failure_mode
+        if end_watches:
             for writer in list(self._writers):
-                _reset(writer)
-        if way in ("refused", "never comes up"):
+                _reset_connection(writer)
+        if failure_mode in ("refused", "never comes up"):
             assert self._server is not None
             self._server.close()
             self._server = None
-        if way == "never comes up":  # a full backlog: the kernel drops what asks for a connection
-            self._sock = self._listen(0)
+        if failure_mode == "never comes up":  # With a full backlog the kernel drops connection requests.
+            self._unaccepted_socket = self._listen(0)
             for _ in range(4):
                 filler = socket.socket()
                 filler.setblocking(False)
-                filler.connect_ex((HOST, self.port))
-                self._fillers.append(filler)
-
-    async def heal(self) -> None:
-        """Every new call is answered from now on."""
-        self.way = ""
-        for one in self._fillers:
-            one.close()
-        self._fillers.clear()
-        if self._sock is not None:
-            self._sock.close()
-            self._sock = None
+                filler.connect_ex((LOOPBACK_HOST, self.port))
+                self._filler_sockets.append(filler)
+
+    async def recover(self) -> None:
+        """Answer every new call from now on."""
+        self.failure_mode = ""
+        for filler_socket in self._filler_sockets:
+            filler_socket.close()
+        self._filler_sockets.clear()
+        if self._unaccepted_socket is not None:
+            self._unaccepted_socket.close()
+            self._unaccepted_socket = None
         if self._server is None:
             await self.start()
 
     async def stop(self) -> None:
-        await self.heal()
+        await self.recover()
         assert self._server is not None
         self._server.close()
         for writer in list(self._writers):
@@ -138,23 +149,26 @@
         for task in self._tasks:
             task.cancel()
 
-    # What it does with calls
+    # Handling of calls
 
-    async def _connected(self, reader: b.Reader, writer: b.Writer) -> None:
+    async def _connected(self, reader: testbed.Reader, writer: testbed.Writer) -> None:
         self._writers.add(writer)
         task = asyncio.current_task()
         assert task is not None
         self._tasks.add(task)
-        parser, answered = http1.RequestParser(), False
+        parser, connection_used = http1.RequestParser(), False
         try:
-            while (request := await b.read_request(reader, parser)) is not None:
+            while (request := await testbed.read_request(reader, parser)) is not None:
                 self.calls.append((asyncio.get_running_loop().time(), request.target))
-                if self.crosses and answered:
-                    _reset(writer)
+                if self.resets_reused_connections and connection_used:
+                    _reset_connection(writer)
                     break
-                answered = True
+                connection_used = True
                 if not await self._serve(
-                    request.target, reader, writer, "hang" if self.crosses else self.way
+                    request.target,
+                    reader,
+                    writer,
+                    "hang" if self.resets_reused_connections else self.failure_mode,
                 ):
                     break
         except (ConnectionError, asyncio.CancelledError):
@@ -164,13 +178,15 @@
             self._tasks.discard(task)
             writer.close()
 
-    async def _serve(self, target: bytes, reader: b.Reader, writer: b.Writer, way: str) -> bool:
-        """Whether the connection goes on."""
-        match way:
+    async def _serve(
+        self, target: bytes, reader: testbed.Reader, writer: testbed.Writer, failure_mode: str
+    ) -> bool:
+        """Answer one call in the given mode. Returns whether the connection stays open."""
+        match failure_mode:
             case "":
-                return await self._tell(target, writer)
+                return await self._send_list(target, writer)
             case "reset":
-                _reset(writer)
+                _reset_connection(writer)
                 return False
             case "503":
                 writer.write(http1.response_bytes(503, (), b""))
@@ -190,130 +206,146 @@
                     writer.write(b"10000\r\n" + b" " * 65536 + b"\r\n")
                     await writer.drain()
                 return False
-        begun = {
+        partial_response = {
             "hang": b"",
             "hang within the head": b"HTTP/1.1 200 OK\r\nContent-Le",
             "hang within the body": b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"generation":',
             "half a head": b"HTTP/1.1 200 OK\r\nContent-Le",
             "half a body": b'HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n{"generation":',
-        }[way]
-        writer.write(begun)
-        if way.startswith("hang"):
-            await reader.read()  # for as long as the caller has patience
+        }[failure_mode]
+        writer.write(partial_response)
+        if failure_mode.startswith("hang"):
+            await reader.read()  # Hangs until the caller gives up.
         return False
 
-    async def _tell(self, target: bytes, writer: b.Writer) -> bool:
+    async def _send_list(self, target: bytes, writer: testbed.Writer) -> bool:
         generation = 2 if self.drained else 1
         if b"after=" in target:
-            after, wait_ms = (int(part.rpartition(b"=")[2]) for part in target.split(b"&"))
-            if after >= generation:
+            known_generation, wait_ms = (int(part.rpartition(b"=")[2]) for part in target.split(b"&"))
+            if known_generation >= generation:
                 try:
                     async with asyncio.timeout(wait_ms / 1000.0):
                         await (self._never if self.drained else self._changed).wait()
                 except TimeoutError:
                     pass
-                if self.way:
-                    return True  # it waits in vain
+                if self.failure_mode:
+                    return True  # The watch is never answered.
                 generation = 2 if self.drained else 1
-            lines = [_line(0, "Terminating")] if generation > after else []
-            text = {"generation": generation, "reset": False, "instances": lines}
+            list_entries = [_list_entry(0, "Terminating")] if generation > known_generation else []
+            response_body = {"generation": generation, "reset": False, "instances": list_entries}
         else:
-            first = [_line(0, "Terminating" if self.drained else "Ready")]
-            text = {"generation": generation, "reset": True, "instances": [*first, _line(1, "Ready")]}
-        writer.write(http1.response_bytes(200, (), json.dumps(text).encode()))
-        self.answered += 1
+            first_entry = [_list_entry(0, "Terminating" if self.drained else "Ready")]
+            response_body = {
+                "generation": generation,
+                "reset": True,
+                "instances": [*first_entry, _list_entry(1, "Ready")],
+            }
+        writer.write(http1.response_bytes(200, (), json.dumps(response_body).encode()))
+        self.answer_count += 1
         return True
 
 
-def _reset(writer: b.Writer) -> None:
+def _reset_connection(writer: testbed.Writer) -> None:
     sock = writer.get_extra_info("socket")
     if sock.fileno() >= 0:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
-def _free_ports(count: int) -> list[int]:
-    socks = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
-    for sock in socks:
-        sock.bind((HOST, 0))
-    ports = [sock.getsockname()[1] for sock in socks]
-    for sock in socks:
+def _find_free_ports(count: int) -> list[int]:
+    udp_sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(count)]
+    for sock in udp_sockets:
+        sock.bind((LOOPBACK_HOST, 0))
+    ports = [sock.getsockname()[1] for sock in udp_sockets]
+    for sock in udp_sockets:
         sock.close()
     return ports
 
 
-def _together(number: int, ports: list[int]) -> dict[str, object]:
-    seeds = ",".join(f"{HOST}:{port}" for port in ports[:3])
-    own = f"{HOST}:{ports[number]}"
-    return {"name": "t", "listen": own, "public": own, "seeds": seeds, "recovery": {"same_places": True}}
+def _fleet_settings(index: int, ports: list[int]) -> dict[str, object]:
+    seeds = ",".join(f"{LOOPBACK_HOST}:{port}" for port in ports[:3])
+    own_address = f"{LOOPBACK_HOST}:{ports[index]}"
+    return {
+        "name": "t",
+        "listen": own_address,
+        "public": own_address,
+        "seeds": seeds,
+        "recovery": {"same_places": True},
+    }
 
 
-class Fleet:
-    """Sidecars that go by a service, and when each was told of the drain."""
+class SidecarFleet:
+    """Sidecars that use one discovery server, and the time at which each learned of the drain."""
 
-    def __init__(self, service: Service, count: int, mode: str, seed: int, **changes: Any) -> None:
-        self.service, self.told = service, dict[int, float]()
-        asked = mode.startswith("asked")
-        settings = CONFIG | {
-            "grades": b.CLASSES,
-            "registry-mode": "subscribe" if asked else "automatic",
+    def __init__(
+        self, discovery_server: FakeDiscovery, count: int, fleet_mode: str, seed: int, **config_overrides: Any
+    ) -> None:
+        self.discovery_server, self.learned_at = discovery_server, dict[int, float]()
+        by_request = fleet_mode.startswith("asked")
+        common_settings = CONFIG | {
+            "grades": testbed.CLASSES,
+            "registry-mode": "subscribe" if by_request else "automatic",
             "n-instances": count,
             "bounds": CONFIG["bounds"] | {"peers": True},
         }
-        ports = _free_ports(count) if mode.endswith("by turns") else []
-        self.files = [
+        ports = _find_free_ports(count) if fleet_mode.endswith("by turns") else []
+        self.config_files = [
             {
-                "name": f"n{number}",
+                "name": f"n{index}",
                 "listen": "127.0.0.1:0",
-                "discovery": f"{HOST}:{service.port}",
-                "seed": str(seed * 1000 + number),
+                "discovery": f"{LOOPBACK_HOST}:{discovery_server.port}",
+                "seed": str(seed * 1000 + index),
                 "limits": {"sockets": 64, "memory_mb": 64.0},
                 "known": {
                     "generation": 1,
                     "reset": True,
-                    "instances": [_line(0, "Ready"), _line(1, "Ready")],
+                    "instances": [_list_entry(0, "Ready"), _list_entry(1, "Ready")],
                 },
-                "settings": settings | {"ordinal": number},
-                "fleet": _together(number, ports) if ports else None,
-                **changes,
+                "settings": common_settings | {"ordinal": index},
+                "fleet": _fleet_settings(index, ports) if ports else None,
+                **config_overrides,
             }
-            for number in range(count)
+            for index in range(count)
         ]
-        self.sidecars = [self._sidecar(number) for number in range(count)]
+        self.sidecars = [self._sidecar(index) for index in range(count)]
 
-    def _sidecar(self, number: int) -> Sidecar:
-        def read() -> config.Config:
-            return config.parse(json.dumps(self.files[number]).encode(), {}, again=True)
+    def _sidecar(self, index: int) -> Sidecar:
+        def read_config() -> config.Config:
+            return config.parse(json.dumps(self.config_files[index]).encode(), {}, again=True)
 
-        sidecar = Sidecar(read(), Log(f"n{number}", io.BytesIO()), read)
-        self.listen(number, sidecar)
+        sidecar = Sidecar(read_config(), Log(f"n{index}", io.BytesIO()), read_config)
+        self.record_drains(index, sidecar)
         return sidecar
 
-    def listen(self, number: int, sidecar: Sidecar) -> None:
-        """Note when its decisions know of the drain."""
-        decisions = sidecar._driver._balancer
-        handle = decisions.handle
+    def record_drains(self, index: int, sidecar: Sidecar) -> None:
+        """Record when the balancer of this sidecar learns of the drain."""
+        balancer = sidecar._driver._balancer
+        handle = balancer.handle
 
-        def noting(now: float, event: api.Event) -> list[api.Action]:
+        def record_drain(now: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.ServerList):
-                drains = [one for one in event.endpoints if one.state is api.State.DRAINING]
-                if drains:
-                    self.told.setdefault(number, asyncio.get_running_loop().time())
+                draining_endpoints = [
+                    endpoint for endpoint in event.endpoints if endpoint.state is api.State.DRAINING
+                ]
+                if draining_endpoints:
+                    self.learned_at.setdefault(index, asyncio.get_running_loop().time())
             return handle(now, event)
 
-        sidecar._driver._balancer.handle = noting  # type: ignore[method-assign]
+        sidecar._driver._balancer.handle = record_drain  # type: ignore[method-assign]
 
-    def move(self, port: int) -> None:
-        for file, sidecar in zip(self.files, self.sidecars, strict=True):
-            file["discovery"] = f"{HOST}:{port}"
+    def move_discovery(self, port: int) -> None:
+        for config_file, sidecar in zip(self.config_files, self.sidecars, strict=True):
+            config_file["discovery"] = f"{LOOPBACK_HOST}:{port}"
             sidecar.reload()
 
-    async def worst(self, since: float, left: int = SIDECARS) -> float:
-        """How long after that moment the last one was told, of the last so many."""
-        last = range(len(self.sidecars))[-left:]
-        while not all(number in self.told for number in last):
+    async def longest_delay(self, start_time: float, remaining_count: int = SIDECAR_COUNT) -> float:
+        """Wait until the last `remaining_count` sidecars have learned of the drain. Returns the longest delay
+        since `start_time`.
+        """
+        awaited_indexes = range(len(self.sidecars))[-remaining_count:]
+        while not all(index in self.learned_at for index in awaited_indexes):
             await asyncio.sleep(0.01)
-        return max(self.told[number] for number in last) - since
+        return max(self.learned_at[index] for index in awaited_indexes) - start_time
 
     def close(self) -> None:
         for sidecar in self.sidecars:
@@ -321,67 +353,74 @@
 
 
 @asynccontextmanager
-async def fleet(mode: str, count: int = SIDECARS, seed: int = 1) -> AsyncIterator[tuple[Fleet, Service]]:
-    service = Service()
-    await service.start()
-    some = Fleet(service, count, mode, seed)
+async def running_fleet(
+    fleet_mode: str, count: int = SIDECAR_COUNT, seed: int = 1
+) -> AsyncIterator[tuple[SidecarFleet, FakeDiscovery]]:
+    discovery_server = FakeDiscovery()
+    await discovery_server.start()
+    sidecar_fleet = SidecarFleet(discovery_server, count, fleet_mode, seed)
     try:
-        for sidecar in some.sidecars:
+        for sidecar in sidecar_fleet.sidecars:
             sidecar.start()
-        async with asyncio.timeout(LIMIT_S):
-            yield some, service
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            yield sidecar_fleet, discovery_server
     finally:
-        some.close()
-        await service.stop()
+        sidecar_fleet.close()
+        await discovery_server.stop()
 
 
 def now() -> float:
     return asyncio.get_running_loop().time()
 
 
-async def found(
-    way: str,
-    mode: str,
-    lasts: float,
+async def measure_longest_delay(
+    failure_mode: str,
+    fleet_mode: str,
+    outage_s: float,
     seed: int = 1,
-    count: int = SIDECARS,
-    change: Callable[[Fleet, Service], None] = lambda some, service: None,
-    left: int = SIDECARS,
+    count: int = SIDECAR_COUNT,
+    on_failure: Callable[[SidecarFleet, FakeDiscovery], None] = lambda sidecar_fleet, discovery_server: None,
+    remaining_count: int = SIDECAR_COUNT,
 ) -> float:
-    """Watches end and every call fails in this way for so long; a drain came meanwhile. The worst time.
+    """Let discovery fail for `outage_s`, with a drain in the meantime. Returns the longest delay until a
+    sidecar learned of it.
 
-    `change`: what else happens as it begins to fail; the last `left` sidecars are there to be told.
+    `on_failure` is called as discovery begins to fail. Only the last `remaining_count` sidecars have to learn
+    of the drain.
     """
-    async with fleet(mode, count, seed) as (some, service):
-        await asyncio.sleep(CALM_S)
-        await service.fail(way)
-        change(some, service)
-        await asyncio.sleep(lasts / 2)
-        service.drain()
-        await asyncio.sleep(lasts / 2)
-        assert not some.told
-        await service.heal()
-        return await some.worst(now(), left)
-
-
-def measured(monkeypatch: pytest.MonkeyPatch, work: Callable[[], Any]) -> float:
+    async with running_fleet(fleet_mode, count, seed) as (sidecar_fleet, discovery_server):
+        await asyncio.sleep(SETTLE_S)
+        await discovery_server.fail(failure_mode)
+        on_failure(sidecar_fleet, discovery_server)
+        await asyncio.sleep(outage_s / 2)
+        discovery_server.drain()
+        await asyncio.sleep(outage_s / 2)
+        assert not sidecar_fleet.learned_at
+        await discovery_server.recover()
+        return await sidecar_fleet.longest_delay(now(), remaining_count)
+
+
+def run_in_virtual_time(monkeypatch: pytest.MonkeyPatch, scenario: Callable[[], Any]) -> float:
     result: list[float] = []
     monkeypatch.setattr(speaker, "secrets", SimpleNamespace(randbits=Random(5).getrandbits))
 
-    async def keep() -> None:
-        result.append(await work())
+    async def store_result() -> None:
+        result.append(await scenario())
 
-    virtual_loop.run(keep(), monkeypatch)
+    virtual_loop.run(store_result(), monkeypatch)
     return result[0]
 
 
-def test_a_watch_is_aborted_and_the_next_call_hangs_unanswered(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As it was found: the next watch waited its 60 s though the call before it had failed."""
-    assert measured(monkeypatch, lambda: found("hang", "pushed", 12.0, count=6)) <= TOLD_S
+def test_news_after_an_aborted_watch_and_a_call_that_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against a watch that waits for its 60 s although the call before it has failed."""
+    assert (
+        run_in_virtual_time(monkeypatch, lambda: measure_longest_delay("hang", "pushed", 12.0, count=6))
+        <= MAX_NEWS_DELAY_S
+    )
 
 
 @pytest.mark.parametrize(
-    ("mode", "lasts"),
+    ("fleet_mode", "outage_s"),
     [
         ("pushed", 4.0),
         ("pushed", 30.0),
@@ -391,159 +430,190 @@
         ("asked by turns", 12.0),
     ],
 )
-@pytest.mark.parametrize("way", WAYS)
-def test_in_every_way_to_fail(way: str, mode: str, lasts: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    """After 30 s pauses are at their longest."""
-    assert measured(monkeypatch, lambda: found(way, mode, lasts)) <= TOLD_S
-
-
-@pytest.mark.parametrize("left", [1, 3, 5, 10])
-@pytest.mark.parametrize("way", ["refused", "hang"])
-def test_by_turns_of_which_most_are_of_the_dead(way: str, left: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    """They die as discovery fails, and count as live for many seconds more."""
-
-    def die(some: Fleet, service: Service) -> None:
-        for sidecar in some.sidecars[:-left]:
+@pytest.mark.parametrize("failure_mode", FAILURE_MODES)
+def test_news_after_each_kind_of_failure(
+    failure_mode: str, fleet_mode: str, outage_s: float, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """After 30 s, the intervals between retries are at their longest."""
+    assert (
+        run_in_virtual_time(monkeypatch, lambda: measure_longest_delay(failure_mode, fleet_mode, outage_s))
+        <= MAX_NEWS_DELAY_S
+    )
+
+
+@pytest.mark.parametrize("remaining_count", [1, 3, 5, 10])
+@pytest.mark.parametrize("failure_mode", ["refused", "hang"])
+def test_news_with_turns_that_belong_mostly_to_dead_sidecars(
+    failure_mode: str, remaining_count: int, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The sidecars die as discovery fails and count as alive for many seconds more."""
+
+    def close_most_sidecars(sidecar_fleet: SidecarFleet, discovery_server: FakeDiscovery) -> None:
+        for sidecar in sidecar_fleet.sidecars[:-remaining_count]:
             sidecar.close()
 
-    assert measured(monkeypatch, lambda: found(way, "pushed by turns", 6.0, change=die, left=left)) <= TOLD_S
-
-
-@pytest.mark.parametrize("way", WAYS)
-@pytest.mark.parametrize("mode", ["pushed", "asked"])
-def test_after_a_move_to_a_discovery_that_fails(mode: str, way: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    async def moved() -> float:
-        other = Service()
-        await other.start()
-        async with fleet(mode) as (some, _):
-            await asyncio.sleep(CALM_S)
-            await other.fail(way)
-            some.move(other.port)
+    assert (
+        run_in_virtual_time(
+            monkeypatch,
+            lambda: measure_longest_delay(
+                failure_mode,
+                "pushed by turns",
+                6.0,
+                on_failure=close_most_sidecars,
+                remaining_count=remaining_count,
+            ),
+        )
+        <= MAX_NEWS_DELAY_S
+    )
+
+
+@pytest.mark.parametrize("failure_mode", FAILURE_MODES)
+@pytest.mark.parametrize("fleet_mode", ["pushed", "asked"])
+def test_news_after_a_move_to_a_failing_discovery(
+    fleet_mode: str, failure_mode: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    async def move_during_failure() -> float:
+        new_discovery_server = FakeDiscovery()
+        await new_discovery_server.start()
+        async with running_fleet(fleet_mode) as (sidecar_fleet, _):
+            await asyncio.sleep(SETTLE_S)
+            await new_discovery_server.fail(failure_mode)
+            sidecar_fleet.move_discovery(new_discovery_server.port)
             await asyncio.sleep(10.0)
-            other.drain()
-            assert not some.told
-            await other.heal()
-            worst = await some.worst(now())
-        await other.stop()
-        return worst
-
-    assert measured(monkeypatch, moved) <= TOLD_S
-
-
-@pytest.mark.parametrize("mode", ["pushed", "asked"])
-def test_a_successor_whose_first_call_hangs(mode: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The process before had a call that failed; what it hands over says a generation to watch from."""
-
-    async def succeeded() -> float:
-        service = Service()
-        await service.start()
-        before = Fleet(service, SIDECARS, mode, 1)
-        for sidecar in before.sidecars:
+            new_discovery_server.drain()
+            assert not sidecar_fleet.learned_at
+            await new_discovery_server.recover()
+            longest_delay_s = await sidecar_fleet.longest_delay(now())
+        await new_discovery_server.stop()
+        return longest_delay_s
+
+    assert run_in_virtual_time(monkeypatch, move_during_failure) <= MAX_NEWS_DELAY_S
+
+
+@pytest.mark.parametrize("fleet_mode", ["pushed", "asked"])
+def test_news_after_a_handover_whose_first_call_hangs(
+    fleet_mode: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The last call of the old process has failed, but it hands over a generation to watch from."""
+
+    async def hand_over_during_failure() -> float:
+        discovery_server = FakeDiscovery()
+        await discovery_server.start()
+        old_fleet = SidecarFleet(discovery_server, SIDECAR_COUNT, fleet_mode, 1)
+        for sidecar in old_fleet.sidecars:
             sidecar.start()
-        await asyncio.sleep(CALM_S)
-        await service.fail("hang")
-        after = Fleet(service, SIDECARS, mode, 2)
-        for old, new in zip(before.sidecars, after.sidecars, strict=True):
-            body = old._told()[handover._HEAD.size :]
-            new._learn_list(handover.decode(body, new._config.name, new._marks()))
-        before.close()
+        await asyncio.sleep(SETTLE_S)
+        await discovery_server.fail("hang")
+        new_fleet = SidecarFleet(discovery_server, SIDECAR_COUNT, fleet_mode, 2)
+        for old_sidecar, new_sidecar in zip(old_fleet.sidecars, new_fleet.sidecars, strict=True):
+            body = old_sidecar._told()[handover._HEAD.size :]
+            new_sidecar._learn_list(handover.decode(body, new_sidecar._config.name, new_sidecar._marks()))
+        old_fleet.close()
         await asyncio.sleep(12.0)
-        service.drain()
-        assert not after.told
-        await service.heal()
-        worst = await after.worst(now())
-        after.close()
-        await service.stop()
-        return worst
-
-    assert measured(monkeypatch, succeeded) <= TOLD_S
-
-
-@pytest.mark.parametrize("way", WAYS)
-def test_a_whole_list_that_was_asked_for_in_doubt(way: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The watches are silent, their machine having vanished; the call for the list fails, and tells so."""
-
-    async def fetched() -> float:
-        async with fleet("pushed") as (some, service):
-            await asyncio.sleep(CALM_S)
-            await service.fail(way, ends=False)
-            for sidecar in some.sidecars:
+        discovery_server.drain()
+        assert not new_fleet.learned_at
+        await discovery_server.recover()
+        longest_delay_s = await new_fleet.longest_delay(now())
+        new_fleet.close()
+        await discovery_server.stop()
+        return longest_delay_s
+
+    assert run_in_virtual_time(monkeypatch, hand_over_during_failure) <= MAX_NEWS_DELAY_S
+
+
+@pytest.mark.parametrize("failure_mode", FAILURE_MODES)
+def test_news_after_a_failed_fetch_with_silent_watches(
+    failure_mode: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """The watches are silent because their machine has vanished; the call for the full list fails and reports
+    it.
+    """
+
+    async def fetch_during_failure() -> float:
+        async with running_fleet("pushed") as (sidecar_fleet, discovery_server):
+            await asyncio.sleep(SETTLE_S)
+            await discovery_server.fail(failure_mode, end_watches=False)
+            for sidecar in sidecar_fleet.sidecars:
                 sidecar._discovery.fetch_list()
             await asyncio.sleep(12.0)
-            service.drain(watches=False)
-            assert not some.told
-            await service.heal()
-            return await some.worst(now())
+            discovery_server.drain(notify_watches=False)
+            assert not sidecar_fleet.learned_at
+            await discovery_server.recover()
+            return await sidecar_fleet.longest_delay(now())
 
-    assert measured(monkeypatch, fetched) <= TOLD_S
+    assert run_in_virtual_time(monkeypatch, fetch_during_failure) <= MAX_NEWS_DELAY_S
 
 
-def test_a_watch_that_crosses_discoverys_end_and_then_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It met the end of its connection and was made again on a new one, without having failed."""
+def test_news_after_a_repeated_watch_that_hangs(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The watch was reset on a reused connection and repeated on a new one, without counting as failed."""
 
-    async def crossed() -> float:
-        async with fleet("pushed") as (some, service):
-            await asyncio.sleep(CALM_S)
-            service.crosses = True  # the next answer is followed by the connection's end
-            service.touch()
+    async def fail_after_repeated_watch() -> float:
+        async with running_fleet("pushed") as (sidecar_fleet, discovery_server):
+            await asyncio.sleep(SETTLE_S)
+            discovery_server.resets_reused_connections = True  # The call after the next answer is reset.
+            discovery_server.answer_watches()
             await asyncio.sleep(12.0)
-            service.crosses = False
-            service.drain()
-            assert not some.told
-            await service.heal()
-            return await some.worst(now())
+            discovery_server.resets_reused_connections = False
+            discovery_server.drain()
+            assert not sidecar_fleet.learned_at
+            await discovery_server.recover()
+            return await sidecar_fleet.longest_delay(now())
 
-    assert measured(monkeypatch, crossed) <= TOLD_S
+    assert run_in_virtual_time(monkeypatch, fail_after_repeated_watch) <= MAX_NEWS_DELAY_S
 
 
 @pytest.mark.parametrize("spread_s", [0.0, 0.5, 2.0, 30.0])
-def test_calls_begin_so_soon_after_each_other(spread_s: float) -> None:
+def test_retry_intervals_stay_within_their_limits(spread_s: float) -> None:
     for seed in range(50):
-        pauses = discovery._RetryIntervals(spread_s, Random(seed))
-        drawn = [pauses.next_interval_s() for _ in range(2000)]
-        assert min(drawn) >= 0.0 and max(drawn) <= discovery.RETRY_INTERVAL_LIMITS_S[1] == 4.0
-        assert max(drawn) > 3.9  # at their longest
-        assert (
-            min(drawn[5:]) >= discovery.RETRY_INTERVAL_LIMITS_S[1] / 2
-        )  # and discovery is not asked more than needed
-        first = min(max(spread_s, 1.0), 4.0)
-        pauses.reset()
-        assert pauses.next_interval_s() <= first
-
-
-def test_turns_are_the_same_for_all_whenever_each_ones_call_failed() -> None:
-    """Counted from each one's own failure there were turns of several and, in between, of nobody."""
-    live = [f"n{number}" for number in range(SIDECARS)]
-    some = [Asking(name, SIDECARS, number, 0.0, 0.5) for number, name in enumerate(live)]
-    for number, one in enumerate(some):
-        one.heard()
-        one.failed(50_000.0 + 370.0 * number)
+        retry_intervals = discovery._RetryIntervals(spread_s, Random(seed))
+        intervals_s = [retry_intervals.next_interval_s() for _ in range(2000)]
+        assert min(intervals_s) >= 0.0 and max(intervals_s) <= discovery.RETRY_INTERVAL_LIMITS_S[1] == 4.0
+        assert max(intervals_s) > 3.9  # The longest intervals.
+        # Discovery is not called more often than necessary.
+        assert min(intervals_s[5:]) >= discovery.RETRY_INTERVAL_LIMITS_S[1] / 2
+        first_limit_s = min(max(spread_s, 1.0), 4.0)
+        retry_intervals.reset()
+        assert retry_intervals.next_interval_s() <= first_limit_s
+
+
+def test_turns_do_not_depend_on_when_calls_failed() -> None:
+    """Counted from each sidecar's own failure, some turns belonged to several sidecars and others to none."""
+    live_members = [f"n{index}" for index in range(SIDECAR_COUNT)]
+    askers = [Asking(name, SIDECAR_COUNT, index, 0.0, 0.5) for index, name in enumerate(live_members)]
+    for index, asker in enumerate(askers):
+        asker.heard()
+        asker.failed(50_000.0 + 370.0 * index)
     for turn in range(100, 200):
-        at = 1000.0 + TURN_MS * turn
-        assert sum(one.may(at, live, -math.inf) for one in some) == 1
+        now_ms = 1000.0 + TURN_MS * turn
+        assert sum(asker.may(now_ms, live_members, -math.inf) for asker in askers) == 1
 
 
-def test_one_whose_fellows_do_not_answer_asks_alone_and_one_alone_at_once() -> None:
-    for live, lonely in ((["a", "b", "c"], True), (["a"], False)):
-        one = Asking("a", 20, 7, 0.0, 0.5)
-        one.heard()
-        one.failed(100_000.0)
-        allowed = [one.may(100_000.0 + 100.0 * step, live, -math.inf, lonely) for step in range(50)]
+def test_isolated_sidecar_asks_after_a_delay_and_single_sidecar_at_once() -> None:
+    for live_members, is_isolated in ((["a", "b", "c"], True), (["a"], False)):
+        asker = Asking("a", 20, 7, 0.0, 0.5)
+        asker.heard()
+        asker.failed(100_000.0)
+        allowed = [
+            asker.may(100_000.0 + 100.0 * step, live_members, -math.inf, is_isolated) for step in range(50)
+        ]
         assert allowed.index(True) * 100.0 <= ALONE_TURNS * TURN_MS == 2000.0
 
 
-def test_a_list_told_before_a_failure_keeps_nobody_from_asking() -> None:
-    """Within 20 s of a list those beyond the first two left it to them, who may be dead or cut off."""
-    live = [f"n{number}" for number in range(SIDECARS)]
-    some = [Asking(name, SIDECARS, number, 0.0, 0.5) for number, name in enumerate(live)]
-    for one in some:
-        one.heard()
-        one.failed(50_000.0)
-    asked = {
-        one._name
-        for one in some
+def test_list_received_before_a_failure_does_not_stop_others_from_asking() -> None:
+    """For 20 s after a list, all but the first two sidecars left the calls to these two, which may be dead or
+    cut off.
+    """
+    live_members = [f"n{index}" for index in range(SIDECAR_COUNT)]
+    askers = [Asking(name, SIDECAR_COUNT, index, 0.0, 0.5) for index, name in enumerate(live_members)]
+    for asker in askers:
+        asker.heard()
+        asker.failed(50_000.0)
+    names_that_asked = {
+        asker._name
+        for asker in askers
         for turn in range(1, 21)
-        if one.may(50_000.0 + TURN_MS * turn, live, 49_000.0)
+        if asker.may(50_000.0 + TURN_MS * turn, live_members, 49_000.0)
     }
-    assert len(asked) == SIDECARS
-    assert sum(one.may(75_000.0, live, 70_000.0) for one in some) == 2  # told since: two watch
+    assert len(names_that_asked) == SIDECAR_COUNT
+    # Received a list since: two sidecars watch.
+    assert sum(asker.may(75_000.0, live_members, 70_000.0) for asker in askers) == 2
