--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -6,7 +6,7 @@
 from typing import TypeAlias
 
 from larkcrank.protocol.discovery import LIST_TARGET, watch_target
-from larkcrank.routing.places import Places
+from larkcrank.routing.places import AddressFailover
 from larkcrank.tiers import wire
 from larkcrank.tiers.asking import CallError, KeepAliveClient
 from larkcrank.tiers.config import Settings
@@ -45,7 +45,7 @@
             log_event,
         )
         self._settings = settings
-        self.addresses = Places(
+        self.addresses = AddressFailover(
             addresses,
             rng,
             settings.spread_ms / 1000.0,
@@ -132,12 +132,12 @@
                 if address != self.addresses.current:
                     continue  # a probe has moved the feed meanwhile
                 if succeeded:
-                    self.addresses.answered()
+                    self.addresses.record_success()
                     if self._last_answered not in (None, address):
                         self._log_event("tier_moved", feed=self.name, place="{}:{}".format(*address))
                     self._last_answered = address
                 else:
-                    await asyncio.sleep(self.addresses.failed(loop.time()))
+                    await asyncio.sleep(self.addresses.record_failure(loop.time()))
         finally:
             for task in (self._probe, self._check):
                 if task is not None:
@@ -153,8 +153,8 @@
 
         That is the first one after a while away from it, or another one while the current one is stale.
         """
-        if self.addresses.look_home(now):
-            return self.addresses.home
+        if self.addresses.should_check_primary(now):
+            return self.addresses.primary
         if not self.is_stale or self._has_one_address:
             self._probe_at = None
             return None
@@ -162,8 +162,10 @@
             self._probe_at = now + self._rng.uniform(0.0, self._settings.spread_ms / 1000.0)
         if now < self._probe_at:
             return None
-        others = self.addresses.others()
-        address = self.addresses.home if self.addresses.away else others[self._probe_count % len(others)]
+        others = self.addresses.other_addresses()
+        address = (
+            self.addresses.primary if self.addresses.on_fallback else others[self._probe_count % len(others)]
+        )
         self._probe_count += 1
         # An address with a known generation answers with a delta, any other with the full list each time.
         interval_ms = (
@@ -180,11 +182,11 @@
         was_stale = self.is_stale
         succeeded = await self._call(address, wait_ms=1)  # the watch's answers are still applied meanwhile
         if succeeded and (
-            not self._stale_by_address.get(address) or (address == self.addresses.home and not was_stale)
+            not self._stale_by_address.get(address) or (address == self.addresses.primary and not was_stale)
         ):
-            self.addresses.go(address, now)
-        elif address == self.addresses.home:
-            self.addresses.looked(now, False)
+            self.addresses.switch_to(address, now)
+        elif address == self.addresses.primary:
+            self.addresses.record_primary_check(now, False)
         self._probe = None
 
     def check(self) -> None:
--- a/tests/test_tiers_gather.py
+++ b/tests/test_tiers_gather.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from larkcrank.routing.places import Places
+from larkcrank.routing.places import AddressFailover
 from larkcrank.tiers.gather import ChangeBatcher, FullAnswerLimiter
 
 
@@ -60,39 +60,43 @@
     assert limiter.reserve(20.0) == 20.0
 
 
-def create_places(count: int, seed: int = 1) -> Places:
-    return Places([("h", n) for n in range(count)], Random(seed), 0.5, (20.0, 60.0), 2.0)
+def create_places(count: int, seed: int = 1) -> AddressFailover:
+    return AddressFailover([("h", n) for n in range(count)], Random(seed), 0.5, (20.0, 60.0), 2.0)
 
 
 def test_failover_and_return_to_the_first_address_are_spread_by_random_delays() -> None:
     delays, return_times = [], []
     for seed in range(200):
         places = create_places(3, seed)
-        delays.append(places.failed(100.0))
-        places.answered()
-        assert places.current == ("h", 1) and not places.look_home(119.9)
+        delays.append(places.record_failure(100.0))
+        places.record_success()
+        assert places.current == ("h", 1) and not places.should_check_primary(119.9)
         at = 120.0
-        while not places.look_home(at):
+        while not places.should_check_primary(at):
             at += 0.5
         return_times.append(at)
-        places.looked(at, answered=False)
-        assert places.current == ("h", 1) and not places.look_home(at + 19.9) and places.look_home(at + 60.0)
-        places.looked(at + 60.0, answered=True)
-        assert places.current == ("h", 0) and not places.look_home(at + 1000.0)
+        places.record_primary_check(at, answered=False)
+        assert (
+            places.current == ("h", 1)
+            and not places.should_check_primary(at + 19.9)
+            and places.should_check_primary(at + 60.0)
+        )
+        places.record_primary_check(at + 60.0, answered=True)
+        assert places.current == ("h", 0) and not places.should_check_primary(at + 1000.0)
     assert 0.0 <= min(delays) < 0.05 and 0.45 < max(delays) <= 0.5  # spread, not all at once
     assert 120.0 <= min(return_times) < 125.0 and 155.0 < max(return_times) <= 160.5
 
 
 def test_delays_grow_to_a_bound_while_all_addresses_fail() -> None:
     places = create_places(2)
-    delays = [places.failed(float(n)) for n in range(40)]
+    delays = [places.record_failure(float(n)) for n in range(40)]
     assert max(delays[:2]) <= 0.5 and min(delays[-10:]) >= 1.0 and max(delays) <= 3.0
-    places.answered()
-    assert places.failed(50.0) <= 0.5
+    places.record_success()
+    assert places.record_failure(50.0) <= 0.5
 
 
 def test_a_single_address_stays_current() -> None:
     places = create_places(1)
     for n in range(5):
-        assert places.failed(float(n)) > 0.0
-        assert places.current == places.home == ("h", 0) and not places.look_home(1e9)
+        assert places.record_failure(float(n)) > 0.0
+        assert places.current == places.primary == ("h", 0) and not places.should_check_primary(1e9)
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -50,7 +50,7 @@
     def __init__(self, *addresses: str, watch_ms: int | None = 1000, seed: int = 1) -> None:
         first, *others = map(host_port, addresses)
         self.counters = Counters()
-        self.discovery = discovery.Discovery(
+        self.discovery = discovery.DiscoveryClient(
             first,
             Descriptors(100),
             Names([], []),
@@ -59,8 +59,8 @@
             Random(seed),
             self.counters,
             lambda where, error: self.crashes.append(error),
-            elsewhere=others,
-            watch_ms=watch_ms,
+            fallbacks=others,
+            watch_wait_ms=watch_ms,
         )
         self.crashes: list[BaseException] = []
         self.states: dict[bytes, State] = {}  # by server
