--- a/larkcrank/__main__.py
+++ b/larkcrank/__main__.py
@@ -1,4 +1,7 @@
-"""`python -m larkcrank`: one sidecar, configured by PROXY_CONFIG; with words, the command line, or a tier."""
+"""`python -m larkcrank`: without arguments, runs one sidecar, configured by PROXY_CONFIG.
+
+With arguments, runs the command line; with `tier` as the first argument, runs a tier.
+"""
 
 import signal
 import sys
@@ -6,15 +9,16 @@
 
 def main() -> int:
     if sys.argv[1:2] == ["tier"]:
-        from larkcrank.tiers.program import main as tier
+        from larkcrank.tiers.program import main as run_tier
 
-        return tier(sys.argv[2:])
-    if len(sys.argv) > 1:  # the command line's libraries are no burden on a sidecar's start
-        from larkcrank.command.main import main as command
+        return run_tier(sys.argv[2:])
+    if len(sys.argv) > 1:
+        # Imported here, so that a sidecar starts without loading the libraries of the command line.
+        from larkcrank.command.main import main as run_command
 
-        command(prog_name="larkcrank")
-    # Left to itself the signal ends a process, and what follows loads most of the program: a file that is
-    # replaced meanwhile is read again as soon as that can be done.
+        run_command(prog_name="larkcrank")
+    # By default SIGHUP ends a process, and the import below takes time, as it loads most of the program.
+    # While blocked, a SIGHUP stays pending, and the configuration is reloaded once the handler is installed.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     from larkcrank.program.start import serve
 
--- a/larkcrank/config/settings.py
+++ b/larkcrank/config/settings.py
@@ -1,6 +1,6 @@
-"""The platform's settings object, as the simulator's wire and the sidecar's configuration carry it.
+"""Parses the platform's settings object, part of the simulator protocol and of the configuration.
 
-Unknown keys are ignored; a message about a key that is missing or wrong names it.
+Unknown keys are ignored. An error about a missing or invalid key names the key.
 """
 
 import math
@@ -11,19 +11,21 @@
 from larkcrank.core.interface import Effect, Group, RequestClass, Settings, Tenant
 
 _EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-_SIZES = ("nominal", "rough")  # what else a list may carry is no size
+_CAPACITY_WEIGHTS = ("nominal", "rough")  # with other values, weights in the list are not capacities
 _GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
 class SettingsError(Exception):
-    """The settings are not JSON or lack what a decision needs."""
+    """The settings are not valid JSON, or a key is missing or invalid."""
 
 
-class _Wire(msgspec.Struct, rename="kebab"):
-    """Names on the wire have hyphens where ours have underscores."""
+class _KebabCaseStruct(msgspec.Struct, rename="kebab"):
+    """JSON keys have hyphens where the field names have underscores."""
 
 
-class _Grade(_Wire):
+class _Grade(_KebabCaseStruct):
+    """A request class; see `RequestClass`."""
+
     name: str
     effect: str
     aim_ms: float
@@ -36,94 +38,97 @@
     in_turn: bool = False
 
 
-class _Customer(_Wire):
+class _Customer(_KebabCaseStruct):
+    """A tenant; see `Tenant`."""
+
     name: str
     portion: float = 0.0
 
 
-class _Bounds(_Wire):
-    send_cap: int
+class _Bounds(_KebabCaseStruct):
+    send_cap: int  # limit on the attempts of one request
     connect_timeout_ms: float = 250.0
     keepalive_ms: float = 15000.0
     max_open: int = 20000
-    peers: bool = False
+    peers: bool = False  # sidecars may send each other messages
     may_cancel: bool = False
-    probes: bool = False
-    second_copies: bool = False
+    probes: bool = False  # the sidecar may probe servers
+    second_copies: bool = False  # hedging: a second attempt while the first is in flight
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
 
 
-class _Contract(_Wire):
-    cold_from: float
-    warm_after_ms: float
+class _Contract(_KebabCaseStruct):
+    cold_from: float  # share of its capacity that a server has at its start
+    warm_after_ms: float  # time from a server's start to its full capacity
+    # A cold server fails if its load exceeds this multiple of its present capacity ...
     fall_multiple: float
-    fall_ms: float
-    grace_to_answer_ms: float = 20.0
-    key_quiet_ms: float = 0.0
+    fall_ms: float  # ... for this long.
+    grace_to_answer_ms: float = 20.0  # how long after the client's deadline an answer still counts
+    key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
     only_draining_binds: bool = False
 
 
-class _Mix(_Wire):
-    nines_part: float = 0.0
-    nines_full: float = 3.0
+class _Mix(_KebabCaseStruct):
+    nines_part: float = 0.0  # weight of availability, as a number of nines, in the users' objective
+    nines_full: float = 3.0  # number of nines that earns this weight in full
 
 
-class _Family(_Wire):
-    warm_keys: bool = False
+class _Family(_KebabCaseStruct):
+    warm_keys: bool = False  # a server does less work for a key that it has served recently
 
 
-class _Report(_Wire):
-    how: str = "silent"
-    fields: list[str] = []
+class _Report(_KebabCaseStruct):
+    how: str = "silent"  # how servers report their load; silent: they do not
+    fields: list[str] = []  # names of the load values in an answer
 
 
-class _Config(_Wire):
+class _Config(_KebabCaseStruct):
     grades: list[_Grade]
     bounds: _Bounds
     contract: _Contract
     customers: list[_Customer] = []
     registry_mode: str = "subscribe"
-    weights: str = "silent"
-    resolution_ms: float = 1.0
-    az: int = 0
+    weights: str = "silent"  # what the weights in the server list mean
+    resolution_ms: float = 1.0  # clock resolution
+    az: int = 0  # zone of this instance: index in `zones`
     ordinal: int = 0
     n_instances: int = 1
     report: _Report = msgspec.field(default_factory=_Report)
     family_info: _Family = msgspec.field(default_factory=_Family)
     objective_mix: _Mix = msgspec.field(default_factory=_Mix)
     zones: list[str] = []
-    kinds: list[str] = []
+    kinds: list[str] = []  # machine types
 
 
 @dataclass(slots=True, frozen=True)
 class Site:
-    """The settings: what decisions need, and what only a transport needs."""
+    """The settings: `decisions` for the balancer, the other fields for the transport."""
 
     decisions: Settings
     connect_timeout_ms: float
-    keepalive_ms: float  # an endpoint closes a connection that stood idle so long
-    max_open: int  # requests in hand
+    keepalive_ms: float  # an endpoint closes connections that have been idle for this long
+    max_open: int  # limit on concurrent requests
     may_talk: bool  # whether sidecars may send each other messages
-    grace_ms: float  # after the client's deadline an answer still counts so long
-    load_fields: tuple[str, ...]
+    grace_ms: float  # how long after the client's deadline an answer still counts
+    load_fields: tuple[str, ...]  # names of the load values in an answer; empty: servers report none
     zones: tuple[str, ...]
-    kinds: tuple[str, ...]
+    kinds: tuple[str, ...]  # machine types
 
 
 _decoder = msgspec.json.Decoder(_Config)
 
 
 def parse(text: bytes) -> Site:
-    """The settings from JSON text."""
+    """Parse the settings from JSON text."""
     try:
         return _site(_decoder.decode(text))
-    except msgspec.DecodeError as error:  # ValidationError is one too
+    except msgspec.DecodeError as error:  # includes ValidationError
         raise SettingsError(f"settings: {error}") from None
 
 
 def convert(value: object) -> Site:
-    """The settings from an object that was JSON."""
+    """Convert the settings from decoded JSON."""
     try:
         return _site(msgspec.convert(value, _Config))
     except msgspec.ValidationError as error:
@@ -146,9 +151,9 @@
 
 
 def _check(config: _Config) -> None:
-    """Figures that can't be: a decision built on one would go wrong far from here."""
+    """Reject impossible numbers here: used in a decision, they would cause an error far from its origin."""
     bounds, contract = config.bounds, config.contract
-    least_none = {
+    non_negative = {
         "n-instances": config.n_instances,
         "ordinal": config.ordinal,
         "resolution-ms": config.resolution_ms,
@@ -159,30 +164,30 @@
         "objective-mix.nines-part": config.objective_mix.nines_part,
         "objective-mix.nines-full": config.objective_mix.nines_full,
     }
-    shares = {"contract.cold-from": contract.cold_from}
+    fractions = {"contract.cold-from": contract.cold_from}
     for index, grade in enumerate(config.grades):
-        at = f"grades[{index}]."
-        least_none |= {at + "aim-ms": grade.aim_ms, at + "deadline-ms": grade.deadline_ms}
-        least_none |= {at + "points": grade.points, at + "window-ms": grade.window_ms}
-        shares[at + "late-value"] = grade.late_value
-    for key, value in (least_none | shares).items():
+        prefix = f"grades[{index}]."
+        non_negative |= {prefix + "aim-ms": grade.aim_ms, prefix + "deadline-ms": grade.deadline_ms}
+        non_negative |= {prefix + "points": grade.points, prefix + "window-ms": grade.window_ms}
+        fractions[prefix + "late-value"] = grade.late_value
+    for key, value in (non_negative | fractions).items():
         if not 0.0 <= value < math.inf:
-            raise SettingsError(f"settings: {value} is negative or no figure - at `$.{key}`")
-        if key in shares and value > 1.0:
-            raise SettingsError(f"settings: {value} is no share from 0 to 1 - at `$.{key}`")
+            raise SettingsError(f"settings: {value} is not a finite number of at least 0 - at `$.{key}`")
+        if key in fractions and value > 1.0:
+            raise SettingsError(f"settings: {value} is not a fraction from 0 to 1 - at `$.{key}`")
     for index, grade in enumerate(config.grades):
         if grade.in_turn and grade.streaming:
-            # A stream ends when its reader likes: its key would wait for that.
-            at = f"$.grades[{index}].in-turn"
-            raise SettingsError(f"settings: a streaming class takes no turns - at `{at}`")
+            # The reader of a stream decides when it ends, and would block the key until then.
+            path = f"$.grades[{index}].in-turn"
+            raise SettingsError(f"settings: a streaming class cannot run in turn - at `{path}`")
 
 
 def _settings(config: _Config) -> Settings:
     bounds, contract = config.bounds, config.contract
     _check(config)
     return Settings(
-        classes=tuple(_request_class(i, grade) for i, grade in enumerate(config.grades)),
-        tenants=tuple(Tenant(c.name, c.portion) for c in config.customers),
+        classes=tuple(_request_class(index, grade) for index, grade in enumerate(config.grades)),
+        tenants=tuple(Tenant(customer.name, customer.portion) for customer in config.customers),
         zone=config.az,
         ordinal=config.ordinal,
         instances=config.n_instances,
@@ -192,7 +197,7 @@
         second_copies=bounds.second_copies,
         retry_after=bounds.retry_after,
         max_retry_after_ms=bounds.max_retry_after_ms,
-        listed_sizes=config.weights in _SIZES,
+        listed_sizes=config.weights in _CAPACITY_WEIGHTS,
         max_attempts=bounds.send_cap,
         tick_ms=config.resolution_ms,
         cold_from=contract.cold_from,
--- a/larkcrank/config/sidecar.py
+++ b/larkcrank/config/sidecar.py
@@ -1,4 +1,4 @@
-"""What a sidecar is told: the platform's JSON file and the environment. The file may be read again later."""
+"""The sidecar's configuration: a JSON file of the platform, and the environment. The file can be reloaded."""
 
 import math
 from collections.abc import Mapping
@@ -13,40 +13,46 @@
 from larkcrank.protocol.discovery import host_port
 from larkcrank.protocol.http1 import HELD, MAX_BODY
 
-LEAST_SOCKETS = 32
-LEAST_WATCH_MS, LONGEST_WATCH_MS = 100, 60_000  # the longest that discovery's protocol has
+MIN_SOCKETS = 32
+MIN_WATCH_MS, MAX_WATCH_MS = 100, 60_000  # the discovery protocol allows no longer wait
 
 
 class ConfigError(Exception):
-    """The configuration lacks something or holds what can't be. The message names the key."""
+    """A key of the configuration is missing or invalid. The message names it."""
 
 
 class _Limits(msgspec.Struct):
-    cores: float = 1.0
+    cores: float = 1.0  # accepted, but not used
     memory_mb: float = 192.0
     sockets: int = 1024
     body_mb: float = MAX_BODY / (1 << 20)
 
 
 class _Recovery(msgspec.Struct):
+    """See `RecoveryConfig`."""
+
     same_places: bool = False
     snapshot: str = ""
 
 
 class _Fleet(msgspec.Struct):
+    """See `FleetConfig`."""
+
     name: str
     listen: str
     secret: str = ""
     public: str = ""
-    seeds: list[str] | str = []  # or in one text, with commas
+    seeds: list[str] | str = []  # or one string, separated by commas
     recovery: _Recovery | None = None
 
 
 class _File(msgspec.Struct):
+    """The configuration file; see `Config`."""
+
     settings: dict[str, Any]
     name: str = ""
     listen: str = ""
-    discovery: list[str] | str = ""  # several: the first, and who is asked where it does not answer
+    discovery: list[str] | str = ""  # several: the others are used where the first does not answer
     watch_ms: int | None = None
     seed: str = ""
     limits: _Limits = msgspec.field(default_factory=_Limits)
@@ -58,157 +64,164 @@
 
 @dataclass(slots=True, frozen=True)
 class RecoveryConfig:
-    """How a member goes on after a loss with what its fellows know."""
+    """How a member recovers its server list from other members and from a snapshot."""
 
-    same_places: bool  # a server's host:port is the same for all members
-    snapshot: str  # path of the file for what it knew, on a disk that lasts; empty: none
+    same_places: bool  # all members reach a server at the same host:port
+    snapshot: str  # path of the snapshot, on a persistent disk; empty: no snapshot
 
 
 @dataclass(slots=True, frozen=True)
 class FleetConfig:
-    """What a member of a fleet is told."""
+    """The configuration of a member of a fleet."""
 
     name: str
-    listen: tuple[str, int]  # for datagrams
+    listen: tuple[str, int]  # for UDP datagrams
     secret: str
-    public: str  # host:port at which others reach it; empty: where it listens
-    seeds: tuple[str, ...]  # host:port of members to begin with
-    recovery: RecoveryConfig | None  # None: lists are nobody's but one's own
+    public: str  # host:port at which other members reach it; empty: the listen address
+    seeds: tuple[str, ...]  # host:port of the members to contact first
+    recovery: RecoveryConfig | None  # None: server lists are not shared
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
     name: str
-    listen: tuple[str, int]  # port 0: any free one; the log says which
+    listen: tuple[str, int]  # port 0: any free port, which is then logged
     discovery: tuple[str, int]
-    elsewhere: tuple[tuple[str, int], ...]  # who else tells the list, where discovery does not answer
-    watch_ms: int | None  # how long a watch waits; None: as long as it may
+    fallback_discovery: tuple[tuple[str, int], ...]  # used where `discovery` does not answer
+    watch_ms: int | None  # wait of a watch call; None: the longest allowed
     seed: int
     sockets: int
     memory_mb: float
-    max_body: int  # bytes of a body, either way
-    known: bytes  # the list as last held, in discovery's form; empty where there is none
-    ops: tuple[str, int] | None  # where operators call; None: nowhere
-    passed: int | None  # descriptor of the clients' listening socket, where the platform holds it
-    fleet: FleetConfig | None  # None: this sidecar keeps no view of its fellows
-    kept: str  # path of the file for what was learnt, written at a planned end; empty: none
+    max_body_bytes: int  # of a request or a response
+    initial_list: bytes  # the last known server list, in discovery's format; empty: none
+    ops: tuple[str, int] | None  # where operators' calls are accepted; None: nowhere
+    passed_descriptor: int | None  # of the clients' listening socket, where the platform opens it
+    fleet: FleetConfig | None  # None: not a member of a fleet
+    learned_state_path: str  # file that is written at a graceful shutdown; empty: none
     site: Site
-    settings: dict[str, Any]  # as the file has them
+    settings: dict[str, Any]  # the JSON object that `site` was converted from
 
-    def fixed_changes(self, new: "Config") -> list[str]:
-        """The keys with another value in `new` that a running sidecar does not follow."""
+    def changes_needing_restart(self, new: "Config") -> list[str]:
+        """The keys whose values differ in `new`, and that a running sidecar does not apply."""
         pairs = {
             "name": (self.name, new.name),
             "listen": (self.listen, new.listen),
-            "kept": (self.kept, new.kept),
+            "kept": (self.learned_state_path, new.learned_state_path),
             "ops": (self.ops, new.ops),
             "watch_ms": (self.watch_ms, new.watch_ms),
             "fleet": (self.fleet, new.fleet),
             "limits.memory_mb": (self.memory_mb, new.memory_mb),
-            "limits.body_mb": (self.max_body, new.max_body),
+            "limits.body_mb": (self.max_body_bytes, new.max_body_bytes),
             "limits.sockets": (self.sockets, new.sockets),
         }
         for key in sorted(self.settings.keys() | new.settings.keys()):
             pairs[f"settings.{key}"] = (self.settings.get(key), new.settings.get(key))
-        return [key for key, (old, now) in pairs.items() if old != now]
+        return [key for key, (old_value, new_value) in pairs.items() if old_value != new_value]
 
 
-def load(environment: Mapping[str, str], again: bool = False) -> Config:
-    """Read the file that PROXY_CONFIG names; PROXY_NAME, _LISTEN, _DISCOVERY and _OPS outrank it.
+def load(environment: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Read the file that PROXY_CONFIG names. PROXY_NAME, _LISTEN, _DISCOVERY and _OPS override its keys.
 
-    Read `again`, its `discovery` outranks the environment, which can't change while a process runs.
+    On a reload the file's `discovery` overrides the environment, which can't change while a process runs.
     """
     path = environment.get("PROXY_CONFIG")
     if not path:
-        raise ConfigError("PROXY_CONFIG: not set; it names the configuration file")
+        raise ConfigError("PROXY_CONFIG: not set; it must name the configuration file")
     try:
         text = Path(path).read_bytes()
     except OSError as error:
         raise ConfigError(f"PROXY_CONFIG: {path}: {error.strerror}") from None
-    return parse(text, environment, again)
+    return parse(text, environment, is_reload)
 
 
-def parse(text: bytes, environment: Mapping[str, str], again: bool = False) -> Config:
+def parse(text: bytes, environment: Mapping[str, str], is_reload: bool = False) -> Config:
     try:
         file = msgspec.json.decode(text, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise ConfigError(f"configuration: {error}") from None
     if not 0.0 < file.limits.memory_mb < math.inf:
-        raise ConfigError(f"limits.memory_mb: {file.limits.memory_mb} is no amount of memory")
+        raise ConfigError(f"limits.memory_mb: {file.limits.memory_mb} is not a positive finite number")
     if not HELD <= file.limits.body_mb * (1 << 20) < math.inf:
-        raise ConfigError(f"limits.body_mb: {file.limits.body_mb} is no size of at least {HELD} bytes")
-    if file.limits.sockets < LEAST_SOCKETS:
-        raise ConfigError(f"limits.sockets: {file.limits.sockets} is under {LEAST_SOCKETS}")
+        raise ConfigError(f"limits.body_mb: {file.limits.body_mb} is not a size of at least {HELD} bytes")
+    if file.limits.sockets < MIN_SOCKETS:
+        raise ConfigError(f"limits.sockets: {file.limits.sockets} is less than {MIN_SOCKETS}")
     try:
         site = convert(file.settings)
     except SettingsError as error:
         raise ConfigError(str(error)) from None
     ops = environment.get("PROXY_OPS") or file.ops
-    named: list[list[str] | str] = [environment.get("PROXY_DISCOVERY") or "", file.discovery]
-    if again:
-        named.reverse()
-    discovery, *elsewhere = _places("discovery", named[0] or named[1])
-    if len({discovery, *elsewhere}) <= len(elsewhere):
-        raise ConfigError("discovery: an address stands twice")
-    if elsewhere and file.fleet is not None and file.fleet.recovery is not None:
-        # Lists in common are told apart by generations, and those of several tellers are not one count.
-        raise ConfigError("discovery: several addresses, beside fleet.recovery")
-    if file.watch_ms is not None and not LEAST_WATCH_MS <= file.watch_ms <= LONGEST_WATCH_MS:
-        raise ConfigError(f"watch_ms: {file.watch_ms} is not from {LEAST_WATCH_MS} to {LONGEST_WATCH_MS}")
+    discovery_sources: list[list[str] | str] = [environment.get("PROXY_DISCOVERY") or "", file.discovery]
+    if is_reload:
+        discovery_sources.reverse()
+    discovery, *fallback_discovery = _addresses("discovery", discovery_sources[0] or discovery_sources[1])
+    if len({discovery, *fallback_discovery}) <= len(fallback_discovery):
+        raise ConfigError("discovery: an address occurs twice")
+    if fallback_discovery and file.fleet is not None and file.fleet.recovery is not None:
+        # Members compare shared lists by generation, and several discovery services do not share one counter.
+        raise ConfigError("discovery: several addresses can't be combined with fleet.recovery")
+    if file.watch_ms is not None and not MIN_WATCH_MS <= file.watch_ms <= MAX_WATCH_MS:
+        raise ConfigError(f"watch_ms: {file.watch_ms} is not from {MIN_WATCH_MS} to {MAX_WATCH_MS}")
     return Config(
         name=environment.get("PROXY_NAME") or file.name or "larkcrank",
-        listen=_place("listen", environment.get("PROXY_LISTEN") or file.listen, lowest=0),
+        listen=_address("listen", environment.get("PROXY_LISTEN") or file.listen, lowest=0),
         discovery=discovery,
-        elsewhere=tuple(elsewhere),
+        fallback_discovery=tuple(fallback_discovery),
         watch_ms=file.watch_ms,
         seed=_seed(file.seed),
         sockets=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
-        max_body=int(file.limits.body_mb * (1 << 20)),
-        known=bytes(file.known),
-        ops=_place("ops", ops, lowest=0) if ops else None,
-        passed=_descriptor(environment.get("PROXY_PASSED_SOCKET", "")),
+        max_body_bytes=int(file.limits.body_mb * (1 << 20)),
+        initial_list=bytes(file.known),
+        ops=_address("ops", ops, lowest=0) if ops else None,
+        passed_descriptor=_descriptor(environment.get("PROXY_PASSED_SOCKET", "")),
         fleet=_fleet(file.fleet),
-        kept=file.kept,
+        learned_state_path=file.kept,
         site=site,
         settings=file.settings,
     )
 
 
-def _place(key: str, text: str, lowest: int = 1) -> tuple[str, int]:
+def _address(key: str, text: str, lowest: int = 1) -> tuple[str, int]:
     try:
         return host_port(text, lowest)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
 
 
-def _places(key: str, told: list[str] | str) -> list[tuple[str, int]]:
-    """One or more, in a list or in one text with commas."""
-    texts = [text.strip() for text in told.split(",")] if isinstance(told, str) else told
-    if len(texts) < 2 and isinstance(told, str):
-        return [_place(key, told)]
-    return [_place(f"{key}[{i}]", text) for i, text in enumerate(texts)] or [_place(key, "")]
+def _addresses(key: str, value: list[str] | str) -> list[tuple[str, int]]:
+    """One or more addresses, from a list or from one string separated by commas."""
+    texts = [text.strip() for text in value.split(",")] if isinstance(value, str) else value
+    if len(texts) < 2 and isinstance(value, str):
+        return [_address(key, value)]
+    return [_address(f"{key}[{index}]", text) for index, text in enumerate(texts)] or [_address(key, "")]
 
 
-def _fleet(told: _Fleet | None) -> FleetConfig | None:
-    if told is None:
+def _fleet(section: _Fleet | None) -> FleetConfig | None:
+    if section is None:
         return None
-    if not told.name:
+    if not section.name:
         raise ConfigError("fleet.name: empty")
-    public = told.public and "{}:{}".format(*_place("fleet.public", told.public))
-    named = told.seeds.split(",") if isinstance(told.seeds, str) else told.seeds
-    seeds = tuple("{}:{}".format(*_place(f"fleet.seeds[{i}]", seed.strip())) for i, seed in enumerate(named))
-    listen = _place("fleet.listen", told.listen, lowest=0)
-    wanted = told.recovery
-    recovery = None if wanted is None else RecoveryConfig(wanted.same_places, wanted.snapshot)
-    return FleetConfig(told.name, listen, told.secret, public, seeds, recovery)
+    public = section.public and "{}:{}".format(*_address("fleet.public", section.public))
+    seed_texts = section.seeds.split(",") if isinstance(section.seeds, str) else section.seeds
+    seeds = tuple(
+        "{}:{}".format(*_address(f"fleet.seeds[{index}]", text.strip()))
+        for index, text in enumerate(seed_texts)
+    )
+    listen = _address("fleet.listen", section.listen, lowest=0)
+    recovery_section = section.recovery
+    recovery = (
+        None
+        if recovery_section is None
+        else RecoveryConfig(recovery_section.same_places, recovery_section.snapshot)
+    )
+    return FleetConfig(section.name, listen, section.secret, public, seeds, recovery)
 
 
 def _descriptor(text: str) -> int | None:
     if not text:
         return None
     if not text.isascii() or not text.isdecimal() or len(text) > 9:
-        raise ConfigError(f"PROXY_PASSED_SOCKET: {text!r} is no number of a descriptor")
+        raise ConfigError(f"PROXY_PASSED_SOCKET: {text!r} is not a descriptor number")
     return int(text)
 
 
@@ -218,4 +231,4 @@
     try:
         return int(text, 16)
     except ValueError:
-        raise ConfigError(f"seed: {text!r} is no hexadecimal number") from None
+        raise ConfigError(f"seed: {text!r} is not a hexadecimal number") from None
--- a/larkcrank/program/clock.py
+++ b/larkcrank/program/clock.py
@@ -1,31 +1,34 @@
-"""One clock for everything that the decisions are told."""
+"""The clock for all times that are passed to decisions."""
 
 import asyncio
 import time
 
-BEAT_MS = 20.0
+HEARTBEAT_MS = 20.0
 
 
 class Clock:
-    """Unix milliseconds at the start, from then on by the monotonic clock: it never runs backwards,
-    and the start times that discovery tells in Unix time fit it."""
+    """Unix time in milliseconds, read once at the start and then advanced by the monotonic clock.
+
+    It never runs backwards, and it can be compared with the start times that discovery reports in Unix time.
+    """
 
     def __init__(self) -> None:
-        self._offset = time.time() * 1000.0 - time.monotonic() * 1000.0
-        self._beat_at = self()
+        self._offset_ms = time.time() * 1000.0 - time.monotonic() * 1000.0
+        self._heartbeat_at = self()
 
     def __call__(self) -> float:
-        return self._offset + time.monotonic() * 1000.0
+        return self._offset_ms + time.monotonic() * 1000.0
 
-    def beat(self) -> None:
-        """Note that the process runs, from now on again and again."""
-        self._beat_at = self()
-        asyncio.get_running_loop().call_later(BEAT_MS / 1000.0, self.beat)
+    def start_heartbeat(self) -> None:
+        """Record that the process is running now, and repeat this every HEARTBEAT_MS."""
+        self._heartbeat_at = self()
+        asyncio.get_running_loop().call_later(HEARTBEAT_MS / 1000.0, self.start_heartbeat)
 
-    def earliest(self) -> float:
-        """The earliest that what is being read can have come.
+    def earliest_arrival(self) -> float:
+        """The earliest time at which data that is read now can have arrived.
 
-        While the process had no CPU, requests waited unread: their time ran all the same.
+        While the process gets no CPU time, requests wait unread, but their deadlines run on. After such a
+        stall this is the last heartbeat before it.
         """
         now = self()
-        return now if now - self._beat_at < 2 * BEAT_MS else self._beat_at
+        return now if now - self._heartbeat_at < 2 * HEARTBEAT_MS else self._heartbeat_at
--- a/larkcrank/program/counters.py
+++ b/larkcrank/program/counters.py
@@ -1,4 +1,4 @@
-"""Counters for what the sidecar takes in, sends and answers."""
+"""Counters for the requests that a sidecar receives, sends and answers."""
 
 from dataclasses import asdict, dataclass, field
 
@@ -7,31 +7,32 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Each is counted in one place; `docs/on-call.md` says what they mean."""
+    """Each counter is incremented in one module only. `docs/on-call.md` explains them to operators."""
 
-    connections: int = 0
-    taken: int = 0
-    bad_requests: int = 0
-    turned_away_full: int = 0
-    served: int = 0
-    refused: int = 0
-    failed: int = 0
-    clients_gone: int = 0
-    gone_before_send: int = 0
-    overdue: int = 0
-    unsent_late: int = 0
-    sends: int = 0
-    connects: int = 0
-    reuses: int = 0
-    lists: int = 0
+    connections: int = 0  # accepted from clients
+    taken: int = 0  # valid requests that were accepted
+    bad_requests: int = 0  # invalid or incomplete requests
+    turned_away_full: int = 0  # requests answered 503 because too many were open
+    served: int = 0  # requests answered by a server
+    refused: int = 0  # requests that the balancer refused
+    failed: int = 0  # requests that the sidecar answered with an error after trying
+    clients_gone: int = 0  # requests whose client disconnected before the answer
+    gone_before_send: int = 0  # of these, requests that were not sent to any server
+    overdue: int = 0  # requests still undecided at their deadline, answered 504
+    unsent_late: int = 0  # refused or failed after half of their time, without having been sent
+    sends: int = 0  # attempts
+    connects: int = 0  # connections opened for attempts
+    reuses: int = 0  # attempts on a pooled connection
+    lists: int = 0  # server lists received from discovery
     discovery_calls: int = 0
     discovery_failures: int = 0
     operators_calls: int = 0
-    crashed: int = 0
+    crashed: int = 0  # unexpected exceptions
     outcomes: dict[str, int] = field(default_factory=lambda: {result.value: 0 for result in Result})
 
     def outcome(self, result: Result) -> None:
+        """Count the result of one attempt."""
         self.outcomes[result.value] += 1
 
-    def shown(self) -> dict[str, object]:
+    def as_dict(self) -> dict[str, object]:
         return asdict(self)
--- a/larkcrank/program/handover.py
+++ b/larkcrank/program/handover.py
@@ -1,9 +1,9 @@
-"""From one process of a sidecar to the next, while both live: what the first knows, and who is there.
+"""Handover of state from one process of a sidecar to the next, while both live.
 
-The serving process listens on a Unix socket in the directory that both share. Its successor connects, is
-sent one message (written whole or not at all, with a version and a length) and keeps the connection: its
-end, which the kernel brings also after SIGKILL, tells each that the other has gone. A file was the other
-way; it tells nothing of who still lives, and may be of any age.
+The serving process listens on a Unix socket in a directory that both processes share. Its successor connects,
+receives one message (a header with a version and a length, then the body) and keeps the connection open. The
+end of the connection, which the kernel signals also after SIGKILL, tells each process that the other has
+exited. A file in place of the socket would not tell whether its writer still lives, and could be of any age.
 """
 
 import asyncio
@@ -20,96 +20,97 @@
 from larkcrank.core.state import HandoverState
 
 VERSION = 1
-MOST_BYTES = 8 << 20
-ASK_S = 0.7  # a predecessor that has not answered by then is not waited for
-_HEAD = struct.Struct(">8sII")
+MAX_MESSAGE_BYTES = 8 << 20
+PREDECESSOR_TIMEOUT_S = 0.7  # for connecting to the predecessor, and again for reading its message
+_HEADER = struct.Struct(">8sII")  # magic, version, length of the body
 _MAGIC = b"larkhand"
 
 
-class Handed(msgspec.Struct):
-    """What the process that still serves knows."""
+class HandoverMessage(msgspec.Struct):
+    """The state of the process that serves now."""
 
     sidecar: str
-    settings: str
-    generation: int | None
+    settings: str  # must equal the receiver's, or the learned state means something else there
+    generation: int | None  # of discovery's server list
     zones: list[str]
     kinds: list[str]
-    places: dict[Address, tuple[str, int]]
+    places: dict[Address, tuple[str, int]]  # host and port of each server
     learnt: HandoverState
 
 
 class HandoverError(Exception):
-    """A predecessor is there, or was, and what it says can't be used; the message says why."""
+    """A predecessor exists or existed, but its message is missing or unusable. The text gives the reason."""
 
 
-_decoder = msgspec.msgpack.Decoder(Handed)
+_decoder = msgspec.msgpack.Decoder(HandoverMessage)
 
 
-def encode(handed: Handed) -> bytes:
-    body = msgspec.msgpack.encode(handed)
-    return _HEAD.pack(_MAGIC, VERSION, len(body)) + body
+def encode(message: HandoverMessage) -> bytes:
+    body = msgspec.msgpack.encode(message)
+    return _HEADER.pack(_MAGIC, VERSION, len(body)) + body
 
 
-def decode(body: bytes, sidecar: str, settings: str) -> Handed:
-    """Raises `HandoverError` where it is damaged or of another sidecar."""
+def decode(body: bytes, sidecar: str, settings: str) -> HandoverMessage:
+    """Raise `HandoverError` if the body is damaged, or comes from another sidecar or other settings."""
     try:
-        handed = _decoder.decode(body)
+        message = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise HandoverError(f"damaged: {error}") from None
-    if (handed.sidecar, handed.settings) != (sidecar, settings):
-        raise HandoverError("of another sidecar, or with other settings")
-    return handed
+    if (message.sidecar, message.settings) != (sidecar, settings):
+        raise HandoverError("message of another sidecar, or of one with other settings")
+    return message
 
 
-def path_in(directory: str, sidecar: str) -> Path:
-    """Where a sidecar's processes find each other."""
+def socket_path(directory: str, sidecar: str) -> Path:
+    """The path of the Unix socket that the processes of one sidecar share."""
     return Path(directory) / f"larkcrank-{zlib.crc32(sidecar.encode()):08x}.sock"
 
 
 class Predecessor:
-    """The connection to the process that still serves; `on_gone` once it ends."""
+    """The connection to the process that still serves."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._reader, self._writer = reader, writer
-        self._watch: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
 
-    async def read(self) -> bytes:
-        """The message's body. Raises `HandoverError`."""
+    async def read_message(self) -> bytes:
+        """Return the body of the handover message. Raises `HandoverError`."""
         try:
-            async with asyncio.timeout(ASK_S):
-                magic, version, length = _HEAD.unpack(await self._reader.readexactly(_HEAD.size))
+            async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
+                magic, version, length = _HEADER.unpack(await self._reader.readexactly(_HEADER.size))
                 if magic != _MAGIC or version != VERSION:
-                    raise HandoverError("of another version")
-                if length > MOST_BYTES:
-                    raise HandoverError(f"over {MOST_BYTES} bytes")
+                    raise HandoverError("unsupported version")
+                if length > MAX_MESSAGE_BYTES:
+                    raise HandoverError(f"over {MAX_MESSAGE_BYTES} bytes")
                 return await self._reader.readexactly(length)
         except TimeoutError:
             raise HandoverError("silent") from None
         except (OSError, asyncio.IncompleteReadError):
             raise HandoverError("cut short") from None
 
-    def watch(self, on_gone: Callable[[], None]) -> None:
-        self._watch = asyncio.get_running_loop().create_task(self._until_gone(on_gone))
+    def watch(self, on_exit: Callable[[], None]) -> None:
+        """Call `on_exit` once the predecessor has exited."""
+        self._watch_task = asyncio.get_running_loop().create_task(self._wait_for_exit(on_exit))
 
-    async def _until_gone(self, on_gone: Callable[[], None]) -> None:
+    async def _wait_for_exit(self, on_exit: Callable[[], None]) -> None:
         try:
             while await self._reader.read(4096):
                 pass
         except OSError:
             pass
         self._writer.close()
-        on_gone()
+        on_exit()
 
     def close(self) -> None:
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._watch_task is not None:
+            self._watch_task.cancel()
         self._writer.close()
 
 
-async def find(path: Path) -> Predecessor | None:
-    """The process that serves now; None where there is none."""
+async def connect_to_predecessor(path: Path) -> Predecessor | None:
+    """Connect to the process that serves now. None if there is none."""
     try:
-        async with asyncio.timeout(ASK_S):
+        async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
             return Predecessor(*await asyncio.open_unix_connection(str(path)))
     except (FileNotFoundError, ConnectionRefusedError):
         return None
@@ -119,44 +120,53 @@
         raise HandoverError(error.strerror or str(error)) from None
 
 
-class Successors:
-    """Where the next process finds this one. The path is taken over in one step, also from a dead process."""
+class HandoverServer:
+    """Sends the handover message to successors and counts those that are connected.
 
-    def __init__(self, path: Path, tell: Callable[[], bytes], changed: Callable[[int], None]) -> None:
-        self._path, self._tell, self._changed = path, tell, changed
+    It takes over the socket path atomically, also from a process that has died.
+    """
+
+    def __init__(
+        self,
+        path: Path,
+        make_message: Callable[[], bytes],
+        on_count_change: Callable[[int], None],
+    ) -> None:
+        """`on_count_change` gets the number of connected successors each time it changes."""
+        self._path, self._make_message, self._on_count_change = path, make_message, on_count_change
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._file: tuple[int, int] = (0, 0)
+        self._socket_file_id: tuple[int, int] = (0, 0)  # device and inode
 
     async def start(self) -> None:
-        """Raises OSError."""
-        beside = self._path.with_name(f"{self._path.name}.{os.getpid()}")
-        beside.unlink(missing_ok=True)
+        """Listen on the path. Raises OSError."""
+        temporary_path = self._path.with_name(f"{self._path.name}.{os.getpid()}")
+        temporary_path.unlink(missing_ok=True)
         sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         try:
-            sock.bind(str(beside))
-            beside.chmod(0o600)
+            sock.bind(str(temporary_path))
+            temporary_path.chmod(0o600)
             self._server = await asyncio.start_unix_server(self._accept, sock=sock)
-            status = beside.stat()
-            self._file = status.st_dev, status.st_ino
-            beside.replace(self._path)
+            status = temporary_path.stat()
+            self._socket_file_id = status.st_dev, status.st_ino
+            temporary_path.replace(self._path)
         except OSError:
             sock.close()
-            beside.unlink(missing_ok=True)
+            temporary_path.unlink(missing_ok=True)
             raise
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """A task of our own: one of the library's, cancelled at the end, would log that as a crash."""
-        task = asyncio.get_running_loop().create_task(self._connected(reader, writer))
+        """Serve in a task of its own: asyncio would log the cancellation of its own task as a crash."""
+        task = asyncio.get_running_loop().create_task(self._serve_successor(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_successor(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
-        self._changed(len(self._writers))
+        self._on_count_change(len(self._writers))
         try:
-            writer.write(self._tell())
+            writer.write(self._make_message())
             while await reader.read(4096):
                 pass
         except OSError:
@@ -164,17 +174,17 @@
         finally:
             writer.close()
             self._writers.discard(writer)
-            self._changed(len(self._writers))
+            self._on_count_change(len(self._writers))
 
     def close(self) -> None:
-        """Give the path back, unless a successor has it already."""
+        """Stop listening, and remove the path unless a successor has taken it over."""
         if self._server is None:
             return
         self._server.close()
         self._server = None
         try:
             status = self._path.stat()
-            if (status.st_dev, status.st_ino) == self._file:
+            if (status.st_dev, status.st_ino) == self._socket_file_id:
                 self._path.unlink()
         except OSError:
             pass
--- a/larkcrank/program/kept.py
+++ b/larkcrank/program/kept.py
@@ -1,8 +1,8 @@
-"""What was learnt, in a file that outlives the process: written whole or not at all, read once at a start.
+"""Learned state in a file that outlives the process: replaced atomically, read once at a start.
 
-Only the usual answer time of a class is kept, and only while the class has the settings that it had then.
-Limits, attempts owed, rests, quota in hand and the budget for repeats describe one moment of one fleet and
-start afresh.
+Only the usual answer time of each request class is kept, and it is used only if the class still has the same
+settings. Rate limits, outstanding attempts, backoffs, unused quota and the retry budget describe one moment
+of one fleet, so they start afresh.
 """
 
 import math
@@ -15,59 +15,66 @@
 from larkcrank.core.interface import RequestClass
 
 VERSION = 1
-MOST_BYTES = 64 * 1024
-MOST_AGE_MS = 24 * 3600 * 1000.0  # a day later the servers may be others
+MAX_FILE_BYTES = 64 * 1024
+MAX_AGE_MS = 24 * 3600 * 1000.0  # a day later the servers may be different ones
 
 
-class KeptError(Exception):
-    """The file can't be used; the message says why."""
+class LearnedStateError(Exception):
+    """The file is unusable. The message gives the reason."""
 
 
-class _Class(msgspec.Struct):
-    settings: str
-    usual_ms: float
+class _SavedClass(msgspec.Struct):
+    settings: str  # of the request class, when the file was written
+    usual_ms: float  # usual answer time
 
 
 class _File(msgspec.Struct):
     version: int
     saved_at_ms: float
-    classes: dict[str, _Class]
+    classes: dict[str, _SavedClass]
 
 
-def write(path: Path, now: float, classes: Sequence[RequestClass], usual: Sequence[float]) -> None:
-    """Replace the file in one step. Raises OSError."""
-    named = {cls.name: _Class(repr(cls), value) for cls, value in zip(classes, usual, strict=True)}
-    beside = path.with_name(f"{path.name}.{os.getpid()}")
+def write(path: Path, now: float, classes: Sequence[RequestClass], answer_times: Sequence[float]) -> None:
+    """Replace the file atomically. Raises OSError."""
+    saved_classes = {
+        request_class.name: _SavedClass(repr(request_class), answer_ms)
+        for request_class, answer_ms in zip(classes, answer_times, strict=True)
+    }
+    temporary_path = path.with_name(f"{path.name}.{os.getpid()}")
     try:
-        with beside.open("wb") as file:
-            file.write(msgspec.json.encode(_File(VERSION, now, named)))
+        with temporary_path.open("wb") as file:
+            file.write(msgspec.json.encode(_File(VERSION, now, saved_classes)))
             file.flush()
             os.fsync(file.fileno())
-        beside.replace(path)
+        temporary_path.replace(path)
     finally:
-        beside.unlink(missing_ok=True)
+        temporary_path.unlink(missing_ok=True)
 
 
 def read(path: Path, now: float, classes: Sequence[RequestClass]) -> dict[int, float]:
-    """Kept usual times by the number of their class. Raises KeptError."""
+    """Saved usual answer times in ms, by index in `classes`. Raises LearnedStateError."""
     try:
         with path.open("rb") as file:
-            text = file.read(MOST_BYTES + 1)
+            text = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
-        raise KeptError(error.strerror or "cannot be read") from None
-    if len(text) > MOST_BYTES:
-        raise KeptError(f"over {MOST_BYTES} bytes")
+        raise LearnedStateError(error.strerror or "cannot be read") from None
+    if len(text) > MAX_FILE_BYTES:
+        raise LearnedStateError(f"over {MAX_FILE_BYTES} bytes")
     try:
-        kept = msgspec.json.decode(text, type=_File)
+        saved = msgspec.json.decode(text, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise KeptError(str(error)) from None
-    if kept.version != VERSION:
-        raise KeptError(f"version {kept.version}, not {VERSION}")
-    if not 0.0 <= now - kept.saved_at_ms <= MOST_AGE_MS:
-        raise KeptError("too old, or from the future")
-    found = {}
-    for index, cls in enumerate(classes):
-        one = kept.classes.get(cls.name)
-        if one is not None and one.settings == repr(cls) and 0.0 < one.usual_ms < math.inf:
-            found[index] = one.usual_ms
-    return found
+        raise LearnedStateError(str(error)) from None
+    if saved.version != VERSION:
+        raise LearnedStateError(f"version {saved.version}, not {VERSION}")
+    if not 0.0 <= now - saved.saved_at_ms <= MAX_AGE_MS:
+        raise LearnedStateError("written more than a day ago, or in the future")
+    answer_times = {}
+    for index, request_class in enumerate(classes):
+        saved_class = saved.classes.get(request_class.name)
+        if (
+            saved_class is not None
+            and saved_class.settings == repr(request_class)
+            and 0.0 < saved_class.usual_ms < math.inf
+        ):
+            answer_times[index] = saved_class.usual_ms
+    return answer_times
--- a/larkcrank/program/log.py
+++ b/larkcrank/program/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard error."""
+"""The log: one JSON object per line for each event, on standard error."""
 
 import logging
 import sys
@@ -7,42 +7,42 @@
 
 import orjson
 
-MOST_A_SECOND = 50  # a trouble that logs more than this says how many lines it swallowed
+MAX_LINES_PER_SECOND = 50  # lines above this are dropped, and their number is logged
 
 
 class Log:
     def __init__(self, name: str, out: BinaryIO | None = None) -> None:
         self._name = name
         self._out = out or sys.stderr.buffer
-        self._second = 0
-        self._lines = 0
-        self._swallowed = 0
+        self._current_second = 0
+        self._lines_this_second = 0
+        self._dropped_lines = 0
 
     def event(self, name: str, **fields: object) -> None:
         second = int(time.monotonic())
-        if second != self._second:
-            self._second, self._lines = second, 0
-            if self._swallowed:
-                swallowed, self._swallowed = self._swallowed, 0
-                self._write("lines_swallowed", {"count": swallowed})
-        self._lines += 1
-        if self._lines > MOST_A_SECOND:
-            self._swallowed += 1
+        if second != self._current_second:
+            self._current_second, self._lines_this_second = second, 0
+            if self._dropped_lines:
+                dropped_lines, self._dropped_lines = self._dropped_lines, 0
+                self._write("lines_swallowed", {"count": dropped_lines})
+        self._lines_this_second += 1
+        if self._lines_this_second > MAX_LINES_PER_SECOND:
+            self._dropped_lines += 1
             return
         self._write(name, fields)
 
-    def failure(self, where: str, error: BaseException) -> None:
-        """A defect that ended one request, not the program."""
+    def log_exception(self, where: str, error: BaseException) -> None:
+        """Log an unexpected exception that ended one operation but not the process."""
         frames = []
-        trace = error.__traceback__
-        while trace is not None:
-            frames.append(f"{trace.tb_frame.f_code.co_qualname}:{trace.tb_lineno}")
-            trace = trace.tb_next
+        traceback = error.__traceback__
+        while traceback is not None:
+            frames.append(f"{traceback.tb_frame.f_code.co_qualname}:{traceback.tb_lineno}")
+            traceback = traceback.tb_next
         self.event("crashed", where=where, error=repr(error), trace=frames)
 
-    def take_over(self) -> None:
-        """Lines of the libraries become events too."""
-        logging.basicConfig(handlers=[_Forward(self)], level=logging.WARNING, force=True)
+    def capture_library_logs(self) -> None:
+        """Log the warnings and errors of libraries as events, too."""
+        logging.basicConfig(handlers=[_EventHandler(self)], level=logging.WARNING, force=True)
 
     def _write(self, name: str, fields: dict[str, object]) -> None:
         line = {"time": round(time.time(), 3), "sidecar": self._name, "event": name, **fields}
@@ -50,10 +50,12 @@
             self._out.write(orjson.dumps(line, default=repr, option=orjson.OPT_APPEND_NEWLINE))
             self._out.flush()
         except OSError:
-            return  # nobody reads the log: serving goes on
+            return  # the reader of the log is gone; serving continues
 
 
-class _Forward(logging.Handler):
+class _EventHandler(logging.Handler):
+    """Turns the log records of libraries into events."""
+
     def __init__(self, log: Log) -> None:
         super().__init__()
         self._log = log
--- a/larkcrank/program/ops.py
+++ b/larkcrank/program/ops.py
@@ -1,8 +1,8 @@
-"""The operators' calls on the second address.
+"""The server for operators' calls, on an address of its own.
 
-Served on the same loop as all else: each turn of it is bounded, and a thread would wait for the same
-core and lock. The places are their own, so that no crowd of clients can keep an operator out, and who
-says nothing makes way for who comes after.
+It runs on the event loop that also serves requests: each turn of the loop is bounded, and a thread would
+compete for the same core and the same lock. Operators have descriptors of their own, so that many clients
+cannot lock an operator out. If these run out, the oldest connection is closed in favour of a new one.
 """
 
 import asyncio
@@ -15,31 +15,34 @@
 from larkcrank.transport.connection import Connection, ConnectionLostError
 from larkcrank.transport.descriptors import Descriptors, Use
 
-SILENT_S = 2.0  # a call must be whole by then
-LINGER_S = 0.2  # what an operator still sends is read before the end, or the answer could be lost
+CALL_TIMEOUT_S = 2.0  # for receiving the complete call
+LINGER_S = 0.2  # further input is read before the close, which could otherwise discard the answer
 
 
-class Operators:
-    """Takes connections on the operators' address and answers one call on each."""
+class OperatorServer:
+    """Accepts connections on the operators' address and answers one call on each."""
 
     def __init__(
         self,
-        life: Life,
+        lifecycle: Life,
         descriptors: Descriptors,
-        called: Callable[[Call, bool], None],
-        failed: Callable[[str, BaseException], None],
-        view: Callable[[], str | None],
+        on_call: Callable[[Call, bool], None],
+        on_exception: Callable[[str, BaseException], None],
+        fleet_view: Callable[[], str | None],
     ) -> None:
-        """`view` tells the fleet in a line; None where this sidecar keeps no view of it."""
-        self._life, self._view = life, view
-        self._called = called
-        self._failed = failed
-        self._open: OrderedDict[Connection, None] = OrderedDict()  # longest first
+        """`on_call` gets each call and whether it succeeded.
+
+        `fleet_view` returns the members of the fleet as one line, or None for a sidecar without a fleet.
+        """
+        self._lifecycle, self._fleet_view = lifecycle, fleet_view
+        self._on_call = on_call
+        self._on_exception = on_exception
+        self._open_connections: OrderedDict[Connection, None] = OrderedDict()  # the oldest first
         self._tasks: set[asyncio.Task[None]] = set()
-        descriptors.add_spare(Use.OPERATOR, self._make_way)
+        descriptors.add_spare(Use.OPERATOR, self._close_oldest)
 
     def accept(self, connection: Connection) -> None:
-        self._open[connection] = None
+        self._open_connections[connection] = None
         task = asyncio.get_running_loop().create_task(self._serve(connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -48,28 +51,31 @@
         for task in self._tasks:
             task.cancel()
 
-    def _make_way(self) -> bool:
-        """A call is answered as soon as it is whole: who has been here longest says nothing, or is done."""
-        if not self._open:
+    def _close_oldest(self) -> bool:
+        """Close the oldest connection, if there is one, and return whether there was.
+
+        Each call is answered as soon as it is complete, so the oldest is silent or already answered.
+        """
+        if not self._open_connections:
             return False
-        self._open.popitem(last=False)[0].close()
+        self._open_connections.popitem(last=False)[0].close()
         return True
 
     async def _serve(self, connection: Connection) -> None:
         try:
-            async with asyncio.timeout(SILENT_S):
-                text = await self._answer(connection)
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                answer = await self._answer(connection)
             async with asyncio.timeout(LINGER_S):
-                await connection.write(text)
+                await connection.write(answer)
                 connection.stop_sending()
                 while True:
                     await connection.read()
         except (ConnectionLostError, TimeoutError):
             pass
         except Exception as error:
-            self._failed("operators' call", error)
+            self._on_exception("operators' call", error)
         finally:
-            self._open.pop(connection, None)
+            self._open_connections.pop(connection, None)
             connection.close()
 
     async def _answer(self, connection: Connection) -> bytes:
@@ -80,20 +86,20 @@
         except CallError as error:
             return ops.answer(False, str(error))
         if call is Call.VIEW:
-            told = self._view()
-            self._called(call, told is not None)
-            return ops.answer(told is not None, told or "no view of the fleet is kept")
-        done = self._carry_out(call)
-        self._called(call, done)
-        return ops.answer(done, self._life.phase.value)
+            view = self._fleet_view()
+            self._on_call(call, view is not None)
+            return ops.answer(view is not None, view or "no view of the fleet is kept")
+        succeeded = self._execute(call)
+        self._on_call(call, succeeded)
+        return ops.answer(succeeded, self._lifecycle.phase.value)
 
-    def _carry_out(self, call: Call) -> bool:
+    def _execute(self, call: Call) -> bool:
         match call:
             case Call.PING:
-                return self._life.is_ready
+                return self._lifecycle.is_ready
             case Call.LAMEDUCK:
-                return self._life.drain()
+                return self._lifecycle.drain()
             case Call.REJOIN:
-                return self._life.rejoin()
+                return self._lifecycle.rejoin()
             case Call.VIEW:
-                return self._view() is not None
+                return self._fleet_view() is not None
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar's parts put together, its start and its end."""
+"""Assembles the parts of a sidecar, and controls its start and its shutdown."""
 
 import asyncio
 import gc
@@ -16,7 +16,7 @@
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
 from larkcrank.program.log import Log
-from larkcrank.program.ops import Operators
+from larkcrank.program.ops import OperatorServer
 from larkcrank.protocol.discovery import Listing, Names
 from larkcrank.protocol.ops import Call
 from larkcrank.routing.clients import Clients
@@ -30,25 +30,32 @@
 from larkcrank.transport.pool import Pool
 
 if TYPE_CHECKING:
-    from larkcrank.program.together import Together
+    from larkcrank.program.together import FleetMember
 
-ACCEPT_ON_S = 0.55  # after SIGTERM new connections go on coming for up to 0.4 s
-LEAVE_IDLE_S = 0.4  # and clients go on using those that they have
-REST_S = 0.2  # but one just answered may bring its next request any moment
-LEAVE_PASSED_S = 1.0  # where a successor serves, most clients are sent there by an answer, not by a close
-LIST_S = 2.5  # a process whose predecessor can't be heard waits so long for discovery
-LONGEST_MS = 3000.0  # the platform waits for the longest deadline, but no longer than this, ...
-LAST_MS = 500.0  # ... and 0.7 s before it kills: by then nothing may be open ...
-CUT_MS = 650.0  # ... and what then still reads or writes is ended
-LOOK_S = 0.05
+SHUTDOWN_ACCEPT_S = 0.55  # new connections keep arriving for up to 0.4 s after SIGTERM
+IDLE_CLOSE_DELAY_S = 0.4  # clients keep using their open connections for this long after SIGTERM
+MIN_IDLE_S = 0.2  # a client that was just answered may send its next request at any moment
+HANDOVER_CLOSE_DELAY_S = (
+    1.0  # with a successor, most clients move on a `Connection: close` answer before this
+)
+DISCOVERY_WAIT_S = 2.5  # limit on the wait for discovery where the predecessor does not answer
+MAX_DEADLINE_WAIT_MS = 3000.0  # at shutdown the platform waits for the longest deadline, up to this limit
+ANSWER_MARGIN_MS = 500.0  # after that wait; no request may be open then, 0.7 s before the platform kills
+ABORT_MARGIN_MS = 650.0  # after that wait; connections that are still reading or writing are aborted
+POLL_INTERVAL_S = 0.05
 
 
 class Sidecar:
     def __init__(
-        self, config: Config, log: Log, reread: Callable[[], Config], passed: socket.socket | None = None
+        self,
+        config: Config,
+        log: Log,
+        load_config: Callable[[], Config],
+        passed_socket: socket.socket | None = None,
     ) -> None:
+        """`load_config` reads the configuration again. `passed_socket` is the platform's listening socket."""
         self.log = log
-        self._config, self._reread = config, reread
+        self._config, self._load_config = config, load_config
         self.counters = Counters()
         self._clock = Clock()
         self._rng = Random(config.seed)
@@ -61,11 +68,11 @@
             self.descriptors,
             site.connect_timeout_ms,
             site.load_fields,
-            config.max_body,
+            config.max_body_bytes,
             self.budget,
             self._clock,
             self.counters,
-            log.failure,
+            log.log_exception,
             site.decisions.only_draining_binds,
         )
         self._names = Names(list(site.zones), list(site.kinds))
@@ -77,11 +84,11 @@
             not site.decisions.must_ask,
             Random(self._rng.getrandbits(64)),
             self.counters,
-            log.failure,
+            log.log_exception,
             DISCOVERY_SPREAD_PER_INSTANCE_MS * site.decisions.instances / 1000.0
             if site.decisions.must_ask
             else 0.0,
-            config.elsewhere,
+            config.fallback_discovery,
             config.watch_ms,
         )
         balancer = Balancer(site.decisions, Random(self._rng.getrandbits(64)), self._clock())
@@ -96,307 +103,341 @@
             self.counters,
             log,
         )
-        self.life = Life()
-        self.life.changed = self._life_changed
+        self.lifecycle = Life()
+        self.lifecycle.changed = self._on_phase_change
         self.clients = Clients(
             site.decisions,
             self._driver,
-            self.life,
-            self._clock.earliest,
+            self.lifecycle,
+            self._clock.earliest_arrival,
             self.descriptors,
             self.budget,
-            config.max_body,
+            config.max_body_bytes,
             self.counters,
-            log.failure,
+            log.log_exception,
         )
-        self._listener = Listener(config.listen, self.descriptors, self.clients.accept, passed=passed)
-        self._others = [0, 0]  # processes of this sidecar that live beside this one: before it, after it
+        self._listener = Listener(config.listen, self.descriptors, self.clients.accept, passed=passed_socket)
+        # Numbers of other live processes of this sidecar: predecessors, successors.
+        self._other_processes = [0, 0]
         self._predecessor: handover.Predecessor | None = None
-        self._successors: handover.Successors | None = None
-        self._operators: Listener | None = None
+        self._handover_server: handover.HandoverServer | None = None
+        self._ops_listener: Listener | None = None
         if config.ops is not None:
-            operators = Operators(self.life, self.descriptors, self._called, log.failure, self._view)
-            self._operators = Listener(config.ops, self.descriptors, operators.accept, Use.OPERATOR)
-        self._sending_away: asyncio.Task[None] | None = None
-        self._together = self._make_together()
+            ops_server = OperatorServer(
+                self.lifecycle,
+                self.descriptors,
+                self._on_operator_call,
+                log.log_exception,
+                self._fleet_view,
+            )
+            self._ops_listener = Listener(config.ops, self.descriptors, ops_server.accept, Use.OPERATOR)
+        self._idle_close_task: asyncio.Task[None] | None = None
+        self._fleet_member = self._make_fleet_member()
         self._always_watch = not site.decisions.must_ask
-        self._known = config.known
-        self._known_count = 0
-        self._ending = asyncio.Event()
+        self._configured_list = config.initial_list
+        self._initial_server_count = 0
+        self._shutdown_requested = asyncio.Event()
 
     @property
-    def place(self) -> tuple[str, int]:
+    def listen_address(self) -> tuple[str, int]:
         return self._listener.place
 
     @property
-    def ops_place(self) -> tuple[str, int]:
-        assert self._operators is not None
-        return self._operators.place
+    def ops_address(self) -> tuple[str, int]:
+        assert self._ops_listener is not None
+        return self._ops_listener.place
 
-    async def begin(self) -> None:
-        """Serve as soon as that can be done by a list that is current enough.
+    async def start_serving(self) -> None:
+        """Start serving as soon as a sufficiently current server list is available.
 
-        A process that serves already hands over its list and what it learnt. Where one is there and can't be
-        heard, this one waits for discovery, but not long: a slow one must not keep it from its work.
+        A process that already serves hands over its server list and its learned state. If such a process
+        exists but does not answer, this one waits for discovery, for a limited time: a slow discovery service
+        must not keep the sidecar from serving.
         """
         if not self._listener.is_passed:
-            self.start()
+            self.start_without_handover()
             return
-        if self._operators is not None:
-            self._operators.start()  # operators are told that it is not ready yet
-        path = handover.path_in(tempfile.gettempdir(), self._config.name)
-        handed, wait = None, False
+        if self._ops_listener is not None:
+            self._ops_listener.start()  # operators can already ask, and learn that it is not ready yet
+        path = handover.socket_path(tempfile.gettempdir(), self._config.name)
+        message, must_wait = None, False
         try:
-            self._predecessor = await handover.find(path)
+            self._predecessor = await handover.connect_to_predecessor(path)
             if self._predecessor is not None:
-                handed = handover.decode(await self._predecessor.read(), self._config.name, self._marks())
+                message = handover.decode(
+                    await self._predecessor.read_message(), self._config.name, self._settings_key()
+                )
         except handover.HandoverError as error:
-            wait = True
+            must_wait = True
             self.log.event("handover_unusable", message=str(error))
         if self._predecessor is not None:
-            self._shares(0, 1)
-            self._predecessor.watch(self._predecessor_gone)
-        self._learn_list(handed)
-        if wait:
-            until = asyncio.get_running_loop().time() + LIST_S
-            while not self.counters.lists and asyncio.get_running_loop().time() < until:
-                await asyncio.sleep(LOOK_S)
-        await self._await_successors(path)
-        self._open_door()
-
-    async def _await_successors(self, path: Path) -> None:
-        self._successors = handover.Successors(path, self._told, lambda count: self._shares(1, count))
+            self._set_other_processes(0, 1)
+            self._predecessor.watch(self._on_predecessor_exit)
+        self._load_initial_servers(message)
+        if must_wait:
+            wait_until = asyncio.get_running_loop().time() + DISCOVERY_WAIT_S
+            while not self.counters.lists and asyncio.get_running_loop().time() < wait_until:
+                await asyncio.sleep(POLL_INTERVAL_S)
+        await self._start_handover_server(path)
+        self._start_accepting()
+
+    async def _start_handover_server(self, path: Path) -> None:
+        self._handover_server = handover.HandoverServer(
+            path, self._handover_message, lambda count: self._set_other_processes(1, count)
+        )
         try:
-            await self._successors.start()
-        except OSError as error:  # the next process starts cold, this one serves all the same
+            await self._handover_server.start()
+        except OSError as error:  # the next process has to start cold; this one can still serve
             self.log.event("handover_unavailable", message=str(error))
 
-    def _told(self) -> bytes:
+    def _handover_message(self) -> bytes:
         self.log.event("handed_over", servers=len(self._servers.places()))
-        handed = handover.Handed(
+        message = handover.HandoverMessage(
             self._config.name,
-            self._marks(),
+            self._settings_key(),
             self._discovery.generation,
             self._names.zones,
             self._names.kinds,
             self._servers.places(),
             self._balancer.export_state(),
         )
-        return handover.encode(handed)
+        return handover.encode(message)
 
-    def _marks(self) -> str:
-        """What two processes must have in common to mean the same by what they learnt."""
+    def _settings_key(self) -> str:
+        """The settings as text. Two processes can share learned state only if theirs are equal."""
         return repr(self._config.site)
 
-    def _shares(self, where: int, count: int) -> None:
-        """The limits are those of one sidecar: its processes share them evenly while more than one lives."""
-        self._others[where] = count
-        self.descriptors.share_with(sum(self._others))
-        self.budget.share_with(sum(self._others))
-        self.log.event("processes", beside=sum(self._others))
-
-    def _predecessor_gone(self) -> None:
-        self._shares(0, 0)
-        if self.life.phase is not Phase.STARTING:
-            self._join()
+    def _set_other_processes(self, position: int, count: int) -> None:
+        """Set the number of predecessors (position 0) or of successors (position 1), and adjust the limits.
 
-    def _make_together(self) -> "Together | None":
-        """The fleet's part, where one is configured and the platform lets sidecars talk."""
+        The limits apply to the sidecar as a whole: its live processes share them evenly.
+        """
+        self._other_processes[position] = count
+        self.descriptors.share_with(sum(self._other_processes))
+        self.budget.share_with(sum(self._other_processes))
+        self.log.event("processes", beside=sum(self._other_processes))
+
+    def _on_predecessor_exit(self) -> None:
+        self._set_other_processes(0, 0)
+        if self.lifecycle.phase is not Phase.STARTING:
+            self._join_fleet()
+
+    def _make_fleet_member(self) -> "FleetMember | None":
+        """The fleet member, where a fleet is configured and the platform lets sidecars send messages."""
         config = self._config
         if config.fleet is None:
             return None
         if not config.site.may_talk:
-            self.log.event("fleet_off", reason="settings.bounds.peers is false: sidecars may not talk")
+            self.log.event(
+                "fleet_off", reason="settings.bounds.peers is false: sidecars may not talk"
+            )
             return None
-        from larkcrank.program.together import Together  # a plain sidecar's start does not pay for it
+        # Imported here, so that a sidecar without a fleet starts without the import cost.
+        from larkcrank.program.together import FleetMember
 
         rng = Random(self._rng.getrandbits(64))
-        return Together(config, self._names, self._clock, self.log, self._driver, rng)
-
-    def _join(self) -> None:
-        """Two processes of one sidecar are one member: the first speaks until it is gone."""
-        if self._together is not None and not self._others[0]:
-            self._together.attach(self._discovery)
-            self._together.start()
-
-    def _view(self) -> str | None:
-        return None if self._together is None else self._together.view()
-
-    def start(self) -> None:
-        """Serve from now on, by the list as last held until discovery answers."""
-        if self._operators is not None:
-            self._operators.start()
-        self._learn_list(None)
-        self._open_door()
-
-    def _learn_list(self, handed: handover.Handed | None) -> None:
-        known: Listing | None = None
-        if self._together is not None and self._predecessor is None:  # beside one it asks for itself
-            self._together.attach(self._discovery)
-        if handed is not None:
-            self._balancer.import_state(handed.learnt)
-            self._names.zones[:], self._names.kinds[:] = handed.zones, handed.kinds
-            endpoints = tuple(server.endpoint for server in handed.learnt.servers)
-            known = Listing(handed.generation or 0, True, endpoints, handed.places)
-            self._discovery.go_on_from(handed.generation)
-            self._discovery.doubt()  # the process before may have had no answer of late
-            self.log.event("taken_over", known=len(endpoints), taken=handed.learnt.known[1])
+        return FleetMember(config, self._names, self._clock, self.log, self._driver, rng)
+
+    def _join_fleet(self) -> None:
+        """Join the fleet, unless a predecessor lives: the processes of a sidecar are one member."""
+        if self._fleet_member is not None and not self._other_processes[0]:
+            self._fleet_member.attach(self._discovery)
+            self._fleet_member.start()
+
+    def _fleet_view(self) -> str | None:
+        return None if self._fleet_member is None else self._fleet_member.view()
+
+    def start_without_handover(self) -> None:
+        """Start serving at once, with the last known server list until discovery answers."""
+        if self._ops_listener is not None:
+            self._ops_listener.start()
+        self._load_initial_servers(None)
+        self._start_accepting()
+
+    def _load_initial_servers(self, message: handover.HandoverMessage | None) -> None:
+        listing: Listing | None = None
+        # Beside a predecessor, this process calls discovery without coordinating with the fleet.
+        if self._fleet_member is not None and self._predecessor is None:
+            self._fleet_member.attach(self._discovery)
+        if message is not None:
+            self._balancer.import_state(message.learnt)
+            self._names.zones[:], self._names.kinds[:] = message.zones, message.kinds
+            endpoints = tuple(server.endpoint for server in message.learnt.servers)
+            listing = Listing(message.generation or 0, True, endpoints, message.places)
+            self._discovery.go_on_from(message.generation)
+            self._discovery.doubt()  # the predecessor may have lost contact with discovery recently
+            self.log.event("taken_over", known=len(endpoints), taken=message.learnt.known[1])
         else:
-            self._take_up(self._config.kept)
-            known = self._discovery.start_from(self._known) if self._known else None
-            if self._together is not None:
-                known = self._together.known(known)
-                self._discovery.go_on_from(known.generation if known is not None else None)
-        if known is None:
-            known = Listing(0, True, ())
-        # Also where none is known: the balancer sets its timer, by which it asks, on its first event.
-        self._driver.told(known, cached=True)
+            self._restore_learned_state(self._config.learned_state_path)
+            listing = self._discovery.start_from(self._configured_list) if self._configured_list else None
+            if self._fleet_member is not None:
+                listing = self._fleet_member.initial_list(listing)
+                self._discovery.go_on_from(listing.generation if listing is not None else None)
+        if listing is None:
+            listing = Listing(0, True, ())
+        # An empty list is passed on too: on its first event the balancer sets its timer for discovery calls.
+        self._driver.told(listing, cached=True)
         if self._always_watch:
             self._discovery.watch()
-        self._clock.beat()
-        self._known_count = len(known.endpoints)
+        self._clock.start_heartbeat()
+        self._initial_server_count = len(listing.endpoints)
 
-    def _open_door(self) -> None:
+    def _start_accepting(self) -> None:
         self._listener.start()
-        self.life.start()
-        self._join()
-        host, port = self.place
-        more = {"ops": "{}:{}".format(*self.ops_place)} if self._operators is not None else {}
-        self.log.event("ready", listen=f"{host}:{port}", known=self._known_count, **more)
+        self.lifecycle.start()
+        self._join_fleet()
+        host, port = self.listen_address
+        ops_field = {"ops": "{}:{}".format(*self.ops_address)} if self._ops_listener is not None else {}
+        self.log.event("ready", listen=f"{host}:{port}", known=self._initial_server_count, **ops_field)
 
-    def _called(self, call: Call, done: bool) -> None:
+    def _on_operator_call(self, call: Call, succeeded: bool) -> None:
         self.counters.operators_calls += 1
-        if call not in (Call.PING, Call.VIEW):  # these come again and again
-            self.log.event("operators_call", call=call.name, done=done, now=self.life.phase.value)
+        if call not in (Call.PING, Call.VIEW):  # these two are polled and would flood the log
+            self.log.event("operators_call", call=call.name, done=succeeded, now=self.lifecycle.phase.value)
 
-    def _life_changed(self) -> None:
-        if self.life.phase is Phase.DRAINING and self._sending_away is None:
-            self._sending_away = asyncio.get_running_loop().create_task(self._send_away())
+    def _on_phase_change(self) -> None:
+        if self.lifecycle.phase is Phase.DRAINING and self._idle_close_task is None:
+            self._idle_close_task = asyncio.get_running_loop().create_task(self._close_idle_while_draining())
 
-    async def _send_away(self) -> None:
-        """While draining: close what rests, once clients have had the time to look elsewhere."""
+    async def _close_idle_while_draining(self) -> None:
+        """Close idle client connections, once clients have had time to switch to another sidecar."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        while self.life.phase is Phase.DRAINING:
-            await asyncio.sleep(LOOK_S)
-            if loop.time() - began >= LEAVE_IDLE_S:
-                self.clients.close_idle(REST_S)
-        self._sending_away = None
-
-    def _take_up(self, path: str) -> None:
-        """Begin with what was kept. A file that can't be used is logged, and the start is a cold one."""
+        started_at = loop.time()
+        while self.lifecycle.phase is Phase.DRAINING:
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if loop.time() - started_at >= IDLE_CLOSE_DELAY_S:
+                self.clients.close_idle(MIN_IDLE_S)
+        self._idle_close_task = None
+
+    def _restore_learned_state(self, path: str) -> None:
+        """Load the learned state from its file. If the file is unusable, log that and start cold."""
         if not path:
             return
         try:
-            usual = kept.read(Path(path), self._clock(), self._config.site.decisions.classes)
-        except kept.KeptError as error:
+            answer_times = kept.read(Path(path), self._clock(), self._config.site.decisions.classes)
+        except kept.LearnedStateError as error:
             self.log.event("kept_unusable", message=str(error))
             return
-        self._balancer.restore_answer_times(usual)
-        self.log.event("kept_taken", classes=len(usual))
+        self._balancer.restore_answer_times(answer_times)
+        self.log.event("kept_taken", classes=len(answer_times))
 
-    def keep(self) -> None:
-        """Write what was learnt, where the configuration names a file."""
-        if not self._config.kept:
+    def save_learned_state(self) -> None:
+        """Write the learned state, where the configuration names a file for it."""
+        if not self._config.learned_state_path:
             return
-        classes, usual = self._config.site.decisions.classes, self._balancer.usual_answer_times()
+        classes, answer_times = self._config.site.decisions.classes, self._balancer.usual_answer_times()
         try:
-            kept.write(Path(self._config.kept), self._clock(), classes, usual)
+            kept.write(Path(self._config.learned_state_path), self._clock(), classes, answer_times)
         except OSError as error:
             self.log.event("kept_not_written", message=str(error.strerror))
 
-    def end(self) -> None:
-        """Ask for the planned end."""
-        self._ending.set()
+    def request_shutdown(self) -> None:
+        """Request a graceful shutdown."""
+        self._shutdown_requested.set()
 
-    def _loop_failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        """An exception that ended a callback: the loop goes on."""
+    def _on_loop_exception(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        """Log an exception that escaped from a callback. The event loop keeps running."""
         self.counters.crashed += 1
         error = context.get("exception") or RuntimeError(str(context.get("message")))
-        self.log.failure("loop", error)
+        self.log.log_exception("loop", error)
 
     def reload(self) -> None:
-        """Follow the configuration as it is now: discovery's address; the other keys are for a start."""
+        """Apply the current configuration: the discovery addresses. All other keys need a restart."""
         try:
-            new = self._reread()
+            new_config = self._load_config()
         except ConfigError as error:
             self.log.event("bad_configuration", message=str(error), kept=True)
             return
-        host, port = new.discovery
-        self.log.event("reloaded", discovery=f"{host}:{port}", needs_restart=self._config.fixed_changes(new))
-        self._discovery.move(new.discovery, new.elsewhere)
+        host, port = new_config.discovery
+        self.log.event(
+            "reloaded",
+            discovery=f"{host}:{port}",
+            needs_restart=self._config.changes_needing_restart(new_config),
+        )
+        self._discovery.move(new_config.discovery, new_config.fallback_discovery)
 
-    def show_counters(self) -> None:
-        more = {} if self._together is None else self._together.counters()
-        self.log.event("counters", **self.counters.shown(), **more)
+    def log_counters(self) -> None:
+        fleet_counters = {} if self._fleet_member is None else self._fleet_member.counters()
+        self.log.event("counters", **self.counters.as_dict(), **fleet_counters)
 
     async def run(self) -> None:
         loop = asyncio.get_running_loop()
-        for number in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(number, self.end)
-        loop.add_signal_handler(signal.SIGUSR1, self.show_counters)
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.request_shutdown)
+        loop.add_signal_handler(signal.SIGUSR1, self.log_counters)
         loop.add_signal_handler(signal.SIGHUP, self.reload)
-        signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))  # blocked since the file was read
-        loop.set_exception_handler(self._loop_failed)
-        self.log.take_over()
-        beginning = loop.create_task(self.begin())
-        ending = loop.create_task(self._ending.wait())
-        await asyncio.wait((beginning, ending), return_when=asyncio.FIRST_COMPLETED)
-        if beginning.done():
-            beginning.result()
+        # SIGHUP has been blocked since before the configuration was read.
+        signal.pthread_sigmask(signal.SIG_UNBLOCK, (signal.SIGHUP,))
+        loop.set_exception_handler(self._on_loop_exception)
+        self.log.capture_library_logs()
+        start_task = loop.create_task(self.start_serving())
+        shutdown_wait = loop.create_task(self._shutdown_requested.wait())
+        await asyncio.wait((start_task, shutdown_wait), return_when=asyncio.FIRST_COMPLETED)
+        if start_task.done():
+            start_task.result()
             gc.collect()
-            gc.freeze()  # what lives as long as the program need not be looked through again
-        await ending
-        beginning.cancel()  # ended before it began
-        await asyncio.wait(
-            (beginning,)
-        )  # what it has half set up is whole, or given back, before all is closed
-        await self.wind_down()
-        self.keep()
-        self.show_counters()
+            gc.freeze()  # objects that live as long as the process need no further garbage collection
+        await shutdown_wait
+        start_task.cancel()  # has an effect only if shutdown was requested before the start completed
+        # Wait until the cancelled start has released or completed what it was setting up; then close.
+        await asyncio.wait((start_task,))
+        await self.shut_down()
+        self.save_learned_state()
+        self.log_counters()
         self.log.event("ended")
 
     async def stop_listening(self) -> None:
-        """Take what the kernel has accepted, then nothing more. Answers make room where there is none."""
+        """Accept the connections that wait in the kernel's queue, then stop.
+
+        Where descriptors run out, each answered request releases one for the next connection.
+        """
         while not self._listener.finish():
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(POLL_INTERVAL_S)
             self.clients.close_idle()
 
     def close(self) -> None:
-        """Give back what a sidecar holds besides its clients' connections."""
-        for listener in (self._listener, self._operators, self._together):
+        """Release all resources except the clients' connections."""
+        for listener in (self._listener, self._ops_listener, self._fleet_member):
             if listener is not None:
                 listener.close()
-        if self._sending_away is not None:
-            self._sending_away.cancel()
-        for other in (self._predecessor, self._successors):
-            if other is not None:
-                other.close()
+        if self._idle_close_task is not None:
+            self._idle_close_task.cancel()
+        for handover_peer in (self._predecessor, self._handover_server):
+            if handover_peer is not None:
+                handover_peer.close()
         self._discovery.close()
         self.pool.close()
 
-    async def wind_down(self) -> None:
-        """Serve on while clients still come, then answer what was taken, then go."""
+    async def shut_down(self) -> None:
+        """Serve while clients still connect, then finish the accepted requests, then close."""
         self.log.event("winding_down", connections=self.clients.open)
-        if self._together is not None and not self._others[1]:  # else this member goes on in the successor
-            self._together.leave()
+        # With a successor, this member of the fleet lives on in that process.
+        if self._fleet_member is not None and not self._other_processes[1]:
+            self._fleet_member.leave()
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        longest = max(cls.deadline_ms for cls in self._config.site.decisions.classes)
-        last_ms = min(longest, LONGEST_MS) + LAST_MS
-        self.life.end(self._clock() + last_ms)
-        self._driver.end_by(self.life.latest)
+        started_at = loop.time()
+        longest_deadline_ms = max(
+            request_class.deadline_ms for request_class in self._config.site.decisions.classes
+        )
+        answer_limit_ms = min(longest_deadline_ms, MAX_DEADLINE_WAIT_MS) + ANSWER_MARGIN_MS
+        self.lifecycle.end(self._clock() + answer_limit_ms)
+        self._driver.end_by(self.lifecycle.latest)
         if self._listener.is_passed:
-            await self.stop_listening()  # what waits there is the successor's
-        while (spent := loop.time() - began) < (LEAVE_PASSED_S if self._listener.is_passed else ACCEPT_ON_S):
-            await asyncio.sleep(LOOK_S)
-            if spent >= LEAVE_IDLE_S and not self._listener.is_passed:
-                self.clients.close_idle(REST_S)  # a request that crosses this finds the listener still open
+            await (
+                self.stop_listening()
+            )  # connections that arrive later on the passed socket go to the successor
+        while (elapsed := loop.time() - started_at) < (
+            HANDOVER_CLOSE_DELAY_S if self._listener.is_passed else SHUTDOWN_ACCEPT_S
+        ):
+            await asyncio.sleep(POLL_INTERVAL_S)
+            if elapsed >= IDLE_CLOSE_DELAY_S and not self._listener.is_passed:
+                # A client whose request crosses the close can reconnect: the listener is still open.
+                self.clients.close_idle(MIN_IDLE_S)
         await self.stop_listening()
-        rest_s = REST_S if self._listener.is_passed else 0.0
+        min_idle_s = MIN_IDLE_S if self._listener.is_passed else 0.0
         while self.clients.open:
-            await asyncio.sleep(LOOK_S)  # what the last accept brought is read first
-            self.clients.close_idle(rest_s)
-            if loop.time() - began > (last_ms + CUT_MS - LAST_MS) / 1000.0:
+            await asyncio.sleep(POLL_INTERVAL_S)  # first read the requests on the connections accepted last
+            self.clients.close_idle(min_idle_s)
+            if loop.time() - started_at > (answer_limit_ms + ABORT_MARGIN_MS - ANSWER_MARGIN_MS) / 1000.0:
                 self.clients.cut()
         self.close()
--- a/larkcrank/program/start.py
+++ b/larkcrank/program/start.py
@@ -1,4 +1,4 @@
-"""From the environment to a sidecar that runs, and its exit code."""
+"""Starts a sidecar from the environment, and returns the exit code of the process."""
 
 import asyncio
 import os
@@ -11,23 +11,23 @@
 from larkcrank.transport.listener import PassedSocketError, adopt
 
 
-async def _run(config: Config, log: Log, passed: socket.socket | None) -> None:
-    await Sidecar(config, log, lambda: load(os.environ, again=True), passed).run()
+async def _run(config: Config, log: Log, passed_socket: socket.socket | None) -> None:
+    await Sidecar(config, log, lambda: load(os.environ, is_reload=True), passed_socket).run()
 
 
 def serve() -> int:
-    """Run until the planned end. 2: the configuration is faulty; 1: its address can't be listened on."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))  # until its handler stands
+    """Run until a graceful shutdown. Returns 2 if the configuration is invalid, 1 if listening fails."""
+    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))  # until its handler is installed
     try:
         config = load(os.environ)
-        passed = None if config.passed is None else adopt(config.passed)
+        passed_socket = None if config.passed_descriptor is None else adopt(config.passed_descriptor)
     except (ConfigError, PassedSocketError) as error:
         Log(os.environ.get("PROXY_NAME", "")).event("bad_configuration", message=str(error))
         return 2
     log = Log(config.name)
     try:
-        asyncio.run(_run(config, log, passed))
-    except OSError as error:  # the address is taken, or not ours
+        asyncio.run(_run(config, log, passed_socket))
+    except OSError as error:  # the address is in use, or not an address of this host
         log.event("cannot_listen", message=str(error))
         return 1
     return 0
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -1,6 +1,6 @@
-"""What a sidecar does with its fellows: keeps a view of them and, where that is asked for, lists in common.
+"""The sidecar's part in its fleet: a view of the members and, where configured, a shared server list.
 
-Loaded only where `fleet` is configured. It starts and stops itself; the sidecar owns one.
+Loaded only where `fleet` is configured. The sidecar owns one `FleetMember`, which starts and stops its parts.
 """
 
 import asyncio
@@ -24,12 +24,13 @@
 from larkcrank.routing.discovery import Discovery
 from larkcrank.routing.driver import Driver, Journal
 
-SAVE_MS = 5000.0  # between two writes of the snapshot at least
-GUESS_MS = 60_000.0  # after a start in which it is found out which restart it was
+MIN_SAVE_INTERVAL_MS = 5000.0  # between two writes of the snapshot
+RESTART_DETECTION_MS = 60_000.0  # after a start, the time in which the kind of restart is determined
+MAX_EARLY_LISTS = 64  # lists from discovery that are kept until the fleet is joined
 
 
-class Together:
-    """The fleet's part of a sidecar."""
+class FleetMember:
+    """One sidecar as a member of its fleet."""
 
     def __init__(
         self,
@@ -42,58 +43,58 @@
     ) -> None:
         assert config.fleet is not None
         decisions = config.site.decisions
-        zones, zone = config.site.zones, decisions.zone
-        self._zone = zones[zone] if zone < len(zones) else str(zone)
+        zones, zone_number = config.site.zones, decisions.zone
+        self._zone = zones[zone_number] if zone_number < len(zones) else str(zone_number)
         self._config, self._clock, self._log, self._driver = config, clock, log, driver
-        configured = FleetSize(decisions.instances, decisions.ordinal, decisions.instances)
+        configured_size = FleetSize(decisions.instances, decisions.ordinal, decisions.instances)
         self._speaker = Speaker(
             config.fleet,
             config.name,
             self._zone,
-            configured,
+            configured_size,
             clock,
             log,
             driver.feed,
-            self._joined,
-            self._step,
+            self._on_joined,
+            self._step_recovery,
         )
-        self._starting: asyncio.Task[None] | None = None
-        self._attached = False
+        self._start_task: asyncio.Task[None] | None = None
+        self._is_attached = False
         self._recovery: Recovery | None = None
         if config.fleet.recovery is not None:
             self._recovery = Recovery(config, config.fleet.recovery, names, clock, log, driver, rng)
 
     def attach(self, discovery: Discovery) -> None:
-        """From now on discovery's word meets what the fellows know, and calls to it wait for their turn."""
-        if self._recovery is not None and not self._attached:
-            self._attached = True
+        """Combine discovery's lists with those of other members, and call discovery in turns with them."""
+        if self._recovery is not None and not self._is_attached:
+            self._is_attached = True
             self._recovery.attach(discovery)
 
-    def known(self, listing: Listing | None) -> Listing | None:
-        """The list to begin with: the configuration's, or the one of before where that is newer."""
-        return listing if self._recovery is None else self._recovery.known(listing)
+    def initial_list(self, configured: Listing | None) -> Listing | None:
+        """The server list to start with: `configured`, or the snapshot's if that is newer."""
+        return configured if self._recovery is None else self._recovery.initial_list(configured)
 
     def start(self) -> None:
-        if self._starting is None:
-            self._starting = asyncio.get_running_loop().create_task(self._start())
+        if self._start_task is None:
+            self._start_task = asyncio.get_running_loop().create_task(self._start())
 
     async def _start(self) -> None:
         if self._recovery is not None:
-            self._speaker.more_seeds(self._recovery.fellows)
+            self._speaker.more_seeds(self._recovery.previous_members)
         try:
             await self._speaker.start()
-        except OSError as error:  # it serves all the same
+        except OSError as error:  # the sidecar serves without a fleet
             self._log.event("fleet_off", reason=str(error))
             if self._recovery is not None:
-                self._recovery.detach()
+                self._recovery.disable()
 
     def leave(self) -> None:
-        """The planned end: others are told."""
+        """Tell other members that this one shuts down."""
         self._speaker.leave()
 
     def close(self) -> None:
-        if self._starting is not None:
-            self._starting.cancel()
+        if self._start_task is not None:
+            self._start_task.cancel()
         if self._recovery is not None:
             self._recovery.close()
         self._speaker.close()
@@ -102,19 +103,22 @@
         return self._speaker.view()
 
     def counters(self) -> dict[str, Any]:
-        more = {} if self._recovery is None else {"recovery": self._recovery.counters()}
-        return {"fleet": asdict(self._speaker.counters)} | more
+        recovery_counters = {} if self._recovery is None else {"recovery": self._recovery.counters()}
+        return {"fleet": asdict(self._speaker.counters)} | recovery_counters
 
-    def _joined(self, membership: Membership, now: float) -> None:
+    def _on_joined(self, membership: Membership, now: float) -> None:
         if self._recovery is not None:
-            self._recovery.joined(membership, self._speaker, self._zone, now)
+            self._recovery.on_joined(membership, self._speaker, self._zone, now)
 
-    def _step(self, now: float) -> list[Out]:
+    def _step_recovery(self, now: float) -> list[Out]:
         return [] if self._recovery is None else self._recovery.step(now)
 
 
 class Recovery:
-    """Lists in common, whose turn it is to call discovery, and the snapshot."""
+    """The server list shared with the fleet, the turns in which members call discovery, and the snapshot.
+
+    With these, members recover after a restart even while discovery is unreachable or overloaded.
+    """
 
     def __init__(
         self,
@@ -128,107 +132,125 @@
     ) -> None:
         assert config.fleet is not None
         decisions = config.site.decisions
-        self.fellows: list[str] = []  # places of before
-        self._config, self._fleet, self._recovery = config, config.fleet.name, recovery
+        self.previous_members: list[str] = []  # host:port of members in the snapshot
+        self._config, self._fleet_name, self._recovery_config = config, config.fleet.name, recovery
         self._names, self._clock, self._log, self._driver, self._rng = names, clock, log, driver, rng
-        self._began = clock()
-        self._asking = Asking(config.name, decisions.instances, decisions.ordinal, self._began, rng.random())
-        self._lists: Lists | None = None
+        self._started_at = clock()
+        self._asking = Asking(
+            config.name, decisions.instances, decisions.ordinal, self._started_at, rng.random()
+        )
+        self._lists: Lists | None = None  # None until the fleet is joined
         self._membership: Membership | None = None
         self._speaker: Speaker | None = None
         self._zone = ""
         self._restart = Restart.UNKNOWN
-        self._heard: list[tuple[float, list[Line], int, bool]] = []  # before it joined
-        self._listed: tuple[list[Line], int, float] = [], -1, -1.0  # the list begun with, and its age
+        # Lists that discovery sent before the fleet was joined: received at, lines, generation, is complete.
+        self._early_lists: list[tuple[float, list[Line], int, bool]] = []
+        # Lines and generation of the list at the start (-1: none), and its age in ms (-1: unknown).
+        self._initial_list: tuple[list[Line], int, float] = [], -1, -1.0
+        # Draining and removed servers of the snapshot, by name: start time, state, since when this was known.
         self._gone: dict[str, tuple[float, State, float]] = {}
-        self._told: Callable[[Listing], None] = driver.told
-        self._failed: Callable[[str], None] = lambda reason: None
-        self._is_off = False
-        self._saved: object = None  # what the file holds
-        self._save_at = self._began + SAVE_MS
-        self._saving: asyncio.Future[None] | None = None
+        self._forward_list: Callable[[Listing], None] = driver.told
+        self._forward_failure: Callable[[str], None] = lambda reason: None
+        self._is_disabled = False
+        self._saved_content: object = None  # identifies the content of the last snapshot written
+        self._next_save_at = self._started_at + MIN_SAVE_INTERVAL_MS
+        self._save_future: asyncio.Future[None] | None = None
         self._saves = self._save_failures = 0
-        self._cannot_save = False
+        self._last_save_failed = False
 
     def attach(self, discovery: Discovery) -> None:
-        self._told, self._failed = discovery.on_list, discovery.on_failure
+        self._forward_list, self._forward_failure = discovery.on_list, discovery.on_failure
         discovery.on_list, discovery.on_failure, discovery.gate = (
             self._on_list,
             self._on_failure,
-            self._may_ask,
+            self._may_call_discovery,
         )
 
-    def detach(self) -> None:
-        """There are no fellows: everything goes as without them."""
-        self._is_off = True
+    def disable(self) -> None:
+        """Behave as without a fleet: forward discovery's lists unchanged and allow every call."""
+        self._is_disabled = True
 
-    def joined(self, membership: Membership, speaker: Speaker, zone: str, now: float) -> None:
+    def on_joined(self, membership: Membership, speaker: Speaker, zone: str, now: float) -> None:
         self._membership, self._speaker, self._zone = membership, speaker, zone
         rng = Random(self._rng.getrandbits(64))
-        lists = self._lists = Lists(membership, self._recovery.same_places, rng, now)
+        lists = self._lists = Lists(membership, self._recovery_config.same_places, rng, now)
         lists.remember_gone(self._gone)
-        lines, generation, age = self._listed
-        if generation >= 0:
-            lists.begin(lines, generation, age if age >= 0.0 else float("inf"))
-        for at, heard, told, whole in self._heard:
-            lists.heard(at, heard, told, whole)
-        self._heard.clear()
+        initial_lines, initial_generation, age_ms = self._initial_list
+        if initial_generation >= 0:
+            lists.begin(initial_lines, initial_generation, age_ms if age_ms >= 0.0 else float("inf"))
+        for received_at, lines, generation, is_complete in self._early_lists:
+            lists.heard(received_at, lines, generation, is_complete)
+        self._early_lists.clear()
 
-    # Discovery's own word, and leave to ask for it
+    # Lists from discovery, and permission to call it
 
     def _on_list(self, listing: Listing) -> None:
         now = self._clock()
         self._asking.heard()
-        lines = self._lines(listing)
+        lines = self._lines_of(listing)
         if self._lists is None:
-            if not self._is_off:
-                self._heard = [*self._heard, (now, lines, listing.generation, listing.whole)][-64:]
-            self._told(listing)
+            if not self._is_disabled:
+                self._early_lists = [
+                    *self._early_lists,
+                    (now, lines, listing.generation, listing.whole),
+                ][-MAX_EARLY_LISTS:]
+            self._forward_list(listing)
             return
-        kept = self._lists.heard(now, lines, listing.generation, listing.whole)
-        self._told(listing if kept == lines else self._listing(listing.generation, listing.whole, kept))
+        accepted = self._lists.heard(now, lines, listing.generation, listing.whole)
+        self._forward_list(
+            listing if accepted == lines else self._listing_of(listing.generation, listing.whole, accepted)
+        )
 
     def _on_failure(self, reason: str) -> None:
         self._asking.failed(self._clock())
-        self._failed(reason)
+        self._forward_failure(reason)
 
-    def _may_ask(self) -> bool:
-        if self._is_off or (self._membership is not None and self._membership.is_duplicate):
+    def _may_call_discovery(self) -> bool:
+        if self._is_disabled or (self._membership is not None and self._membership.is_duplicate):
             return True
-        live = [] if self._membership is None else list(self._membership.lives)
+        live_members = [] if self._membership is None else list(self._membership.lives)
         told_at = -float("inf") if self._lists is None else self._lists.told_at
-        lonely = self._membership is not None and self._membership.doubt > 0
-        return self._asking.may(self._clock(), live, told_at, lonely)
+        # While members do not answer, they may be unreachable: their turns must not be waited for.
+        is_isolated = self._membership is not None and self._membership.doubt > 0
+        return self._asking.may(self._clock(), live_members, told_at, is_isolated)
 
-    # What fellows hold
+    # Lists from other members
 
     def step(self, now: float) -> list[Out]:
+        """Run periodic work. Return the messages to send."""
         assert self._lists is not None
-        out = self._lists.tick(now)
-        told = self._lists.result(now)
-        if told is not None:
-            self._go_by(told)
-        if self._restart is Restart.UNKNOWN and now < self._began + GUESS_MS:
-            self._guess(now)
-        if now >= self._save_at:
+        messages = self._lists.tick(now)
+        shared_list = self._lists.result(now)
+        if shared_list is not None:
+            self._apply_shared_list(shared_list)
+        if self._restart is Restart.UNKNOWN and now < self._started_at + RESTART_DETECTION_MS:
+            self._detect_restart(now)
+        if now >= self._next_save_at:
             self._save(now)
-        return out
-
-    def _go_by(self, told: Told) -> None:
-        listing = self._listing(told.generation, True, told.lines)
-        self._log.event("list_from_fellow", generation=told.generation, by=told.by, servers=len(told.lines))
+        return messages
+
+    def _apply_shared_list(self, shared_list: Told) -> None:
+        listing = self._listing_of(shared_list.generation, True, shared_list.lines)
+        self._log.event(
+            "list_from_fellow",
+            generation=shared_list.generation,
+            by=shared_list.by,
+            servers=len(shared_list.lines),
+        )
         self._driver.told(listing, cached=True)
 
-    def _guess(self, now: float) -> None:
+    def _detect_restart(self, now: float) -> None:
+        """Infer from the ages of the other processes whether one member, a zone or the fleet restarted."""
         assert self._lists is not None and self._membership is not None and self._speaker is not None
         ranks = self._speaker.ranks
         if ranks is None or ranks.doubt is Doubt.STARTED:
             return
-        ages = {name: now - began for name, began in self._lists.up.items()}
+        ages_ms = {name: now - started_at for name, started_at in self._lists.up.items()}
         zones = {name: record.zone for name, record in self._membership.lives.items()}
-        self._restart = which(now - self._began, ages, zones, self._zone)
+        self._restart = which(now - self._started_at, ages_ms, zones, self._zone)
         if self._restart is not Restart.UNKNOWN:
-            self._log.event("fleet_restart", restart=self._restart.value, asked=len(ages))
+            self._log.event("fleet_restart", restart=self._restart.value, asked=len(ages_ms))
 
     def counters(self) -> dict[str, Any]:
         lists = self._lists
@@ -242,31 +264,39 @@
 
     # The snapshot
 
-    def known(self, listing: Listing | None) -> Listing | None:
-        """What to begin with; also remembers what a snapshot tells besides."""
-        found = self._read()
+    def initial_list(self, configured: Listing | None) -> Listing | None:
+        """Read the snapshot, and return the newer of its list and `configured`.
+
+        Also keeps the snapshot's member addresses and removed servers.
+        """
+        found = self._read_snapshot()
         if found is not None:
-            since = max(self._clock() - found.saved_at_ms, 0.0)
-            self.fellows = found.places[: snapshot.FELLOWS_MOST]
+            since_save_ms = max(self._clock() - found.saved_at_ms, 0.0)
+            self.previous_members = found.places[: snapshot.FELLOWS_MOST]
             now = self._clock()
             self._gone = {
-                one.name: (one.started_ms, State(one.state), now - one.age_ms - since) for one in found.gone
+                server.name: (
+                    server.started_ms,
+                    State(server.state),
+                    now - server.age_ms - since_save_ms,
+                )
+                for server in found.gone
             }
-            if found.generation >= 0 and (listing is None or found.generation > listing.generation):
-                age = found.list_age_ms + since if found.list_age_ms >= 0.0 else -1.0
-                listing = self._listing(found.generation, True, found.lines)
-                self._listed = found.lines, found.generation, age
-                return listing
-        if listing is not None:
-            self._listed = self._lines(listing), listing.generation, -1.0
-        return listing
-
-    def _read(self) -> snapshot.Snapshot | None:
-        if not self._recovery.snapshot:
+            if found.generation >= 0 and (configured is None or found.generation > configured.generation):
+                age_ms = found.list_age_ms + since_save_ms if found.list_age_ms >= 0.0 else -1.0
+                configured = self._listing_of(found.generation, True, found.lines)
+                self._initial_list = found.lines, found.generation, age_ms
+                return configured
+        if configured is not None:
+            self._initial_list = self._lines_of(configured), configured.generation, -1.0
+        return configured
+
+    def _read_snapshot(self) -> snapshot.Snapshot | None:
+        if not self._recovery_config.snapshot:
             return None
-        path = Path(self._recovery.snapshot)
+        path = Path(self._recovery_config.snapshot)
         try:
-            found = snapshot.read(path, self._fleet, self._config.name, self._clock())
+            found = snapshot.read(path, self._fleet_name, self._config.name, self._clock())
         except snapshot.SnapshotError as error:
             self._log.event("snapshot_unusable", why=error.why, message=str(error))
             return None
@@ -274,62 +304,80 @@
         return found
 
     def _save(self, now: float) -> None:
-        """Write what is known, where it changed, in a thread: a slow disk holds up nobody."""
-        self._save_at = now + SAVE_MS
-        data, marks = self._snapshot(now)
-        if not self._recovery.snapshot or data is None or marks == self._saved or self._saving is not None:
+        """Write a snapshot if its content has changed, in a thread: a slow disk must not block the loop."""
+        self._next_save_at = now + MIN_SAVE_INTERVAL_MS
+        data, content = self._encode_snapshot(now)
+        if (
+            not self._recovery_config.snapshot
+            or data is None
+            or content == self._saved_content
+            or self._save_future is not None
+        ):
             return
-        path = Path(self._recovery.snapshot)
+        path = Path(self._recovery_config.snapshot)
         loop = asyncio.get_running_loop()
-        self._saving = loop.run_in_executor(None, snapshot.write, path, data)
-        self._saving.add_done_callback(lambda future: self._was_saved(future, marks))
+        self._save_future = loop.run_in_executor(None, snapshot.write, path, data)
+        self._save_future.add_done_callback(lambda future: self._on_save_done(future, content))
 
-    def _was_saved(self, future: "asyncio.Future[None]", marks: object) -> None:
-        self._saving = None
+    def _on_save_done(self, future: "asyncio.Future[None]", content: object) -> None:
+        self._save_future = None
         if future.cancelled():
             return
         error = future.exception()
         if error is None:
-            self._saved, self._cannot_save = marks, False
+            self._saved_content, self._last_save_failed = content, False
             self._saves += 1
             return
         self._save_failures += 1
-        if not self._cannot_save:  # the log tells changes of state only
-            self._cannot_save = True
+        if not self._last_save_failed:  # log only the first of several failures in a row
+            self._last_save_failed = True
             self._log.event("snapshot_not_written", message=str(error))
 
-    def _snapshot(self, now: float) -> tuple[bytes | None, object]:
-        """The file's bytes, and what has to change before it is worth another write."""
+    def _encode_snapshot(self, now: float) -> tuple[bytes | None, object]:
+        """The encoded snapshot (None: not available or too large), and a value that changes with its content.
+
+        The value leaves out ages, which change all the time and need no new write.
+        """
         lists, membership = self._lists, self._membership
         if lists is None or membership is None or self._speaker is None or self._speaker.ranks is None:
             return None, None
-        others = (one.place for one in membership.lives.values() if one.name != membership.me.name)
-        places = sorted(others)[: snapshot.FELLOWS_MOST]
+        other_members = (
+            record.place for record in membership.lives.values() if record.name != membership.me.name
+        )
+        places = sorted(other_members)[: snapshot.FELLOWS_MOST]
         gone = [
-            snapshot.Gone(name, started, int(state), now - at)
-            for name, (started, state, at) in lists.gone().items()
+            snapshot.Gone(name, started_ms, int(state), now - known_since)
+            for name, (started_ms, state, known_since) in lists.gone().items()
         ]
         lines = [lists.lines[name] for name in sorted(lists.lines)]
-        age = now - lists.told_at if lists.is_told else -1.0
+        list_age_ms = now - lists.told_at if lists.is_told else -1.0
         size = self._speaker.ranks.told.count
-        found = snapshot.Snapshot(
-            self._fleet, self._config.name, now, lists.generation, age, lines, gone, places, size
+        snapshot_now = snapshot.Snapshot(
+            self._fleet_name,
+            self._config.name,
+            now,
+            lists.generation,
+            list_age_ms,
+            lines,
+            gone,
+            places,
+            size,
         )
-        data = snapshot.encode(found)
-        marks = lists.generation, tuple(lines), tuple(one.name for one in gone), tuple(places), size
-        return (data if len(data) <= snapshot.MOST_BYTES else None), marks
+        data = snapshot.encode(snapshot_now)
+        content = lists.generation, tuple(lines), tuple(server.name for server in gone), tuple(places), size
+        return (data if len(data) <= snapshot.MOST_BYTES else None), content
 
     def close(self) -> None:
-        if self._saving is not None:
-            self._saving.cancel()
+        if self._save_future is not None:
+            self._save_future.cancel()
 
-    # Listings and lines
+    # Conversion between discovery's listings and the fleet's lines
 
-    def _lines(self, listing: Listing) -> list[Line]:
-        return [self._line(endpoint, listing) for endpoint in listing.endpoints]
+    def _lines_of(self, listing: Listing) -> list[Line]:
+        return [self._line_of(endpoint, listing) for endpoint in listing.endpoints]
 
-    def _line(self, endpoint: Endpoint, listing: Listing) -> Line:
-        place = listing.places.get(endpoint.address)
+    def _line_of(self, endpoint: Endpoint, listing: Listing) -> Line:
+        host_and_port = listing.places.get(endpoint.address)
         return Line(
             endpoint.address.decode(),
             int(endpoint.state),
@@ -338,18 +386,20 @@
             endpoint.cell,
             endpoint.size,
             endpoint.started_at,
-            "" if place is None else f"{place[0]}:{place[1]}",
+            "" if host_and_port is None else f"{host_and_port[0]}:{host_and_port[1]}",
         )
 
-    def _listing(self, generation: int, whole: bool, lines: "list[Line] | tuple[Line, ...]") -> Listing:
+    def _listing_of(
+        self, generation: int, is_complete: bool, lines: "list[Line] | tuple[Line, ...]"
+    ) -> Listing:
         endpoints, places = [], {}
         for line in lines:
             state, address = State(line.state), line.name.encode()
             try:
                 places[address] = host_port(line.place)
-            except ValueError:  # as discovery's own: such a server gets nothing new
+            except ValueError:  # as for such a line from discovery: the server gets no new requests
                 state = State.GONE if state is State.GONE else State.DRAINING
             zone = Names.number(self._names.zones, line.zone)
             kind = Names.number(self._names.kinds, line.kind)
             endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_ms))
-        return Listing(generation, whole, tuple(endpoints), places)
+        return Listing(generation, is_complete, tuple(endpoints), places)
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -49,8 +49,8 @@
 
 def test_what_is_open_at_the_end_has_its_answer_before_the_kill(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its client would wait for longer than the platform does: it was lost, though it could be told so."""
-    monkeypatch.setattr(sidecar, "LONGEST_MS", 1.0)
-    monkeypatch.setattr(sidecar, "LAST_MS", 1.0)
+    monkeypatch.setattr(sidecar, "MAX_DEADLINE_WAIT_MS", 1.0)
+    monkeypatch.setattr(sidecar, "ANSWER_MARGIN_MS", 1.0)
 
     async def work() -> None:
         one = b.Endpoint("s-1", b.say_nothing)
@@ -58,7 +58,7 @@
             client = await bed.client()
             client.send("take", 3000.0, "POST")
             await b.until(lambda: len(one.requests) == 1)
-            await bed.sidecar.wind_down()
+            await bed.sidecar.shut_down()
             assert (await client.answer()).status == 504
             assert bed.sidecar.clients.open == 0
 
@@ -66,9 +66,9 @@
 
 
 def test_an_answer_without_an_end_does_not_keep_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(sidecar, "LONGEST_MS", 1.0)
-    monkeypatch.setattr(sidecar, "LAST_MS", 1.0)
-    monkeypatch.setattr(sidecar, "CUT_MS", 2.0)
+    monkeypatch.setattr(sidecar, "MAX_DEADLINE_WAIT_MS", 1.0)
+    monkeypatch.setattr(sidecar, "ANSWER_MARGIN_MS", 1.0)
+    monkeypatch.setattr(sidecar, "ABORT_MARGIN_MS", 2.0)
 
     async def endless(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
@@ -79,7 +79,7 @@
             client.send("feed")
             begun = await client.reader.readuntil(b"x\r\n")
             assert begun.startswith(b"HTTP/1.1 200")
-            await bed.sidecar.wind_down()
+            await bed.sidecar.shut_down()
             with pytest.raises(ConnectionResetError):  # no end in order: it can't be taken for whole
                 while await client.reader.read(65536):
                     pass
@@ -92,7 +92,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The start is over before all is closed: nothing that it had begun stays open, twice told or not."""
-    monkeypatch.setattr(handover, "ASK_S", 3600.0)
+    monkeypatch.setattr(handover, "PREDECESSOR_TIMEOUT_S", 3600.0)
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
     async def work() -> None:
@@ -104,7 +104,7 @@
             gone.set()
             writer.close()
 
-        before = await asyncio.start_unix_server(say_nothing, str(handover.path_in(str(tmp_path), "n0")))
+        before = await asyncio.start_unix_server(say_nothing, str(handover.socket_path(str(tmp_path), "n0")))
         passed = socket.create_server(("127.0.0.1", 0))
         async with b.bed(discovery_up=False) as bed:
             one = sidecar.Sidecar(bed.read(), Log("n0", log := io.BytesIO()), bed.read, passed.dup())
@@ -112,7 +112,7 @@
             await heard.wait()
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGHUP)
-            one.end()
+            one.request_shutdown()
             await running
             await gone.wait()
             assert b'"event":"ended"' in log.getvalue() and b'"event":"ready"' not in log.getvalue()
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -54,16 +54,16 @@
         ("{", NOW),
         ("[1]", NOW),
         ('{"version": 2, "saved_at_ms": 1e12, "classes": {}}', NOW),
-        ('{"version": 1, "saved_at_ms": 1e12, "classes": {}}', NOW + 2 * kept.MOST_AGE_MS),
+        ('{"version": 1, "saved_at_ms": 1e12, "classes": {}}', NOW + 2 * kept.MAX_AGE_MS),
         ('{"version": 1, "saved_at_ms": 1e12, "classes": {}}', NOW - 1.0),
-        (" " * (kept.MOST_BYTES + 1), NOW),
+        (" " * (kept.MAX_FILE_BYTES + 1), NOW),
     ],
 )
 def test_a_file_that_cannot_be_used_is_told_apart(tmp_path: Path, text: str | None, now: float) -> None:
     path = tmp_path / "kept.json"
     if text is not None:
         path.write_text(text)
-    with pytest.raises(kept.KeptError):
+    with pytest.raises(kept.LearnedStateError):
         kept.read(path, now, (VIEW,))
 
 
@@ -79,7 +79,7 @@
             classes = bed.sidecar._config.site.decisions.classes
             if usual is not None:
                 kept.write(path, time.time() * 1000.0 - 1000.0, classes, [usual] * len(classes))
-                bed.sidecar._take_up(str(path))
+                bed.sidecar._restore_learned_state(str(path))
                 assert "kept_taken" in bed.events()
                 aims = [cls.aim_ms for cls in classes]
                 times = bed.sidecar._balancer.usual_answer_times()
@@ -103,7 +103,7 @@
             assert bed.events().count("kept_unusable") == 1
             client = await bed.client()
             assert (await client.call("view")).status == 200
-            bed.sidecar.keep()
+            bed.sidecar.save_learned_state()
         assert set(json.loads(path.read_text())["classes"]) == {cls["name"] for cls in b.CLASSES}
         async with b.bed(b.Endpoint("s-1"), kept=str(path)) as bed:
             assert "kept_taken" in bed.events()
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -79,7 +79,7 @@
                 assert (await bed.operator(text)).startswith(b"400 ")
             bed.sidecar.reload()
             assert bed.events()[-1] == "reloaded"
-            assert bed.sidecar.life.is_ready
+            assert bed.sidecar.lifecycle.is_ready
 
     b.run(work())
 
@@ -87,7 +87,7 @@
 def test_silent_operators_make_way_for_one_who_calls() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1"), ops=OPS) as bed:
-            silent = [await asyncio.open_connection(*bed.sidecar.ops_place) for _ in range(40)]
+            silent = [await asyncio.open_connection(*bed.sidecar.ops_address) for _ in range(40)]
             for _, writer in silent[::2]:
                 writer.write(b"PI")
             assert await bed.operator(b"PING\n") == b"200 ready\n"
@@ -152,13 +152,13 @@
         async with b.bed(b.Endpoint("s-1", b.say_nothing), ops=OPS) as bed:
             client = await bed.client()
             await bed.operator(b"LAMEDUCK\n")
-            ended = asyncio.create_task(bed.sidecar.wind_down())
+            ended = asyncio.create_task(bed.sidecar.shut_down())
             await asyncio.sleep(0)
             assert await bed.operator(b"REJOIN\n") == b"400 ending\n"
             client.send("view", 3600.0)  # by then the platform will have killed the process
             await b.until(lambda: bed.sidecar.counters.taken == 1)
             (exchange,) = bed.sidecar._driver._open.values()
-            assert exchange.deadline == bed.sidecar.life.latest
+            assert exchange.deadline == bed.sidecar.lifecycle.latest
             client.close()
             await ended
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -130,7 +130,7 @@
     out = io.BytesIO()
     handlers, level = list(logging.root.handlers), logging.root.level
     try:
-        Log("n0", out).take_over()
+        Log("n0", out).capture_library_logs()
         logging.getLogger("tornado.general").warning("odd %s", "thing")
     finally:
         logging.basicConfig(handlers=handlers, level=level, force=True)
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -11,7 +11,7 @@
 
 from larkcrank.program import handover
 from larkcrank.program.log import Log
-from larkcrank.program.sidecar import LIST_S, Sidecar
+from larkcrank.program.sidecar import DISCOVERY_WAIT_S, Sidecar
 from larkcrank.protocol import http1
 from tests import bed as b
 
@@ -55,7 +55,7 @@
 
 async def ready(sidecar: Sidecar) -> bool:
     """What the platform is told."""
-    reader, writer = await asyncio.open_connection(*sidecar.place)
+    reader, writer = await asyncio.open_connection(*sidecar.listen_address)
     writer.write(READY)
     line = await reader.readline()
     writer.close()
@@ -94,13 +94,13 @@
         async with place(how, one, known) as (bed, discovery):
             fleet = [made(bed) for _ in range(MANY)]
             for sidecar in fleet:
-                await sidecar.begin()
+                await sidecar.start_serving()
                 if how == "gives up":
                     discovery.give_up()
             assert [await ready(sidecar) for sidecar in fleet] == [True] * MANY
             assert sum(sidecar.counters.lists for sidecar in fleet) == 0
             if known:  # and served, by the list as last held
-                client = b.Client(*await asyncio.open_connection(*fleet[-1].place))
+                client = b.Client(*await asyncio.open_connection(*fleet[-1].listen_address))
                 assert (await client.call("view")).status == 200
             for sidecar in fleet:
                 sidecar.close()
@@ -136,10 +136,10 @@
 ) -> None:
     async def work() -> None:
         monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-        monkeypatch.setattr("larkcrank.program.sidecar.LIST_S", NEVER_S)
+        monkeypatch.setattr("larkcrank.program.sidecar.DISCOVERY_WAIT_S", NEVER_S)
         async with place("hangs", b.Endpoint("s-1"), known=False) as (bed, _):
             sidecar = made(bed, socket.create_server(("127.0.0.1", 0)))
-            await sidecar.begin()
+            await sidecar.start_serving()
             assert await ready(sidecar) and sidecar.counters.lists == 0
             sidecar.close()
 
@@ -154,20 +154,20 @@
 
     async def work() -> None:
         monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
-        monkeypatch.setattr("larkcrank.program.handover.ASK_S", 0.01)
-        monkeypatch.setattr("larkcrank.program.sidecar.LIST_S", NEVER_S if comes else 0.05)
+        monkeypatch.setattr("larkcrank.program.handover.PREDECESSOR_TIMEOUT_S", 0.01)
+        monkeypatch.setattr("larkcrank.program.sidecar.DISCOVERY_WAIT_S", NEVER_S if comes else 0.05)
         silent = await asyncio.start_unix_server(
-            lambda reader, writer: None, str(handover.path_in(str(tmp_path), "n0"))
+            lambda reader, writer: None, str(handover.socket_path(str(tmp_path), "n0"))
         )
         async with place("hangs", b.Endpoint("s-1"), known=False) as (bed, discovery):
             sidecar = made(bed, socket.create_server(("127.0.0.1", 0)))
-            beginning = asyncio.create_task(sidecar.begin())
+            beginning = asyncio.create_task(sidecar.start_serving())
             await b.until(lambda: discovery.calls > 0)  # asked while it waits
             if comes:
-                assert not beginning.done() and not sidecar.life.is_ready
+                assert not beginning.done() and not sidecar.lifecycle.is_ready
                 discovery.work(1)
             await beginning
-            assert sidecar.life.is_ready and (sidecar.counters.lists > 0) is comes
+            assert sidecar.lifecycle.is_ready and (sidecar.counters.lists > 0) is comes
             sidecar.close()
         silent.close()
 
@@ -176,7 +176,7 @@
 
 def test_the_waits_of_a_start_end_well_before_ten_seconds() -> None:
     """To find the predecessor, to hear it, and for discovery, one after another: half of the time at most."""
-    assert 2 * handover.ASK_S + LIST_S <= 5.0
+    assert 2 * handover.PREDECESSOR_TIMEOUT_S + DISCOVERY_WAIT_S <= 5.0
 
 
 @pytest.mark.parametrize("known", [True, False])
@@ -195,7 +195,7 @@
         async with place("hangs", b.Endpoint("s-1"), known, bounds=BOUNDS, ordinal=3) as (bed, discovery):
             bed.file["fleet"] = fleet
             sidecar = made(bed)
-            await sidecar.begin()
+            await sidecar.start_serving()
             assert sidecar._discovery.gate is not None and not sidecar._discovery.gate()
             assert await ready(sidecar) and discovery.calls == 0
             assert sidecar.counters.lists == 0
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -21,7 +21,7 @@
 from larkcrank.core.balancer import Balancer
 from larkcrank.core.interface import Endpoint, Outcome, Request, Result, Send, ServerList, TimerFired
 from larkcrank.program import handover
-from larkcrank.program.handover import Handed, HandoverError
+from larkcrank.program.handover import HandoverError, HandoverMessage
 from larkcrank.protocol import http1
 from larkcrank.transport.descriptors import Descriptors, Use
 from tests import bed as b
@@ -47,13 +47,13 @@
     return one
 
 
-def handed(balancer: Balancer) -> Handed:
+def handed(balancer: Balancer) -> HandoverMessage:
     places = {b"a": ("127.0.0.1", 1), b"b": ("127.0.0.1", 2)}
-    return Handed("n0", "s", 41, ["here"], ["plain"], places, balancer.export_state())
+    return HandoverMessage("n0", "s", 41, ["here"], ["plain"], places, balancer.export_state())
 
 
 def body(balancer: Balancer) -> bytes:
-    return handover.encode(handed(balancer))[handover._HEAD.size :]
+    return handover.encode(handed(balancer))[handover._HEADER.size :]
 
 
 def test_what_was_learnt_means_the_same_to_the_next_process() -> None:
@@ -103,15 +103,15 @@
         (b"", "silent"),
         (b"EOF", "cut short"),
         (b"GET / HTTP/1.1\r\n\r\nEOF", "version"),
-        (handover._HEAD.pack(b"larkhand", 99, 1) + b"x", "version"),
-        (handover._HEAD.pack(b"larkhand", 1, handover.MOST_BYTES + 1) + b"x", "over"),
-        (handover._HEAD.pack(b"larkhand", 1, 50) + b"xEOF", "cut short"),
+        (handover._HEADER.pack(b"larkhand", 99, 1) + b"x", "version"),
+        (handover._HEADER.pack(b"larkhand", 1, handover.MAX_MESSAGE_BYTES + 1) + b"x", "over"),
+        (handover._HEADER.pack(b"larkhand", 1, 50) + b"xEOF", "cut short"),
     ],
 )
 def test_a_predecessor_that_cannot_be_heard(
     tmp_path: Path, said: bytes, reason: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ASK_S", 0.2)
+    monkeypatch.setattr(handover, "PREDECESSOR_TIMEOUT_S", 0.2)
 
     async def serve(_: b.Reader, writer: b.Writer) -> None:
         writer.write(said.removesuffix(b"EOF"))
@@ -119,12 +119,12 @@
             writer.close()
 
     async def work() -> None:
-        path = handover.path_in(str(tmp_path), "n0")
+        path = handover.socket_path(str(tmp_path), "n0")
         server = await asyncio.start_unix_server(serve, str(path))
-        found = await handover.find(path)
+        found = await handover.connect_to_predecessor(path)
         assert found is not None
         with pytest.raises(HandoverError, match=reason):
-            await found.read()
+            await found.read_message()
         found.close()
         server.close()
 
@@ -133,26 +133,26 @@
 
 def test_the_path_passes_from_process_to_process(tmp_path: Path) -> None:
     async def work() -> None:
-        path = handover.path_in(str(tmp_path), "n0")
-        assert await handover.find(path) is None
+        path = handover.socket_path(str(tmp_path), "n0")
+        assert await handover.connect_to_predecessor(path) is None
         counts: list[int] = []
         gone = asyncio.Event()
-        old = handover.Successors(path, lambda: handover.encode(handed(taught())), counts.append)
+        old = handover.HandoverServer(path, lambda: handover.encode(handed(taught())), counts.append)
         await old.start()
-        predecessor = await handover.find(path)
+        predecessor = await handover.connect_to_predecessor(path)
         assert predecessor is not None
-        assert handover.decode(await predecessor.read(), "n0", "s").generation == 41
+        assert handover.decode(await predecessor.read_message(), "n0", "s").generation == 41
         predecessor.watch(gone.set)
-        new = handover.Successors(path, lambda: b"", counts.append)
+        new = handover.HandoverServer(path, lambda: b"", counts.append)
         await new.start()
         await b.until(lambda: counts == [1])
         old.close()  # ends; the path is the other's now
         await gone.wait()
-        assert await handover.find(path) is not None
+        assert await handover.connect_to_predecessor(path) is not None
         new.close()
         assert list(tmp_path.iterdir()) == []
         path.write_text("left by something else")
-        assert await handover.find(path) is None
+        assert await handover.connect_to_predecessor(path) is None
 
     b.run(work())
 
@@ -322,7 +322,7 @@
         world = World(tmp_path)
         await world.start()
         silent = await asyncio.start_unix_server(
-            lambda reader, writer: None, str(handover.path_in(str(tmp_path), "n0"))
+            lambda reader, writer: None, str(handover.socket_path(str(tmp_path), "n0"))
         )
         try:
             new = await world.run()
