--- a/larkcrank/lab/scale/hollow.py
+++ b/larkcrank/lab/scale/hollow.py
@@ -33,7 +33,7 @@
 from larkcrank.lab.settings import SETTINGS, merged
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
-from larkcrank.program.together import Together
+from larkcrank.program.together import FleetMember
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import Listing, Names
 from larkcrank.routing.discovery import Call, Discovery
@@ -191,9 +191,9 @@
         self.beats = beats
         super().__init__()
 
-    def beat(self) -> None:
+    def start_heartbeat(self) -> None:
         if self.beats:
-            super().beat()
+            super().start_heartbeat()
 
 
 def own_place(number: int, port: int) -> str:
@@ -222,7 +222,7 @@
             descriptors,
             site.connect_timeout_ms,
             site.load_fields,
-            config.max_body,
+            config.max_body_bytes,
             Budget(config.memory_mb * MIB),
             self._clock,
             self.counters,
@@ -253,21 +253,21 @@
         )
         self._balancer = balancer
         self._must_ask = site.decisions.must_ask
-        self._together: Together | None = None
+        self._together: FleetMember | None = None
         if config.fleet is not None:
             shared = Random(rng.getrandbits(64))
-            self._together = Together(config, self._names, self._clock, self.journal, self._driver, shared)
+            self._together = FleetMember(config, self._names, self._clock, self.journal, self._driver, shared)
 
     def start(self) -> None:
         """As a sidecar with no list held: discovery is asked."""
         known: Listing | None = None
         if self._together is not None:
             self._together.attach(self._discovery)
-            known = self._together.known(None)
+            known = self._together.initial_list(None)
         self._driver.told(known if known is not None else Listing(0, True, ()), cached=True)
         if not self._must_ask:
             self._discovery.watch()
-        self._clock.beat()
+        self._clock.start_heartbeat()
         if self._together is not None:
             self._together.start()
 
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -212,7 +212,7 @@
             try:
                 await feed.run()
             except Exception as error:
-                self.log.failure(f"feed {feed.name}", error)
+                self.log.log_exception(f"feed {feed.name}", error)
                 await asyncio.sleep(1.0)
 
     # What is heard.
@@ -539,7 +539,7 @@
             try:
                 self._look_once()
             except Exception as error:
-                self.log.failure("look", error)
+                self.log.log_exception("look", error)
 
     def _look_once(self) -> None:
         now = self._loop.time()
@@ -733,7 +733,7 @@
             try:
                 self._say(*self._tier.call(line.removesuffix(b"\r").decode("ascii", "replace")))
             except Exception as error:
-                self._tier.log.failure("operators' call", error)
+                self._tier.log.log_exception("operators' call", error)
                 self.abort()
 
     def _say(self, done: bool, text: str) -> None:
@@ -787,7 +787,7 @@
         Log("tier").event("bad_configuration", message=str(error))
         return 2
     log = Log(config.name)
-    log.take_over()
+    log.capture_library_logs()
     try:
         asyncio.run(_run(config, log))
     except OSError as error:
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -250,14 +250,14 @@
         self.sidecar = Sidecar(self.read(), Log("n0", log), self.read)
 
     def read(self) -> config.Config:
-        return config.parse(json.dumps(self.file).encode(), {}, again=True)
+        return config.parse(json.dumps(self.file).encode(), {}, is_reload=True)
 
     async def client(self) -> Client:
-        return Client(*await asyncio.open_connection(*self.sidecar.place))
+        return Client(*await asyncio.open_connection(*self.sidecar.listen_address))
 
     async def operator(self, text: bytes) -> bytes:
         """What an operator is told: one call on a connection of its own."""
-        reader, writer = await asyncio.open_connection(*self.sidecar.ops_place)
+        reader, writer = await asyncio.open_connection(*self.sidecar.ops_address)
         writer.write(text)
         said = await reader.read()
         writer.close()
@@ -303,7 +303,7 @@
     log = io.BytesIO()
     bed = Bed(discovery, log, file)
     sidecar = bed.sidecar
-    sidecar.start()
+    sidecar.start_without_handover()
     try:
         yield bed
     finally:
--- a/tests/gone_play.py
+++ b/tests/gone_play.py
@@ -198,7 +198,7 @@
         if wait.startswith("connection"):
             Connecting.wait = late  # type: ignore
         turns = Turns(bed, wait) if wait != "turn" else None
-        place = sidecar.place[1]
+        place = sidecar.listen_address[1]
         processes.append(context.Process(target=be_clients, args=(others, place, wait, seed)))
         processes[1].start()
         await loop.run_in_executor(None, clients.recv)
@@ -207,7 +207,7 @@
                 break
             await asyncio.sleep(0.01)
         if wait == "end":
-            sidecar.life.end(sidecar._clock() + 8000.0)
+            sidecar.lifecycle.end(sidecar._clock() + 8000.0)
         start = time.monotonic() + 0.05
         come_up.set()
         clients.send(start)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -30,9 +30,9 @@
             await x.pooled(bed, client)
             waiting = x.Waiting(bed)
             if phase == "draining":
-                bed.sidecar.life.drain()
+                bed.sidecar.lifecycle.drain()
             if phase == "ending":
-                bed.sidecar.life.end(bed.sidecar._clock() + 8000.0)
+                bed.sidecar.lifecycle.end(bed.sidecar._clock() + 8000.0)
             x.ask(client, shape)
             number = await waiting.request()
             await asyncio.sleep(0)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -11,7 +11,7 @@
 from larkcrank.core import interface as api
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
-from larkcrank.program.log import MOST_A_SECOND, Log
+from larkcrank.program.log import MAX_LINES_PER_SECOND, Log
 from larkcrank.protocol import http1, platform
 from larkcrank.protocol.discovery import Listing, Names
 from larkcrank.routing.discovery import Discovery
@@ -76,10 +76,25 @@
         descriptors = Descriptors(256)
         self.pool = Pool(descriptors, 60000.0)
         self.servers = Servers(
-            self.pool, descriptors, 250.0, (), 65536, Budget(1 << 26), self.clock, self.counters, log.failure
+            self.pool,
+            descriptors,
+            250.0,
+            (),
+            65536,
+            Budget(1 << 26),
+            self.clock,
+            self.counters,
+            log.log_exception,
         )
         discovery = Discovery(
-            ("127.0.0.1", 1), descriptors, Names([], []), 250.0, False, Random(1), self.counters, log.failure
+            ("127.0.0.1", 1),
+            descriptors,
+            Names([], []),
+            250.0,
+            False,
+            Random(1),
+            self.counters,
+            log.log_exception,
         )
         self.driver = Driver(
             self.decisions, self.clock, self.servers, discovery, 100, 20.0, self.counters, log
@@ -454,10 +469,10 @@
 def test_a_flood_of_lines_is_cut_and_counted() -> None:
     out = io.BytesIO()
     log = Log("n0", out)
-    for _ in range(5 * MOST_A_SECOND):
+    for _ in range(5 * MAX_LINES_PER_SECOND):
         log.event("same")
     lines = [json.loads(line) for line in out.getvalue().splitlines()]
-    assert len(lines) < 5 * MOST_A_SECOND and all(line["sidecar"] == "n0" for line in lines)
+    assert len(lines) < 5 * MAX_LINES_PER_SECOND and all(line["sidecar"] == "n0" for line in lines)
 
 
 def test_the_clock_fits_unix_time_and_never_runs_backwards(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -479,14 +494,14 @@
         now = 50.0
         monkeypatch.setattr("larkcrank.program.clock.time.monotonic", lambda: now)
         clock = Clock()
-        clock.beat()
+        clock.start_heartbeat()
         began = clock()
         now += 0.03  # the loop is a little late: usual
-        assert clock.earliest() == clock() == began + 30.0
+        assert clock.earliest_arrival() == clock() == began + 30.0
         now += 0.5  # it had no CPU
-        assert clock.earliest() == began
-        clock.beat()
-        assert clock.earliest() == clock()
+        assert clock.earliest_arrival() == began
+        clock.start_heartbeat()
+        assert clock.earliest_arrival() == clock()
 
     b.run(work())
 
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -97,7 +97,7 @@
 ) -> AsyncIterator[tuple[b.Bed, Away, Crowd]]:
     """A sidecar whose discovery is down, and a crowd before its door."""
     async with b.bed(*endpoints, sockets=sockets, discovery_up=False, ops="127.0.0.1:0", **changes) as bed:
-        away, crowd = Away(bed.discovery), Crowd(bed.sidecar.place)
+        away, crowd = Away(bed.discovery), Crowd(bed.sidecar.listen_address)
         await b.until(lambda: bed.sidecar.counters.discovery_failures > 0)
         try:
             yield bed, away, crowd
@@ -239,7 +239,7 @@
 async def another(bed: b.Bed, passed: socket.socket) -> Sidecar:
     """The next process of the sidecar, here as a second one in the loop."""
     sidecar = Sidecar(bed.read(), Log("n1", bed._log), bed.read, passed.dup())
-    await sidecar.begin()
+    await sidecar.start_serving()
     return sidecar
 
 
@@ -256,13 +256,13 @@
         passed = socket.create_server(("127.0.0.1", 0), backlog=512)
         async with house(old, sockets=sockets) as (bed, away, _):
             first = await another(bed, passed)
-            crowd = Crowd(first.place)
-            held = b.Client(*await asyncio.open_connection(*first.place))
+            crowd = Crowd(first.listen_address)
+            held = b.Client(*await asyncio.open_connection(*first.listen_address))
             held.writer.write(HALF % b"held")
             await crowd.come("half")
             await full(first)
             second = await another(bed, passed)
-            await b.until(lambda: first._others == [0, 1])
+            await b.until(lambda: first._other_processes == [0, 1])
             assert first.descriptors.used > first.descriptors._room  # more than its part, none of it idle
             await full(second)
             assert await Bedside(second).operator(b"PING\n") == b"200 ready\n"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -184,26 +184,26 @@
     found = config.parse(text_of(), {"PROXY_LISTEN": "127.0.0.9:80"})
     assert (found.name, found.listen, found.discovery) == ("n3", ("127.0.0.9", 80), ("127.0.0.1", 8500))
     assert (found.seed, found.sockets) == (0x8C1F, 1024)
-    assert json.loads(found.known)["generation"] == 41
+    assert json.loads(found.initial_list)["generation"] == 41
     assert found.site.decisions.max_attempts == 5 and found.site.connect_timeout_ms == 250.0
 
 
 def test_read_again_the_file_names_discovery_and_the_environment_the_rest() -> None:
     environment = {"PROXY_DISCOVERY": "127.0.0.1:9", "PROXY_LISTEN": "127.0.0.1:8"}
-    found = config.parse(text_of(), environment, again=True)
+    found = config.parse(text_of(), environment, is_reload=True)
     assert (found.discovery, found.listen) == (("127.0.0.1", 8500), ("127.0.0.1", 8))
-    assert config.parse(text_of(discovery=""), environment, again=True).discovery == ("127.0.0.1", 9)
+    assert config.parse(text_of(discovery=""), environment, is_reload=True).discovery == ("127.0.0.1", 9)
 
 
 def test_how_long_a_body_may_be_is_told_in_megabytes() -> None:
-    assert config.parse(text_of(), {}).max_body == 40 << 20
-    assert config.parse(text_of(limits={"body_mb": 0.5}), {}).max_body == 1 << 19
+    assert config.parse(text_of(), {}).max_body_bytes == 40 << 20
+    assert config.parse(text_of(limits={"body_mb": 0.5}), {}).max_body_bytes == 1 << 19
 
 
 def test_left_out_keys_have_defaults() -> None:
     text = json.dumps({"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": CONFIG}).encode()
     found = config.parse(text, {})
-    assert (found.name, found.known, found.sockets) == ("larkcrank", b"", 1024)
+    assert (found.name, found.initial_list, found.sockets) == ("larkcrank", b"", 1024)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -636,7 +636,7 @@
             running, idle = await bed.client(), await bed.client()
             running.send("view")
             await b.until(lambda: bed.sidecar.counters.taken == 1)
-            ended = asyncio.create_task(bed.sidecar.wind_down())
+            ended = asyncio.create_task(bed.sidecar.shut_down())
             await b.until(lambda: "winding_down" in bed.events())
             assert await idle.reader.read() == b""  # closed: nothing could be under way on it
             late = await bed.client()  # what crossed that finds the listener still open
@@ -681,7 +681,7 @@
 
 def test_at_the_end_what_waits_for_a_descriptor_is_served_too(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
-        monkeypatch.setattr("larkcrank.program.sidecar.ACCEPT_ON_S", 0.0)
+        monkeypatch.setattr("larkcrank.program.sidecar.SHUTDOWN_ACCEPT_S", 0.0)
         begun, rest = b"GET /view", b" HTTP/1.1\r\nHost: a\r\nReq-Id: %d\r\n\r\n"
         async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
             slow = [await bed.client() for _ in range(27)]
@@ -691,7 +691,7 @@
             waiting = [await bed.client() for _ in range(5)]
             for number, client in enumerate(waiting):
                 client.writer.write(begun + rest % number)
-            ended = asyncio.create_task(bed.sidecar.wind_down())
+            ended = asyncio.create_task(bed.sidecar.shut_down())
             await b.until(lambda: "winding_down" in bed.events())
             await asyncio.sleep(0.1)
             for number, client in enumerate(slow):
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -224,12 +224,12 @@
 
 def test_several_addresses_and_the_wait_are_read_from_the_configuration() -> None:
     one = configured(discovery="127.0.0.1:1")
-    assert (one.discovery, one.elsewhere, one.watch_ms) == (("127.0.0.1", 1), (), None)
+    assert (one.discovery, one.fallback_discovery, one.watch_ms) == (("127.0.0.1", 1), (), None)
     both: tuple[Any, ...] = (["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.1:1, 127.0.0.1:2")
     for told in both:
         two = configured(discovery=told, watch_ms=1500)
-        assert two.discovery == ("127.0.0.1", 1) and two.elsewhere == (("127.0.0.1", 2),)
-        assert two.watch_ms == 1500 and "watch_ms" in one.fixed_changes(two)
+        assert two.discovery == ("127.0.0.1", 1) and two.fallback_discovery == (("127.0.0.1", 2),)
+        assert two.watch_ms == 1500 and "watch_ms" in one.changes_needing_restart(two)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -283,7 +283,7 @@
 
     def _sidecar(self, number: int) -> Sidecar:
         def read() -> config.Config:
-            return config.parse(json.dumps(self.files[number]).encode(), {}, again=True)
+            return config.parse(json.dumps(self.files[number]).encode(), {}, is_reload=True)
 
         sidecar = Sidecar(read(), Log(f"n{number}", io.BytesIO()), read)
         self.listen(number, sidecar)
@@ -327,7 +327,7 @@
     some = Fleet(service, count, mode, seed)
     try:
         for sidecar in some.sidecars:
-            sidecar.start()
+            sidecar.start_without_handover()
         async with asyncio.timeout(LIMIT_S):
             yield some, service
     finally:
@@ -439,13 +439,13 @@
         await service.start()
         before = Fleet(service, SIDECARS, mode, 1)
         for sidecar in before.sidecars:
-            sidecar.start()
+            sidecar.start_without_handover()
         await asyncio.sleep(CALM_S)
         await service.fail("hang")
         after = Fleet(service, SIDECARS, mode, 2)
         for old, new in zip(before.sidecars, after.sidecars, strict=True):
-            body = old._told()[handover._HEAD.size :]
-            new._learn_list(handover.decode(body, new._config.name, new._marks()))
+            body = old._handover_message()[handover._HEADER.size :]
+            new._load_initial_servers(handover.decode(body, new._config.name, new._settings_key()))
         before.close()
         await asyncio.sleep(12.0)
         service.drain()
