--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -1,6 +1,6 @@
-"""`larkcrank`: serve, check a configuration, play the fleet bench, measure by size.
+"""The `larkcrank` command: serve, check a configuration, run fleet tests, measure scaling.
 
-Needs the extra `lab`, but for `serve`.
+All commands need the optional dependencies `lab`. Without them, `python -m larkcrank` still runs a sidecar.
 """
 
 import os
@@ -16,22 +16,22 @@
 
 from larkcrank.config import sidecar
 
-BAD_INPUT = 2
-PROGRESS_WORLDS = 500
-VIEW_S = 5.0
+EXIT_BAD_INPUT = 2
+PROGRESS_INTERVAL_WORLDS = 500
+VIEW_TIMEOUT_S = 5.0
 
 
 @click.group(context_settings={"help_option_names": ["-h", "--help"]})
 def main() -> None:
-    """Client-side load balancer, and the bench for fleets of it."""
+    """Client-side load balancer, and a test bench for fleets of it."""
 
 
 @main.command()
 def serve() -> None:
     """Run one sidecar, configured by PROXY_CONFIG."""
-    from larkcrank.program.start import serve as run
+    from larkcrank.program.start import serve as run_sidecar
 
-    sys.exit(run())
+    sys.exit(run_sidecar())
 
 
 @main.group()
@@ -42,52 +42,62 @@
 @config.command("check")
 @click.argument("file", type=click.Path(path_type=Path))
 def config_check(file: Path) -> None:
-    """Say whether a sidecar would start with FILE; name the key that is wrong."""
+    """Check whether a sidecar would start with FILE, and name the invalid key if not."""
     try:
-        found = sidecar.parse(file.read_bytes(), os.environ)
+        parsed = sidecar.parse(file.read_bytes(), os.environ)
     except OSError as error:
-        _refuse(f"{file}: {error.strerror}")
+        _exit_bad_input(f"{file}: {error.strerror}")
     except sidecar.ConfigError as error:
-        _refuse(f"{file}: {error}")
-    classes = len(found.site.decisions.classes)
+        _exit_bad_input(f"{file}: {error}")
+    class_count = len(parsed.site.decisions.classes)
     click.echo(
-        f"{file}: good; {found.name}, {classes} classes, discovery {':'.join(map(str, found.discovery))}"
+        f"{file}: good; {parsed.name}, {class_count} classes, "
+        f"discovery {':'.join(map(str, parsed.discovery))}"
     )
 
 
 @main.group()
 def fleet() -> None:
-    """Many processes of the program, and faults between them."""
+    """Run and inspect fleets of sidecar processes, with faults between them."""
 
 
 @fleet.command("run")
 @click.argument("scenario", type=click.Path(path_type=Path))
-@click.option("--seed", type=int, help="In place of the scenario's own.")
-@click.option("--repeat", type=click.IntRange(1, 1000), default=1, help="Runs, each with the next seed.")
-@click.option("--out", type=click.Path(path_type=Path), help="Folder for ledgers, results, tables, charts.")
+@click.option("--seed", type=int, help="Overrides the scenario's seed.")
+@click.option(
+    "--repeat", type=click.IntRange(1, 1000), default=1, help="Number of runs, each with the next seed."
+)
+@click.option(
+    "--out", type=click.Path(path_type=Path), help="Directory for ledgers, results, tables and charts."
+)
 def fleet_run(scenario: Path, seed: int | None, repeat: int, out: Path | None) -> None:
-    """Play SCENARIO. Exit code 1: a rule broken or an expectation missed; 2: bad input; 3: cut short."""
+    """Run SCENARIO. Exit code 1: a rule or an expectation failed; 2: bad input; 3: aborted."""
     from larkcrank.lab import bench, report
     from larkcrank.lab import scenario as scenarios
     from larkcrank.lab.processes import ProcessError
 
-    log = _log()
+    log = _configure_log()
     try:
-        first = scenarios.load(scenario, seed)
+        first_scenario = scenarios.load(scenario, seed)
     except scenarios.ScenarioError as error:
-        _refuse(str(error))
+        _exit_bad_input(str(error))
     results = []
-    for number in range(repeat):
-        one = msgspec.structs.replace(first, seed=first.seed + number)
-        folder = None if out is None else out / f"{one.name}-{one.seed}"
+    for run_index in range(repeat):
+        run_scenario = msgspec.structs.replace(first_scenario, seed=first_scenario.seed + run_index)
+        directory = None if out is None else out / f"{run_scenario.name}-{run_scenario.seed}"
         try:
-            if folder is not None:
-                folder.mkdir(parents=True, exist_ok=True)
-                (folder / report.RESULT).unlink(missing_ok=True)
-            log.info("playing", scenario=one.name, seed=one.seed, processes=one.fleet.processes)
-            played = bench.play(one, lambda text: log.info("progress", text=text))
-            if folder is not None:
-                played.ledger.write(folder / "ledger.jsonl")
+            if directory is not None:
+                directory.mkdir(parents=True, exist_ok=True)
+                (directory / report.RESULT).unlink(missing_ok=True)
+            log.info(
+                "playing",
+                scenario=run_scenario.name,
+                seed=run_scenario.seed,
+                processes=run_scenario.fleet.processes,
+            )
+            recording = bench.play(run_scenario, lambda text: log.info("progress", text=text))
+            if directory is not None:
+                recording.ledger.write(directory / "ledger.jsonl")
         except (ProcessError, bench.BenchError) as error:
             log.error("run_ended", reason=str(error))
             sys.exit(3)
@@ -97,12 +107,12 @@
         except OSError as error:
             log.error("run_ended", reason=str(error))
             sys.exit(3)
-        result = report.summary(one, played)
-        if folder is not None:
-            report.write(result, folder)
+        result = report.summary(run_scenario, recording)
+        if directory is not None:
+            report.write(result, directory)
         for breach in result.breaches[: report.SHOWN_BREACHES]:
             log.error("breach", rule=breach.rule, at=round(breach.at, 3), who=breach.who, text=breach.text)
-        log.info("played", seed=one.seed, passed=result.passed, served=round(result.served, 3))
+        log.info("played", seed=run_scenario.seed, passed=result.passed, served=round(result.served, 3))
         results.append(result)
     click.echo(report.markdown(results), nl=False)
     if out is not None:
@@ -112,17 +122,17 @@
 
 @fleet.command("report")
 @click.argument("folders", nargs=-1, required=True, type=click.Path(path_type=Path))
-@click.option("--out", type=click.Path(path_type=Path), help="Folder for the tables and the chart.")
+@click.option("--out", type=click.Path(path_type=Path), help="Directory for the tables and the chart.")
 def fleet_report(folders: tuple[Path, ...], out: Path | None) -> None:
-    """Tables and a chart of runs of one scenario from the FOLDERS that they left."""
+    """Print tables and a chart of runs of one scenario, from their output directories FOLDERS."""
     from larkcrank.lab import report
 
     try:
         results = [report.read(folder / report.RESULT) for folder in folders]
     except ValueError as error:
-        _refuse(str(error))
+        _exit_bad_input(str(error))
     if len({result.scenario for result in results}) > 1:
-        _refuse("the runs are of different scenarios")
+        _exit_bad_input("the runs are of different scenarios")
     click.echo(report.markdown(results), nl=False)
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
@@ -132,93 +142,102 @@
 @fleet.command("cost")
 @click.option("--count", type=click.IntRange(10, 1_000_000), default=20_000, help="Round trips.")
 def fleet_cost(count: int) -> None:
-    """What a link itself costs on this machine: round trips of 200 bytes without one and through one."""
+    """Measure the overhead of the bench's links: round trips of 200 bytes, direct and through a link."""
     from larkcrank.lab import cost
 
     click.echo("| way | p50, us | p99, us | CPU, us |\n| --- | --- | --- | --- |")
-    for name, one in zip(("direct", "through a link"), cost.measure(count), strict=True):
-        click.echo(f"| {name} | {one.p50_us:.0f} | {one.p99_us:.0f} | {one.cpu_us:.0f} |")
+    for name, round_trips in zip(("direct", "through a link"), cost.measure(count), strict=True):
+        click.echo(
+            f"| {name} | {round_trips.p50_us:.0f} | {round_trips.p99_us:.0f} | {round_trips.cpu_us:.0f} |"
+        )
 
 
 @fleet.command("hunt")
-@click.option("--seeds", type=click.IntRange(0), default=1000, help="Worlds drawn from a seed.")
+@click.option(
+    "--seeds", type=click.IntRange(0), default=1000, help="Number of random worlds, one for each seed."
+)
 @click.option("--first", type=click.IntRange(0), default=0, help="The first seed.")
-@click.option("--depth", type=click.IntRange(0, 3), default=1, help="Spells of the bounded worlds; 0: none.")
-@click.option("--jobs", type=click.IntRange(0), default=0, help="Side by side; 0: as many as processors.")
+@click.option(
+    "--depth",
+    type=click.IntRange(0, 3),
+    default=1,
+    help="Fault periods per world of the exhaustive search; 0: no such search.",
+)
+@click.option("--jobs", type=click.IntRange(0), default=0, help="Parallel jobs; 0: one for each processor.")
 def fleet_hunt(seeds: int, first: int, depth: int, jobs: int) -> None:
-    """Search worlds in virtual time for one in which the view does not settle. Exit code 1: found."""
+    """Search simulated fleets (worlds) for one whose view does not converge. Exit code 1: found."""
     from larkcrank.lab import worlds
 
-    log, done, findings = _log(), 0, 0
-    for done, found in worlds.hunt(range(first, first + seeds), depth, jobs):
+    log, worlds_done, findings = _configure_log(), 0, 0
+    for worlds_done, found in worlds.hunt(range(first, first + seeds), depth, jobs):
         findings += len(found)
-        for one in found:
-            log.error("finding", world=one.world, what=one.what)
-        if done % PROGRESS_WORLDS == 0:
-            log.info("progress", played=done, found=findings)
-    click.echo(f"{done} worlds, {findings} findings")
+        for finding in found:
+            log.error("finding", world=finding.world, what=finding.what)
+        if worlds_done % PROGRESS_INTERVAL_WORLDS == 0:
+            log.info("progress", played=worlds_done, found=findings)
+    click.echo(f"{worlds_done} worlds, {findings} findings")
     sys.exit(1 if findings else 0)
 
 
 @fleet.command("settling")
-@click.option("--members", type=click.IntRange(2), multiple=True, default=(10, 100), help="Sizes.")
+@click.option("--members", type=click.IntRange(2), multiple=True, default=(10, 100), help="Fleet sizes.")
 @click.option("--seed", type=int, default=1)
 def fleet_settling(members: tuple[int, ...], seed: int) -> None:
-    """How long the view takes to settle and what it costs, by size, in virtual time."""
+    """Measure in virtual time how fast the view converges and what it costs, for each fleet size."""
     from larkcrank.lab import settling
 
     click.echo("| members | what | figure | |\n| --- | --- | --- | --- |")
-    for count in members:
-        for part in (settling.settling, settling.cost, settling.wrong_deaths):
-            for row in part(count, seed):
+    for member_count in members:
+        for measure in (settling.settling, settling.cost, settling.wrong_deaths):
+            for row in measure(member_count, seed):
                 click.echo(f"| {row.members} | {row.what} | {row.figure:.2f} | {row.unit} |")
 
 
 @fleet.command("view")
 @click.argument("place")
 def fleet_view(place: str) -> None:
-    """The fleet as the sidecar at PLACE (host:port of its operators' address) sees it."""
+    """Print the fleet as seen by the sidecar whose operators' address is PLACE (host:port)."""
     from larkcrank.protocol.discovery import host_port
 
     try:
         host, port = host_port(place)
-        with socket.create_connection((host, port), timeout=VIEW_S) as sock:
+        with socket.create_connection((host, port), timeout=VIEW_TIMEOUT_S) as sock:
             sock.sendall(b"VIEW\n")
-            told = b"".join(iter(lambda: sock.recv(65536), b"")).decode("utf-8", "replace")
+            answer = b"".join(iter(lambda: sock.recv(65536), b"")).decode("utf-8", "replace")
     except ValueError as error:
-        _refuse(str(error))
+        _exit_bad_input(str(error))
     except OSError as error:
         click.echo(f"{place}: {error}", err=True)
         sys.exit(1)
-    code, _, text = told.partition(" ")
-    if code != "200":
+    status, _, text = answer.partition(" ")
+    if status != "200":
         click.echo(f"{place}: {text.strip() or 'no answer'}", err=True)
         sys.exit(1)
-    head, _, members = text.partition(" [")
-    click.echo(f"{head}\n\n| member | standing | place | zone | incarnation | life |\n|{' --- |' * 6}")
-    for one in msgspec.json.decode("[" + members):
-        row = (one[key] for key in ("name", "standing", "place", "zone", "incarnation", "life"))
+    summary, _, members = text.partition(" [")
+    click.echo(f"{summary}\n\n| member | standing | place | zone | incarnation | life |\n|{' --- |' * 6}")
+    for member in msgspec.json.decode("[" + members):
+        row = (member[key] for key in ("name", "standing", "place", "zone", "incarnation", "life"))
         click.echo(f"| {' | '.join(map(str, row))} |")
 
 
-class _Scale(click.Group):
-    """`run`, and the commands that modules of the lab hold; one is loaded only when it is asked for."""
+class _LazyGroup(click.Group):
+    """A group whose listed commands are defined in modules of the lab, and imported only when used."""
 
-    modules = ("path", "plan", "view")
+    lazy_commands = ("path", "plan", "view")
 
     def list_commands(self, context: click.Context) -> list[str]:
-        return sorted([*super().list_commands(context), *self.modules])
+        return sorted([*super().list_commands(context), *self.lazy_commands])
 
     def get_command(self, context: click.Context, name: str) -> click.Command | None:
-        if name in self.modules:
-            found: click.Command = getattr(import_module(f"larkcrank.lab.scale.{name}"), name)
-            return found
+        if name in self.lazy_commands:
+            command: click.Command = getattr(import_module(f"larkcrank.lab.scale.{name}"), name)
+            return command
         return super().get_command(context, name)
 
 
-@main.group(cls=_Scale)
+@main.group(cls=_LazyGroup)
 def scale() -> None:
-    """What one cost becomes by size: measured, fitted, and reckoned on."""
+    """Measure how a cost grows with size, fit the growth and extrapolate."""
 
 
 @scale.command("run")
@@ -228,36 +247,42 @@
     type=click.Path(path_type=Path),
     default=Path("docs/scale"),
     show_default=True,
-    help="Folder for raw points (runs/), slopes (slopes/) and the chart.",
+    help="Directory for raw points (runs/), slopes (slopes/) and the chart.",
 )
 def scale_run(file: Path, out: Path) -> None:
-    """Measure the series in FILE and fit its slopes. Exit code 2: bad input; 3: cut short."""
+    """Measure the series in FILE and fit its slopes. Exit code 2: bad input; 3: aborted."""
     from larkcrank.lab.processes import ProcessError
     from larkcrank.lab.scale import runs, series
     from larkcrank.lab.scale.children import ChildError
     from larkcrank.lab.scale.machine import LimitError
     from larkcrank.lab.scale.measure import MeasureError
 
-    log = _log()
+    log = _configure_log()
     try:
-        found = series.load(file)
+        loaded_series = series.load(file)
     except series.SeriesError as error:
-        _refuse(str(error))
-    log.info("measuring", series=found.name, by=found.by, sizes=found.sizes, repeats=found.repeats)
+        _exit_bad_input(str(error))
+    log.info(
+        "measuring",
+        series=loaded_series.name,
+        by=loaded_series.by,
+        sizes=loaded_series.sizes,
+        repeats=loaded_series.repeats,
+    )
     try:
-        fitted = runs.run(found, file, out, lambda text: log.info("progress", text=text))
+        fitted_slopes = runs.run(loaded_series, file, out, lambda text: log.info("progress", text=text))
     except (ChildError, LimitError, MeasureError, ProcessError, OSError) as error:
         log.error("run_ended", reason=str(error))
         sys.exit(3)
     except KeyboardInterrupt:
         log.error("run_ended", reason="interrupted")
         sys.exit(3)
-    runs.charts(fitted, out / f"{found.name}.png")
-    click.echo(runs.table(fitted), nl=False)
+    runs.charts(fitted_slopes, out / f"{loaded_series.name}.png")
+    click.echo(runs.table(fitted_slopes), nl=False)
 
 
-def _log() -> structlog.typing.FilteringBoundLogger:
-    """One JSON object a line on standard error, as the sidecar has it."""
+def _configure_log() -> structlog.typing.FilteringBoundLogger:
+    """Return a log that writes one JSON object per line to standard error, like the sidecar's log."""
     structlog.configure(
         processors=[
             structlog.processors.TimeStamper(fmt="iso"),
@@ -270,6 +295,6 @@
     return log
 
 
-def _refuse(text: str) -> NoReturn:
+def _exit_bad_input(text: str) -> NoReturn:
     click.echo(text, err=True)
-    sys.exit(BAD_INPUT)
+    sys.exit(EXIT_BAD_INPUT)
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -228,9 +228,7 @@
         if config.fleet is None:
             return None
         if not config.site.may_talk:
-            self.log.event(
-                "fleet_off", reason="settings.bounds.peers is false: sidecars may not talk"
-            )
+            self.log.event("fleet_off", reason="settings.bounds.peers is false: sidecars may not talk")
             return None
         # Imported here, so that a sidecar without a fleet starts without the import cost.
         from larkcrank.program.together import FleetMember
