--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -58,7 +58,7 @@
 
 @main.group()
 def fleet() -> None:
-    """Run and inspect fleets of sidecar processes, with faults between them."""
+    """Run and inspect fleets of sidecars."""
 
 
 @fleet.command("run")
@@ -237,7 +237,7 @@
 
 @main.group(cls=_LazyGroup)
 def scale() -> None:
-    """Measure how a cost grows with size, fit the growth and extrapolate."""
+    """Measure how costs grow with size, and extrapolate."""
 
 
 @scale.command("run")
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -1,7 +1,7 @@
-"""Signals, starts and ends at the wrong moment.
+"""Tests of races between signals, starts and shutdowns.
 
-Each order is forced by the test's own peers, by decisions that wait for the test's word, or by doing both
-things within one turn of the loop. No sleep has to hit anything.
+Each order of events is forced: by the test's own peers, by decisions that wait for the test, or by two
+actions within one iteration of the event loop. No test depends on the timing of a sleep.
 """
 
 import asyncio
@@ -20,104 +20,109 @@
 from larkcrank.protocol import http1
 from tests import bed as b
 from tests.frames import CONFIG
-from tests.test_program import event, started
+from tests.test_program import next_event, running_process
 
 
-def test_a_new_configuration_while_the_program_still_loads(tmp_path: Path) -> None:
-    """The signal ended the process: its handler stands only once all is loaded."""
+def test_sighup_during_imports_reloads_the_configuration(tmp_path: Path) -> None:
+    """SIGHUP terminated the process if it came before the handler was installed, after all imports."""
     (tmp_path / "sitecustomize.py").write_text(
         "import os, signal, sys\n"
-        "class Amid:\n"
+        "class SignalDuringImport:\n"
         "    def find_spec(self, name, path=None, target=None):\n"
         "        if name == 'tornado.iostream':\n"
         "            os.kill(os.getpid(), signal.SIGHUP)\n"
-        "sys.meta_path.insert(0, Amid())\n"
+        "sys.meta_path.insert(0, SignalDuringImport())\n"
     )
     path = tmp_path / "config.json"
-    file = {
+    config = {
         "listen": "127.0.0.1:0",
         "discovery": "127.0.0.1:1",
         "settings": CONFIG | {"grades": b.CLASSES},
     }
-    path.write_text(msgspec.json.encode(file).decode())
+    path.write_text(msgspec.json.encode(config).decode())
     environment = {"PROXY_CONFIG": str(path), "PYTHONPATH": str(tmp_path)}
-    with started("-m", "larkcrank", pass_fds=(), **environment) as process:
-        event(process, "reloaded")
+    with running_process("-m", "larkcrank", pass_fds=(), **environment) as process:
+        next_event(process, "reloaded")
         process.send_signal(signal.SIGTERM)
         assert process.wait(20) == 0
 
 
-def test_what_is_open_at_the_end_has_its_answer_before_the_kill(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Its client would wait for longer than the platform does: it was lost, though it could be told so."""
+def test_open_request_is_answered_before_the_platform_kills(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A request whose deadline is later than the platform's kill got no answer at all; now it gets a 504."""
     monkeypatch.setattr(sidecar, "MAX_DEADLINE_WAIT_MS", 1.0)
     monkeypatch.setattr(sidecar, "ANSWER_MARGIN_MS", 1.0)
 
-    async def work() -> None:
-        one = b.Endpoint("s-1", b.say_nothing)
-        async with b.bed(one) as bed:
+    async def scenario() -> None:
+        endpoint = b.Endpoint("s-1", b.say_nothing)
+        async with b.bed(endpoint) as bed:
             client = await bed.client()
             client.send("take", 3000.0, "POST")
-            await b.until(lambda: len(one.requests) == 1)
+            await b.until(lambda: len(endpoint.requests) == 1)
             await bed.sidecar.shut_down()
             assert (await client.answer()).status == 504
             assert bed.sidecar.clients.open == 0
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_an_answer_without_an_end_does_not_keep_the_process(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_endless_response_does_not_block_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sidecar, "MAX_DEADLINE_WAIT_MS", 1.0)
     monkeypatch.setattr(sidecar, "ANSWER_MARGIN_MS", 1.0)
     monkeypatch.setattr(sidecar, "ABORT_MARGIN_MS", 2.0)
 
-    async def endless(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+    async def send_endless_response(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 
-    async def work() -> None:
-        async with b.bed(b.Endpoint("s-1", endless)) as bed:
+    async def scenario() -> None:
+        async with b.bed(b.Endpoint("s-1", send_endless_response)) as bed:
             client = await bed.client()
             client.send("feed")
-            begun = await client.reader.readuntil(b"x\r\n")
-            assert begun.startswith(b"HTTP/1.1 200")
+            first_chunk = await client.reader.readuntil(b"x\r\n")
+            assert first_chunk.startswith(b"HTTP/1.1 200")
             await bed.sidecar.shut_down()
-            with pytest.raises(ConnectionResetError):  # no end in order: it can't be taken for whole
+            with pytest.raises(
+                ConnectionResetError
+            ):  # a reset, so the response is not mistaken for a complete one
                 while await client.reader.read(65536):
                     pass
             assert bed.sidecar.clients.open == 0 and bed.sidecar._servers.under_way == 0
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_an_end_that_comes_while_the_predecessor_is_heard(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """The start is over before all is closed: nothing that it had begun stays open, twice told or not."""
+def test_shutdown_while_reading_from_the_predecessor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """The start must end before resources are closed, or what it set up stays open. Two requests to shut down
+    have the same effect as one."""
     monkeypatch.setattr(handover, "PREDECESSOR_TIMEOUT_S", 3600.0)
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
-    async def work() -> None:
-        heard, gone = asyncio.Event(), asyncio.Event()
+    async def scenario() -> None:
+        connected, disconnected = asyncio.Event(), asyncio.Event()
 
         async def say_nothing(reader: b.Reader, writer: b.Writer) -> None:
-            heard.set()
+            connected.set()
             await reader.read()
-            gone.set()
+            disconnected.set()
             writer.close()
 
-        before = await asyncio.start_unix_server(say_nothing, str(handover.socket_path(str(tmp_path), "n0")))
-        passed = socket.create_server(("127.0.0.1", 0))
+        predecessor = await asyncio.start_unix_server(
+            say_nothing, str(handover.socket_path(str(tmp_path), "n0"))
+        )
+        passed_socket = socket.create_server(("127.0.0.1", 0))
         async with b.bed(discovery_up=False) as bed:
-            one = sidecar.Sidecar(bed.read(), Log("n0", log := io.BytesIO()), bed.read, passed.dup())
-            running = asyncio.create_task(one.run())
-            await heard.wait()
+            starting = sidecar.Sidecar(
+                bed.read(), Log("n0", log := io.BytesIO()), bed.read, passed_socket.dup()
+            )
+            run_task = asyncio.create_task(starting.run())
+            await connected.wait()
             os.kill(os.getpid(), signal.SIGTERM)
             os.kill(os.getpid(), signal.SIGHUP)
-            one.request_shutdown()
-            await running
-            await gone.wait()
+            starting.request_shutdown()
+            await run_task
+            await disconnected.wait()
             assert b'"event":"ended"' in log.getvalue() and b'"event":"ready"' not in log.getvalue()
-            assert one.descriptors.used == 0
-        passed.close()
-        before.close()
+            assert starting.descriptors.used == 0
+        passed_socket.close()
+        predecessor.close()
 
-    b.run(work())
+    b.run(scenario())
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -1,4 +1,4 @@
-"""The operators' calls: the parser, the phases, and a drain on loopback."""
+"""Tests of operators' calls: the parser, the lifecycle phases, and draining on loopback."""
 
 import asyncio
 import socket
@@ -12,38 +12,38 @@
 from larkcrank.transport.descriptors import Descriptors, Use
 from tests import bed as b
 
-OPS = "127.0.0.1:0"
+OPS_ADDRESS = "127.0.0.1:0"
 
 
 @given(st.sampled_from(list(Call)), st.sampled_from([b"\n", b"\r\n", b"\nmore"]), st.data())
-def test_a_call_is_the_same_however_it_was_cut(call: Call, end: bytes, data: st.DataObject) -> None:
-    text = call.value + end
-    cut = data.draw(st.integers(0, len(call.value)))
+def test_call_split_into_two_reads_is_parsed(call: Call, line_end: bytes, data: st.DataObject) -> None:
+    text = call.value + line_end
+    split_at = data.draw(st.integers(0, len(call.value)))
     parser = CallParser()
-    assert parser.feed(text[:cut]) is None
-    assert parser.feed(text[cut:]) is call
+    assert parser.feed(text[:split_at]) is None
+    assert parser.feed(text[split_at:]) is call
 
 
 @given(st.binary(max_size=2 * MAX_LINE))
-def test_whatever_comes_is_a_call_no_call_or_not_whole(text: bytes) -> None:
-    line, end, _ = text.partition(b"\n")
-    word = line.removesuffix(b"\r")
-    if len(line) > MAX_LINE or (end and word not in [call.value for call in Call]):
+def test_arbitrary_input_is_a_call_an_error_or_incomplete(text: bytes) -> None:
+    line, line_end, _ = text.partition(b"\n")
+    command = line.removesuffix(b"\r")
+    if len(line) > MAX_LINE or (line_end and command not in [call.value for call in Call]):
         with pytest.raises(CallError):
             CallParser().feed(text)
     else:
-        assert CallParser().feed(text) is (Call(word) if end else None)
+        assert CallParser().feed(text) is (Call(command) if line_end else None)
 
 
-def test_an_answer_is_one_line() -> None:
+def test_answer_is_one_line() -> None:
     assert answer(True, "ready") == b"200 ready\n"
     assert answer(False, "draining") == b"400 draining\n"
 
 
-def test_phases_follow_the_calls_whatever_their_order() -> None:
+def test_phase_is_correct_for_any_order_of_calls() -> None:
     life = Life()
     assert (life.phase.value, life.is_ready, life.sends_away) == ("starting", False, False)
-    assert life.drain() and life.phase.value == "starting"  # it holds once the start is done
+    assert life.drain() and life.phase.value == "starting"  # takes effect once the start is complete
     life.start()
     assert life.phase.value == "draining" and life.sends_away and not life.is_ready
     assert life.drain() and life.phase.value == "draining"
@@ -51,26 +51,26 @@
     life.drain()
     life.end(5.0)
     assert (life.phase, life.sends_away, life.latest) == (Phase.ENDING, True, 5.0)
-    assert not life.rejoin()  # nothing takes the end back
+    assert not life.rejoin()  # a shutdown cannot be revoked
     assert life.drain()
     assert (life.phase, life.sends_away) == (Phase.ENDING, True)
 
 
-def test_operators_have_places_that_nothing_else_fills() -> None:
-    places = Descriptors(64, operators=True)
-    while places.take(Use.DISCOVERY):
+def test_operators_have_reserved_descriptors() -> None:
+    descriptors = Descriptors(64, operators=True)
+    while descriptors.take(Use.DISCOVERY):
         pass
-    assert not places.take(Use.CLIENT)
-    own = 0
-    while places.take(Use.OPERATOR):
-        own += 1
-    assert own == 6
+    assert not descriptors.take(Use.CLIENT)
+    operator_count = 0
+    while descriptors.take(Use.OPERATOR):
+        operator_count += 1
+    assert operator_count == 6
     assert not Descriptors(64).take(Use.OPERATOR)
 
 
-def test_calls_are_answered_and_all_else_is_told_so() -> None:
-    async def work() -> None:
-        async with b.bed(b.Endpoint("s-1"), ops=OPS) as bed:
+def test_calls_are_answered_and_invalid_input_is_rejected() -> None:
+    async def scenario() -> None:
+        async with b.bed(b.Endpoint("s-1"), ops=OPS_ADDRESS) as bed:
             assert await bed.operator(b"PING\n") == b"200 ready\n"
             assert await bed.operator(b"LAMEDUCK\r\n") == b"200 draining\n"
             assert await bed.operator(b"PING\n") == b"400 draining\n"
@@ -81,78 +81,78 @@
             assert bed.events()[-1] == "reloaded"
             assert bed.sidecar.lifecycle.is_ready
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_silent_operators_make_way_for_one_who_calls() -> None:
-    async def work() -> None:
-        async with b.bed(b.Endpoint("s-1"), ops=OPS) as bed:
-            silent = [await asyncio.open_connection(*bed.sidecar.ops_address) for _ in range(40)]
-            for _, writer in silent[::2]:
+def test_silent_operator_connections_are_closed_for_a_new_one() -> None:
+    async def scenario() -> None:
+        async with b.bed(b.Endpoint("s-1"), ops=OPS_ADDRESS) as bed:
+            silent_connections = [await asyncio.open_connection(*bed.sidecar.ops_address) for _ in range(40)]
+            for _, writer in silent_connections[::2]:
                 writer.write(b"PI")
             assert await bed.operator(b"PING\n") == b"200 ready\n"
-            assert sum(reader.at_eof() for reader, _ in silent) >= 20
-            for _, writer in silent:
+            assert sum(reader.at_eof() for reader, _ in silent_connections) >= 20
+            for _, writer in silent_connections:
                 writer.close()
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_a_drain_turns_ready_off_serves_on_and_leaves_no_connection_idle() -> None:
-    async def work() -> None:
-        gate = asyncio.Event()
-        slow = b.Endpoint("s-1", b.after(gate))
-        async with b.bed(slow, ops=OPS) as bed:
-            used, idle, silent, asking = [await bed.client() for _ in range(4)]
-            gate.set()
+def test_drain_fails_the_ready_check_keeps_serving_and_closes_idle_connections() -> None:
+    async def scenario() -> None:
+        may_answer = asyncio.Event()
+        endpoint = b.Endpoint("s-1", b.after(may_answer))
+        async with b.bed(endpoint, ops=OPS_ADDRESS) as bed:
+            busy, idle, unused, checking = [await bed.client() for _ in range(4)]
+            may_answer.set()
             assert (await idle.call("view")).keep_alive
-            gate.clear()
-            used.send("view")
-            await b.until(lambda: len(slow.requests) == 2)
+            may_answer.clear()
+            busy.send("view")
+            await b.until(lambda: len(endpoint.requests) == 2)
             assert await bed.operator(b"LAMEDUCK\n") == b"200 draining\n"
-            asking.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            no = await asking.answer()
-            assert (no.status, no.keep_alive) == (503, False)
-            late = await bed.client()  # the front has not heard yet
+            checking.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
+            ready_check = await checking.answer()
+            assert (ready_check.status, ready_check.keep_alive) == (503, False)
+            late = await bed.client()  # from a client that does not know of the drain yet
             late.send("view")
             assert await idle.reader.read() == b""
-            assert await silent.reader.read() == b""
-            gate.set()
-            for client in (used, late):
+            assert await unused.reader.read() == b""
+            may_answer.set()
+            for client in (busy, late):
                 answer = await client.answer()
                 assert (answer.status, answer.keep_alive) == (200, False)
             await b.until(lambda: bed.sidecar.clients.open == 0)
             assert await bed.operator(b"REJOIN\n") == b"200 ready\n"
-            again = await bed.client()
-            assert (await again.call("view")).keep_alive
-            await asyncio.sleep(0.6)  # longer than a drain waits: nothing of it is left
-            assert (await again.call("view")).keep_alive
+            after_rejoin = await bed.client()
+            assert (await after_rejoin.call("view")).keep_alive
+            await asyncio.sleep(0.6)  # longer than the delay of a drain: its task must have ended
+            assert (await after_rejoin.call("view")).keep_alive
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_a_request_that_is_being_written_outlasts_the_first_looks_of_a_drain() -> None:
-    async def work() -> None:
-        async with b.bed(b.Endpoint("s-1"), ops=OPS) as bed:
+def test_partly_written_request_is_not_closed_as_idle_during_a_drain() -> None:
+    async def scenario() -> None:
+        async with b.bed(b.Endpoint("s-1"), ops=OPS_ADDRESS) as bed:
             client = await bed.client()
             await bed.operator(b"LAMEDUCK\n")
-            text = b"GET /view/1 HTTP/1.1\r\nHost: a\r\nReq-Id: slow\r\n\r\n"
-            for part in (text[:5], text[5:20], text[20:40]):
+            request = b"GET /view/1 HTTP/1.1\r\nHost: a\r\nReq-Id: slow\r\n\r\n"
+            for part in (request[:5], request[5:20], request[20:40]):
                 client.writer.write(part)
                 await asyncio.sleep(0.3)
-            client.writer.write(text[40:])
+            client.writer.write(request[40:])
             answer = await client.answer()
             assert (answer.status, answer.keep_alive) == (200, False)
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_the_end_of_a_drained_sidecar_is_final_and_caps_what_comes_late() -> None:
-    async def work() -> None:
-        async with b.bed(b.Endpoint("s-1", b.say_nothing), ops=OPS) as bed:
+def test_shutdown_after_a_drain_is_final_and_limits_late_deadlines() -> None:
+    async def scenario() -> None:
+        async with b.bed(b.Endpoint("s-1", b.say_nothing), ops=OPS_ADDRESS) as bed:
             client = await bed.client()
             await bed.operator(b"LAMEDUCK\n")
-            ended = asyncio.create_task(bed.sidecar.shut_down())
+            shutdown = asyncio.create_task(bed.sidecar.shut_down())
             await asyncio.sleep(0)
             assert await bed.operator(b"REJOIN\n") == b"400 ending\n"
             client.send("view", 3600.0)  # by then the platform will have killed the process
@@ -160,15 +160,15 @@
             (exchange,) = bed.sidecar._driver._open.values()
             assert exchange.deadline == bed.sidecar.lifecycle.latest
             client.close()
-            await ended
+            await shutdown
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_an_operators_address_in_use_is_an_error(tmp_path: object) -> None:
-    async def work() -> None:
-        with socket.create_server(("127.0.0.1", 0)) as taken, pytest.raises(OSError):
-            async with b.bed(b.Endpoint("s-1"), ops=f"127.0.0.1:{taken.getsockname()[1]}"):
+def test_operators_address_in_use_raises_an_error(tmp_path: object) -> None:
+    async def scenario() -> None:
+        with socket.create_server(("127.0.0.1", 0)) as occupied, pytest.raises(OSError):
+            async with b.bed(b.Endpoint("s-1"), ops=f"127.0.0.1:{occupied.getsockname()[1]}"):
                 pass
 
-    b.run(work())
+    b.run(scenario())
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -1,4 +1,4 @@
-"""Ready again: what a process waits for before it takes requests, whatever discovery does."""
+"""Tests of what a process waits for before it is ready, for each way in which discovery can fail."""
 
 import asyncio
 import socket
@@ -15,17 +15,17 @@
 from larkcrank.protocol import http1
 from tests import bed as b
 
-MANY = 200
-READY = b"GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
-NEVER_S = 1000.0  # who waits for this to pass does not get to the end of its test
+SIDECAR_COUNT = 200
+READY_CHECK = b"GET /health/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"
+NEVER_S = 1000.0  # longer than the time limit of a test
 
 
-class Overbooked:
-    """Works through calls in turn, so many at the test's word, and gives up those that waited too long."""
+class OverloadedDiscovery:
+    """Discovery that queues calls, and answers or rejects them only when the test says so."""
 
     def __init__(self, endpoints: list[b.Endpoint]) -> None:
-        self.toy = b.ToyDiscovery(endpoints)
-        self.waiting: list[tuple[bytes, b.Writer]] = []
+        self.toy_discovery = b.ToyDiscovery(endpoints)
+        self.pending_calls: list[tuple[bytes, b.Writer]] = []
         self.calls = 0
 
     async def start(self) -> None:
@@ -36,172 +36,182 @@
         parser = http1.RequestParser()
         while (request := await b.read_request(reader, parser)) is not None:
             self.calls += 1
-            self.waiting.append((request.target, writer))
+            self.pending_calls.append((request.target, writer))
         writer.close()
 
-    def work(self, count: int) -> None:
-        """Answer those who have waited longest."""
-        for _ in range(min(count, len(self.waiting))):
-            _, writer = self.waiting.pop(0)
-            writer.write(http1.response_bytes(200, (), self.toy.text(self.toy.endpoints, True)))
+    def answer(self, count: int) -> None:
+        """Answer the oldest pending calls."""
+        for _ in range(min(count, len(self.pending_calls))):
+            _, writer = self.pending_calls.pop(0)
+            writer.write(
+                http1.response_bytes(200, (), self.toy_discovery.text(self.toy_discovery.endpoints, True))
+            )
 
-    def give_up(self) -> None:
-        while self.waiting:
-            self.waiting.pop(0)[1].write(http1.response_bytes(503, (), b""))
+    def reject_all(self) -> None:
+        """Answer all pending calls with 503."""
+        while self.pending_calls:
+            self.pending_calls.pop(0)[1].write(http1.response_bytes(503, (), b""))
 
     def stop(self) -> None:
         self._server.close()
 
 
-async def ready(sidecar: Sidecar) -> bool:
-    """What the platform is told."""
+async def is_ready(sidecar: Sidecar) -> bool:
+    """The result of the platform's ready check."""
     reader, writer = await asyncio.open_connection(*sidecar.listen_address)
-    writer.write(READY)
-    line = await reader.readline()
+    writer.write(READY_CHECK)
+    status_line = await reader.readline()
     writer.close()
-    return line.startswith(b"HTTP/1.1 200")
+    return status_line.startswith(b"HTTP/1.1 200")
 
 
 @asynccontextmanager
-async def place(
-    how: str, endpoint: b.Endpoint, known: bool, **more: Any
-) -> AsyncIterator[tuple[b.Bed, Overbooked]]:
-    """What a bed reads, with a discovery that never answers: its own sidecar is not looked at."""
-    discovery = Overbooked([endpoint])
+async def bed_with_failing_discovery(
+    failure: str, endpoint: b.Endpoint, known: bool, **bed_options: Any
+) -> AsyncIterator[tuple[b.Bed, OverloadedDiscovery]]:
+    """A bed for configuring sidecars whose discovery fails as given. The bed's own sidecar is not used.
+
+    `known`: the configuration contains the server list.
+    """
+    discovery = OverloadedDiscovery([endpoint])
     await discovery.start()
-    if how == "down":
+    if failure == "down":
         discovery.stop()
-    async with b.bed(endpoint, known=known, discovery_up=False, **more) as bed:
+    async with b.bed(endpoint, known=known, discovery_up=False, **bed_options) as bed:
         bed.file["discovery"] = f"127.0.0.1:{discovery.port}"
         yield bed, discovery
     discovery.stop()
 
 
-def made(bed: b.Bed, passed: socket.socket | None = None) -> Sidecar:
-    return Sidecar(bed.read(), Log("n1", bed._log), bed.read, passed)
+def make_sidecar(bed: b.Bed, passed_socket: socket.socket | None = None) -> Sidecar:
+    return Sidecar(bed.read(), Log("n1", bed._log), bed.read, passed_socket)
 
 
 @pytest.mark.parametrize("known", [True, False])
-@pytest.mark.parametrize("how", ["down", "hangs", "gives up"])
-def test_two_hundred_at_once_are_ready_before_discovery_has_answered_one(
-    how: str, known: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failure", ["down", "hangs", "rejects"])
+def test_200_sidecars_are_ready_without_an_answer_from_discovery(
+    failure: str, known: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Ready means that requests are served or refused; nobody's start waits for its turn at discovery."""
+    """A ready sidecar serves or refuses requests. No start may wait for an answer from discovery."""
     monkeypatch.setattr(b, "LONG_S", 120.0)
 
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        async with place(how, one, known) as (bed, discovery):
-            fleet = [made(bed) for _ in range(MANY)]
-            for sidecar in fleet:
+    async def scenario() -> None:
+        endpoint = b.Endpoint("s-1")
+        async with bed_with_failing_discovery(failure, endpoint, known) as (bed, discovery):
+            sidecars = [make_sidecar(bed) for _ in range(SIDECAR_COUNT)]
+            for sidecar in sidecars:
                 await sidecar.start_serving()
-                if how == "gives up":
-                    discovery.give_up()
-            assert [await ready(sidecar) for sidecar in fleet] == [True] * MANY
-            assert sum(sidecar.counters.lists for sidecar in fleet) == 0
-            if known:  # and served, by the list as last held
-                client = b.Client(*await asyncio.open_connection(*fleet[-1].listen_address))
+                if failure == "rejects":
+                    discovery.reject_all()
+            assert [await is_ready(sidecar) for sidecar in sidecars] == [True] * SIDECAR_COUNT
+            assert sum(sidecar.counters.lists for sidecar in sidecars) == 0
+            if known:  # and serves with the configured list
+                client = b.Client(*await asyncio.open_connection(*sidecars[-1].listen_address))
                 assert (await client.call("view")).status == 200
-            for sidecar in fleet:
+            for sidecar in sidecars:
                 sidecar.close()
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_of_many_who_ask_each_has_one_call_and_is_told_in_its_turn() -> None:
-    """A few turns at a time: who waits adds no call of its own, and all have the list in the end."""
+def test_each_waiting_sidecar_makes_one_call_and_gets_its_answer() -> None:
+    """Discovery answers four calls at a time. Waiting sidecars must not add calls to its queue."""
 
-    async def work() -> None:
-        one = b.Endpoint("s-1")
-        async with place("hangs", one, known=False) as (bed, discovery):
-            fleet = [made(bed) for _ in range(20)]
-            for sidecar in fleet:
+    async def scenario() -> None:
+        endpoint = b.Endpoint("s-1")
+        async with bed_with_failing_discovery("hangs", endpoint, known=False) as (bed, discovery):
+            sidecars = [make_sidecar(bed) for _ in range(20)]
+            for sidecar in sidecars:
                 sidecar._discovery.watch()
             await b.until(lambda: discovery.calls == 20)
-            for turn in range(1, 6):
-                discovery.work(4)
+            for round_number in range(1, 6):
+                discovery.answer(4)
                 await b.until(
-                    lambda turn=turn: sum(sidecar.counters.lists > 0 for sidecar in fleet) >= 4 * turn  # type: ignore[misc]
+                    lambda round_number=round_number: (
+                        sum(sidecar.counters.lists > 0 for sidecar in sidecars) >= 4 * round_number
+                    )  # type: ignore[misc]
                 )
-                firsts = sum(sidecar.counters.lists == 0 for sidecar in fleet)
-                assert firsts == 20 - 4 * turn
-            for sidecar in fleet:
+                without_list = sum(sidecar.counters.lists == 0 for sidecar in sidecars)
+                assert without_list == 20 - 4 * round_number
+            for sidecar in sidecars:
                 sidecar.close()
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_a_socket_of_the_platform_and_no_predecessor_waits_for_nobody(
+def test_passed_socket_without_a_predecessor_starts_at_once(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
         monkeypatch.setattr("larkcrank.program.sidecar.DISCOVERY_WAIT_S", NEVER_S)
-        async with place("hangs", b.Endpoint("s-1"), known=False) as (bed, _):
-            sidecar = made(bed, socket.create_server(("127.0.0.1", 0)))
+        async with bed_with_failing_discovery("hangs", b.Endpoint("s-1"), known=False) as (bed, _):
+            sidecar = make_sidecar(bed, socket.create_server(("127.0.0.1", 0)))
             await sidecar.start_serving()
-            assert await ready(sidecar) and sidecar.counters.lists == 0
+            assert await is_ready(sidecar) and sidecar.counters.lists == 0
             sidecar.close()
 
-    b.run(work())
+    b.run(scenario())
 
 
-@pytest.mark.parametrize("comes", [True, False])
-def test_beside_a_predecessor_that_cannot_be_heard_discovery_is_waited_for_but_not_long(
-    comes: bool, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
+@pytest.mark.parametrize("discovery_answers", [True, False])
+def test_silent_predecessor_leads_to_a_limited_wait_for_discovery(
+    discovery_answers: bool, monkeypatch: pytest.MonkeyPatch, tmp_path: Path
 ) -> None:
-    """Its list ends the wait at once; where none comes the bound does."""
+    """A list from discovery ends the wait at once; without one the time limit does."""
 
-    async def work() -> None:
+    async def scenario() -> None:
         monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
         monkeypatch.setattr("larkcrank.program.handover.PREDECESSOR_TIMEOUT_S", 0.01)
-        monkeypatch.setattr("larkcrank.program.sidecar.DISCOVERY_WAIT_S", NEVER_S if comes else 0.05)
-        silent = await asyncio.start_unix_server(
+        monkeypatch.setattr(
+            "larkcrank.program.sidecar.DISCOVERY_WAIT_S", NEVER_S if discovery_answers else 0.05
+        )
+        silent_server = await asyncio.start_unix_server(
             lambda reader, writer: None, str(handover.socket_path(str(tmp_path), "n0"))
         )
-        async with place("hangs", b.Endpoint("s-1"), known=False) as (bed, discovery):
-            sidecar = made(bed, socket.create_server(("127.0.0.1", 0)))
-            beginning = asyncio.create_task(sidecar.start_serving())
-            await b.until(lambda: discovery.calls > 0)  # asked while it waits
-            if comes:
-                assert not beginning.done() and not sidecar.lifecycle.is_ready
-                discovery.work(1)
-            await beginning
-            assert sidecar.lifecycle.is_ready and (sidecar.counters.lists > 0) is comes
+        async with bed_with_failing_discovery("hangs", b.Endpoint("s-1"), known=False) as (bed, discovery):
+            sidecar = make_sidecar(bed, socket.create_server(("127.0.0.1", 0)))
+            start_task = asyncio.create_task(sidecar.start_serving())
+            await b.until(lambda: discovery.calls > 0)  # called during the wait
+            if discovery_answers:
+                assert not start_task.done() and not sidecar.lifecycle.is_ready
+                discovery.answer(1)
+            await start_task
+            assert sidecar.lifecycle.is_ready and (sidecar.counters.lists > 0) is discovery_answers
             sidecar.close()
-        silent.close()
+        silent_server.close()
 
-    b.run(work())
+    b.run(scenario())
 
 
-def test_the_waits_of_a_start_end_well_before_ten_seconds() -> None:
-    """To find the predecessor, to hear it, and for discovery, one after another: half of the time at most."""
+def test_waits_of_a_start_sum_up_to_at_most_five_seconds() -> None:
+    """A start may take ten seconds. Connecting, reading and waiting for discovery may use half of them."""
     assert 2 * handover.PREDECESSOR_TIMEOUT_S + DISCOVERY_WAIT_S <= 5.0
 
 
 @pytest.mark.parametrize("known", [True, False])
-def test_a_member_of_a_fleet_whose_turn_to_ask_it_is_not_is_ready_all_the_same(
-    known: bool, tmp_path: Path
-) -> None:
-    """Its fellows are silent, and calls to discovery wait for turns: readiness waits for neither."""
+def test_fleet_member_is_ready_before_its_turn_to_call_discovery(known: bool, tmp_path: Path) -> None:
+    """The other members are silent, and calls to discovery wait for turns: neither may delay readiness."""
 
-    async def work() -> None:
-        fleet = {
+    async def scenario() -> None:
+        fleet_config = {
             "name": "t",
             "listen": "127.0.0.1:0",
             "seeds": ["127.0.0.1:1"],
             "recovery": {"snapshot": str(tmp_path / "snapshot")},
         }
-        async with place("hangs", b.Endpoint("s-1"), known, bounds=BOUNDS, ordinal=3) as (bed, discovery):
-            bed.file["fleet"] = fleet
-            sidecar = made(bed)
+        async with bed_with_failing_discovery(
+            "hangs", b.Endpoint("s-1"), known, bounds=BOUNDS, ordinal=3
+        ) as (bed, discovery):
+            bed.file["fleet"] = fleet_config
+            sidecar = make_sidecar(bed)
             await sidecar.start_serving()
             assert sidecar._discovery.gate is not None and not sidecar._discovery.gate()
-            assert await ready(sidecar) and discovery.calls == 0
+            assert await is_ready(sidecar) and discovery.calls == 0
             assert sidecar.counters.lists == 0
             sidecar.close()
 
-    b.run(work())
+    b.run(scenario())
 
 
 BOUNDS = {
