--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -11,7 +11,7 @@
 from larkcrank.lab.scenario import Endpoints, FaultLine, Fleet, Load, Own, Scenario, Settle
 from tests import bed as b
 from tests.frames import CONFIG
-from tests.test_program import event, started
+from tests.test_program import next_event, running_process
 
 FLEET = {
     "name": "t",
@@ -124,9 +124,9 @@
     }
     path = tmp_path / "c.json"
     path.write_text(json.dumps(config))
-    with started("-m", "larkcrank", PROXY_CONFIG=str(path)) as process:
-        assert "may not talk" in event(process, "fleet_off")["reason"]
-        event(process, "ready")
+    with running_process("-m", "larkcrank", PROXY_CONFIG=str(path)) as process:
+        assert "may not talk" in next_event(process, "fleet_off")["reason"]
+        next_event(process, "ready")
 
 
 def test_a_plain_start_loads_nothing_of_it() -> None:
@@ -135,7 +135,7 @@
         "print([m for m in sys.modules if m.split('.')[0] in ('click', 'uvloop', 'structlog', 'psutil')"
         " or m.startswith(('larkcrank.fleet', 'larkcrank.lab', 'larkcrank.command'))])"
     )
-    with started("-c", code) as process:
+    with running_process("-c", code) as process:
         assert process.stdout is not None
         assert process.stdout.read().strip() == "[]"
 
@@ -151,9 +151,9 @@
     }
     path = tmp_path / "c.json"
     path.write_text(json.dumps(config))
-    with started("-m", "larkcrank", PROXY_CONFIG=str(path)) as process:
-        ready = event(process, "ready")
-        event(process, "fleet_joining")
+    with running_process("-m", "larkcrank", PROXY_CONFIG=str(path)) as process:
+        ready = next_event(process, "ready")
+        next_event(process, "fleet_joining")
         result = CliRunner().invoke(main, ["fleet", "view", ready["ops"]])
         assert result.exit_code == 0, result.output
         assert result.output.startswith("live 1 digest ") and "| n | alive | 127.0.0.1:" in result.output
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -31,7 +31,7 @@
 from tests import crossing as x
 from tests import frames as f
 from tests import test_simwire as wire
-from tests.test_replace import World
+from tests.test_replace import ReplacementEnvironment
 
 IN_TURN = [cls | {"in-turn": True} if cls["name"] == "book" else cls for cls in b.CLASSES]
 KEY, SAME = b"Idempotency-Key: 5c0f", b"Req-Extra: item=7"
@@ -474,34 +474,34 @@
                 await gate.wait()
             await b.say_ok(endpoint, request, writer)
 
-        world = World(tmp_path)
+        world = ReplacementEnvironment(tmp_path)
         await world.start()
         try:
-            for end in world.ends:
+            for end in world.endpoints:
                 end.serve = wait
             path = tmp_path / "config.json"
             file = json.loads(path.read_text())
             file["settings"] |= {"grades": IN_TURN}
             path.write_text(json.dumps(file))
-            old = await world.run()
-            await world.said(old, "ready")
-            first, leaver = [b.Client(*await asyncio.open_connection(*world.place)) for _ in range(2)]
+            old = await world.start_process()
+            await world.next_event(old, "ready")
+            first, leaver = [b.Client(*await asyncio.open_connection(*world.address)) for _ in range(2)]
             assert (await leaver.call("view")).status == 200  # its connection is the old process's
             first.send("book", 8.0, "", KEY, SAME)
             await b.until(lambda: len(ran) == 2)
             leaver.send("book", 8.0, "", KEY, SAME)
             leaver.writer.write(b"GET /view HTTP/1.1\r\n")
-            new = await world.run()
-            await world.said(new, "ready")
+            new = await world.start_process()
+            await world.next_event(new, "ready")
             old.send_signal(signal.SIGTERM)
             x.leave(leaver, how)
             gate.set()
             assert (await first.answer()).status == 200
-            counters = await world.said(old, "counters")
+            counters = await world.next_event(old, "counters")
             assert await old.wait() == 0
             assert (counters["clients_gone"], counters["sends"], counters["crashed"]) == (1, 2, 0)
             assert len(ran) == 2
         finally:
-            await world.end()
+            await world.stop_all()
 
     b.run(work())
