--- a/larkcrank/config/settings.py
+++ b/larkcrank/config/settings.py
@@ -27,22 +27,22 @@
     """A request class; see `RequestClass`."""
 
     name: str
-    effect: str
-    aim_ms: float
+    effect: str  # whether a request may be repeated: a key of `_EFFECTS`
+    aim_ms: float  # target response time
     deadline_ms: float
-    points: float = 1.0
-    group: str = "all"
-    window_ms: float = 0.0
-    late_value: float = 0.0
+    points: float = 1.0  # worth of an answer within the target response time
+    group: str = "all"  # which servers share the deduplication of a keyed request: a key of `_GROUPS`
+    window_ms: float = 0.0  # how long the servers deduplicate a keyed request
+    late_value: float = 0.0  # fraction of `points` for an answer after the target, but before the deadline
     streaming: bool = False
-    in_turn: bool = False
+    in_turn: bool = False  # requests with the same key run one at a time, in order of arrival
 
 
 class _Customer(_KebabCaseStruct):
     """A tenant; see `Tenant`."""
 
     name: str
-    portion: float = 0.0
+    portion: float = 0.0  # share of the service that the tenant is entitled to
 
 
 class _Bounds(_KebabCaseStruct):
@@ -54,7 +54,7 @@
     may_cancel: bool = False
     probes: bool = False  # the sidecar may probe servers
     second_copies: bool = False  # hedging: a second attempt while the first is in flight
-    retry_after: bool = False
+    retry_after: bool = False  # refusals carry a Retry-After hint
     max_retry_after_ms: float = 0.0
 
 
@@ -66,6 +66,7 @@
     fall_ms: float  # ... for this long.
     grace_to_answer_ms: float = 20.0  # how long after the client's deadline an answer still counts
     key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
+    # Only draining servers must be avoided; gone or unlisted ones need not be.
     only_draining_binds: bool = False
 
 
@@ -88,11 +89,11 @@
     bounds: _Bounds
     contract: _Contract
     customers: list[_Customer] = []
-    registry_mode: str = "subscribe"
+    registry_mode: str = "subscribe"  # automatic: discovery reports changes without being asked
     weights: str = "silent"  # what the weights in the server list mean
     resolution_ms: float = 1.0  # clock resolution
     az: int = 0  # zone of this instance: index in `zones`
-    ordinal: int = 0
+    ordinal: int = 0  # position of this instance among all instances, from 0
     n_instances: int = 1
     report: _Report = msgspec.field(default_factory=_Report)
     family_info: _Family = msgspec.field(default_factory=_Family)
@@ -122,7 +123,7 @@
 def parse(text: bytes) -> Site:
     """Parse the settings from JSON text."""
     try:
-        return _site(_decoder.decode(text))
+        return _to_site(_decoder.decode(text))
     except msgspec.DecodeError as error:  # includes ValidationError
         raise SettingsError(f"settings: {error}") from None
 
@@ -130,15 +131,15 @@
 def convert(value: object) -> Site:
     """Convert the settings from decoded JSON."""
     try:
-        return _site(msgspec.convert(value, _Config))
+        return _to_site(msgspec.convert(value, _Config))
     except msgspec.ValidationError as error:
         raise SettingsError(f"settings: {error}") from None
 
 
-def _site(config: _Config) -> Site:
+def _to_site(config: _Config) -> Site:
     bounds = config.bounds
     return Site(
-        decisions=_settings(config),
+        decisions=_to_settings(config),
         connect_timeout_ms=bounds.connect_timeout_ms,
         keepalive_ms=bounds.keepalive_ms,
         max_open=bounds.max_open,
@@ -150,7 +151,7 @@
     )
 
 
-def _check(config: _Config) -> None:
+def _check_numbers(config: _Config) -> None:
     """Reject impossible numbers here: used in a decision, they would cause an error far from its origin."""
     bounds, contract = config.bounds, config.contract
     non_negative = {
@@ -182,11 +183,11 @@
             raise SettingsError(f"settings: a streaming class cannot run in turn - at `{path}`")
 
 
-def _settings(config: _Config) -> Settings:
+def _to_settings(config: _Config) -> Settings:
     bounds, contract = config.bounds, config.contract
-    _check(config)
+    _check_numbers(config)
     return Settings(
-        classes=tuple(_request_class(index, grade) for index, grade in enumerate(config.grades)),
+        classes=tuple(_to_request_class(index, grade) for index, grade in enumerate(config.grades)),
         tenants=tuple(Tenant(customer.name, customer.portion) for customer in config.customers),
         zone=config.az,
         ordinal=config.ordinal,
@@ -212,7 +213,7 @@
     )
 
 
-def _request_class(index: int, grade: _Grade) -> RequestClass:
+def _to_request_class(index: int, grade: _Grade) -> RequestClass:
     effect, group = _EFFECTS.get(grade.effect), _GROUPS.get(grade.group)
     if effect is None:
         raise SettingsError(f"settings: unknown effect {grade.effect!r} - at `$.grades[{index}].effect`")
--- a/larkcrank/config/sidecar.py
+++ b/larkcrank/config/sidecar.py
@@ -54,11 +54,11 @@
     listen: str = ""
     discovery: list[str] | str = ""  # several: the others are used where the first does not answer
     watch_ms: int | None = None
-    seed: str = ""
+    seed: str = ""  # hexadecimal; empty: random
     limits: _Limits = msgspec.field(default_factory=_Limits)
-    known: msgspec.Raw = msgspec.Raw(b"")
-    kept: str = ""
-    ops: str = ""
+    known: msgspec.Raw = msgspec.Raw(b"")  # the last known server list
+    kept: str = ""  # path of the file for the learned state
+    ops: str = ""  # address for operators' calls
     fleet: _Fleet | None = None
 
 
@@ -153,7 +153,9 @@
     discovery_sources: list[list[str] | str] = [environment.get("PROXY_DISCOVERY") or "", file.discovery]
     if is_reload:
         discovery_sources.reverse()
-    discovery, *fallback_discovery = _addresses("discovery", discovery_sources[0] or discovery_sources[1])
+    discovery, *fallback_discovery = _parse_addresses(
+        "discovery", discovery_sources[0] or discovery_sources[1]
+    )
     if len({discovery, *fallback_discovery}) <= len(fallback_discovery):
         raise ConfigError("discovery: an address occurs twice")
     if fallback_discovery and file.fleet is not None and file.fleet.recovery is not None:
@@ -163,51 +165,53 @@
         raise ConfigError(f"watch_ms: {file.watch_ms} is not from {MIN_WATCH_MS} to {MAX_WATCH_MS}")
     return Config(
         name=environment.get("PROXY_NAME") or file.name or "larkcrank",
-        listen=_address("listen", environment.get("PROXY_LISTEN") or file.listen, lowest=0),
+        listen=_parse_address("listen", environment.get("PROXY_LISTEN") or file.listen, lowest=0),
         discovery=discovery,
         fallback_discovery=tuple(fallback_discovery),
         watch_ms=file.watch_ms,
-        seed=_seed(file.seed),
+        seed=_parse_seed(file.seed),
         sockets=file.limits.sockets,
         memory_mb=file.limits.memory_mb,
         max_body_bytes=int(file.limits.body_mb * (1 << 20)),
         initial_list=bytes(file.known),
-        ops=_address("ops", ops, lowest=0) if ops else None,
-        passed_descriptor=_descriptor(environment.get("PROXY_PASSED_SOCKET", "")),
-        fleet=_fleet(file.fleet),
+        ops=_parse_address("ops", ops, lowest=0) if ops else None,
+        passed_descriptor=_parse_descriptor(environment.get("PROXY_PASSED_SOCKET", "")),
+        fleet=_parse_fleet(file.fleet),
         learned_state_path=file.kept,
         site=site,
         settings=file.settings,
     )
 
 
-def _address(key: str, text: str, lowest: int = 1) -> tuple[str, int]:
+def _parse_address(key: str, text: str, lowest: int = 1) -> tuple[str, int]:
     try:
         return host_port(text, lowest)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
 
 
-def _addresses(key: str, value: list[str] | str) -> list[tuple[str, int]]:
+def _parse_addresses(key: str, value: list[str] | str) -> list[tuple[str, int]]:
     """One or more addresses, from a list or from one string separated by commas."""
     texts = [text.strip() for text in value.split(",")] if isinstance(value, str) else value
     if len(texts) < 2 and isinstance(value, str):
-        return [_address(key, value)]
-    return [_address(f"{key}[{index}]", text) for index, text in enumerate(texts)] or [_address(key, "")]
+        return [_parse_address(key, value)]
+    return [_parse_address(f"{key}[{index}]", text) for index, text in enumerate(texts)] or [
+        _parse_address(key, "")
+    ]
 
 
-def _fleet(section: _Fleet | None) -> FleetConfig | None:
+def _parse_fleet(section: _Fleet | None) -> FleetConfig | None:
     if section is None:
         return None
     if not section.name:
         raise ConfigError("fleet.name: empty")
-    public = section.public and "{}:{}".format(*_address("fleet.public", section.public))
+    public = section.public and "{}:{}".format(*_parse_address("fleet.public", section.public))
     seed_texts = section.seeds.split(",") if isinstance(section.seeds, str) else section.seeds
     seeds = tuple(
-        "{}:{}".format(*_address(f"fleet.seeds[{index}]", text.strip()))
+        "{}:{}".format(*_parse_address(f"fleet.seeds[{index}]", text.strip()))
         for index, text in enumerate(seed_texts)
     )
-    listen = _address("fleet.listen", section.listen, lowest=0)
+    listen = _parse_address("fleet.listen", section.listen, lowest=0)
     recovery_section = section.recovery
     recovery = (
         None
@@ -217,7 +221,7 @@
     return FleetConfig(section.name, listen, section.secret, public, seeds, recovery)
 
 
-def _descriptor(text: str) -> int | None:
+def _parse_descriptor(text: str) -> int | None:
     if not text:
         return None
     if not text.isascii() or not text.isdecimal() or len(text) > 9:
@@ -225,7 +229,7 @@
     return int(text)
 
 
-def _seed(text: str) -> int:
+def _parse_seed(text: str) -> int:
     if not text:
         return Random().getrandbits(64)
     try:
--- a/larkcrank/program/handover.py
+++ b/larkcrank/program/handover.py
@@ -35,7 +35,7 @@
     zones: list[str]
     kinds: list[str]
     places: dict[Address, tuple[str, int]]  # host and port of each server
-    learnt: HandoverState
+    learnt: HandoverState  # the learned state of the balancer
 
 
 class HandoverError(Exception):
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -35,10 +35,10 @@
 SHUTDOWN_ACCEPT_S = 0.55  # new connections keep arriving for up to 0.4 s after SIGTERM
 IDLE_CLOSE_DELAY_S = 0.4  # clients keep using their open connections for this long after SIGTERM
 MIN_IDLE_S = 0.2  # a client that was just answered may send its next request at any moment
-HANDOVER_CLOSE_DELAY_S = (
-    1.0  # with a successor, most clients move on a `Connection: close` answer before this
-)
-DISCOVERY_WAIT_S = 2.5  # limit on the wait for discovery where the predecessor does not answer
+# With a passed socket, idle connections are kept for this long after SIGTERM. Most clients leave earlier, as
+# their next answer carries `Connection: close`, and reconnect to the successor.
+HANDOVER_CLOSE_DELAY_S = 1.0
+DISCOVERY_WAIT_S = 2.5  # limit on the wait for discovery where the predecessor's message is unusable
 MAX_DEADLINE_WAIT_MS = 3000.0  # at shutdown the platform waits for the longest deadline, up to this limit
 ANSWER_MARGIN_MS = 500.0  # after that wait; no request may be open then, 0.7 s before the platform kills
 ABORT_MARGIN_MS = 650.0  # after that wait; connections that are still reading or writing are aborted
@@ -46,6 +46,8 @@
 
 
 class Sidecar:
+    """One sidecar process: connects its parts, and runs its start, reloads and shutdown."""
+
     def __init__(
         self,
         config: Config,
@@ -151,8 +153,8 @@
         """Start serving as soon as a sufficiently current server list is available.
 
         A process that already serves hands over its server list and its learned state. If such a process
-        exists but does not answer, this one waits for discovery, for a limited time: a slow discovery service
-        must not keep the sidecar from serving.
+        exists but its message is missing or unusable, this one waits for discovery, for a limited time: a
+        slow discovery service must not keep the sidecar from serving.
         """
         if not self._listener.is_passed:
             self.start_without_handover()
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -80,9 +80,8 @@
             first_chunk = await client.reader.readuntil(b"x\r\n")
             assert first_chunk.startswith(b"HTTP/1.1 200")
             await bed.sidecar.shut_down()
-            with pytest.raises(
-                ConnectionResetError
-            ):  # a reset, so the response is not mistaken for a complete one
+            # A reset, so that the response cannot be mistaken for a complete one.
+            with pytest.raises(ConnectionResetError):
                 while await client.reader.read(65536):
                     pass
             assert bed.sidecar.clients.open == 0 and bed.sidecar._servers.under_way == 0
@@ -91,8 +90,10 @@
 
 
 def test_shutdown_while_reading_from_the_predecessor(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The start must end before resources are closed, or what it set up stays open. Two requests to shut down
-    have the same effect as one."""
+    """The start must end before resources are closed, or what it set up stays open.
+
+    Two requests to shut down have the same effect as one.
+    """
     monkeypatch.setattr(handover, "PREDECESSOR_TIMEOUT_S", 3600.0)
     monkeypatch.setattr(tempfile, "tempdir", str(tmp_path))
 
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -41,19 +41,20 @@
 
 
 def test_phase_is_correct_for_any_order_of_calls() -> None:
-    life = Life()
-    assert (life.phase.value, life.is_ready, life.sends_away) == ("starting", False, False)
-    assert life.drain() and life.phase.value == "starting"  # takes effect once the start is complete
-    life.start()
-    assert life.phase.value == "draining" and life.sends_away and not life.is_ready
-    assert life.drain() and life.phase.value == "draining"
-    assert life.rejoin() and life.rejoin() and life.is_ready
-    life.drain()
-    life.end(5.0)
-    assert (life.phase, life.sends_away, life.latest) == (Phase.ENDING, True, 5.0)
-    assert not life.rejoin()  # a shutdown cannot be revoked
-    assert life.drain()
-    assert (life.phase, life.sends_away) == (Phase.ENDING, True)
+    lifecycle = Life()
+    assert (lifecycle.phase.value, lifecycle.is_ready, lifecycle.sends_away) == ("starting", False, False)
+    # A drain during the start takes effect once the start is complete.
+    assert lifecycle.drain() and lifecycle.phase.value == "starting"
+    lifecycle.start()
+    assert lifecycle.phase.value == "draining" and lifecycle.sends_away and not lifecycle.is_ready
+    assert lifecycle.drain() and lifecycle.phase.value == "draining"
+    assert lifecycle.rejoin() and lifecycle.rejoin() and lifecycle.is_ready
+    lifecycle.drain()
+    lifecycle.end(5.0)
+    assert (lifecycle.phase, lifecycle.sends_away, lifecycle.latest) == (Phase.ENDING, True, 5.0)
+    assert not lifecycle.rejoin()  # a shutdown cannot be revoked
+    assert lifecycle.drain()
+    assert (lifecycle.phase, lifecycle.sends_away) == (Phase.ENDING, True)
 
 
 def test_operators_have_reserved_descriptors() -> None:
