--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -168,15 +168,15 @@
     """Search simulated fleets (worlds) for one whose view does not converge. Exit code 1: found."""
     from larkcrank.lab import worlds
 
-    log, worlds_done, findings = _configure_log(), 0, 0
-    for worlds_done, found in worlds.hunt(range(first, first + seeds), depth, jobs):
-        findings += len(found)
-        for finding in found:
+    log, worlds_done, finding_count = _configure_log(), 0, 0
+    for worlds_done, new_findings in worlds.hunt(range(first, first + seeds), depth, jobs):
+        finding_count += len(new_findings)
+        for finding in new_findings:
             log.error("finding", world=finding.world, what=finding.what)
         if worlds_done % PROGRESS_INTERVAL_WORLDS == 0:
-            log.info("progress", played=worlds_done, found=findings)
-    click.echo(f"{worlds_done} worlds, {findings} findings")
-    sys.exit(1 if findings else 0)
+            log.info("progress", played=worlds_done, found=finding_count)
+    click.echo(f"{worlds_done} worlds, {finding_count} findings")
+    sys.exit(1 if finding_count else 0)
 
 
 @fleet.command("settling")
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -264,15 +264,15 @@
 
     # The snapshot
 
-    def initial_list(self, configured: Listing | None) -> Listing | None:
-        """Read the snapshot, and return the newer of its list and `configured`.
+    def initial_list(self, listing: Listing | None) -> Listing | None:
+        """Read the snapshot, and return the newer of its list and the configured `listing`.
 
         Also keeps the snapshot's member addresses and removed servers.
         """
-        found = self._read_snapshot()
-        if found is not None:
-            since_save_ms = max(self._clock() - found.saved_at_ms, 0.0)
-            self.previous_members = found.places[: snapshot.FELLOWS_MOST]
+        loaded = self._read_snapshot()
+        if loaded is not None:
+            since_save_ms = max(self._clock() - loaded.saved_at_ms, 0.0)
+            self.previous_members = loaded.places[: snapshot.FELLOWS_MOST]
             now = self._clock()
             self._gone = {
                 server.name: (
@@ -280,28 +280,28 @@
                     State(server.state),
                     now - server.age_ms - since_save_ms,
                 )
-                for server in found.gone
+                for server in loaded.gone
             }
-            if found.generation >= 0 and (configured is None or found.generation > configured.generation):
-                age_ms = found.list_age_ms + since_save_ms if found.list_age_ms >= 0.0 else -1.0
-                configured = self._listing_of(found.generation, True, found.lines)
-                self._initial_list = found.lines, found.generation, age_ms
-                return configured
-        if configured is not None:
-            self._initial_list = self._lines_of(configured), configured.generation, -1.0
-        return configured
+            if loaded.generation >= 0 and (listing is None or loaded.generation > listing.generation):
+                age_ms = loaded.list_age_ms + since_save_ms if loaded.list_age_ms >= 0.0 else -1.0
+                listing = self._listing_of(loaded.generation, True, loaded.lines)
+                self._initial_list = loaded.lines, loaded.generation, age_ms
+                return listing
+        if listing is not None:
+            self._initial_list = self._lines_of(listing), listing.generation, -1.0
+        return listing
 
     def _read_snapshot(self) -> snapshot.Snapshot | None:
         if not self._recovery_config.snapshot:
             return None
         path = Path(self._recovery_config.snapshot)
         try:
-            found = snapshot.read(path, self._fleet_name, self._config.name, self._clock())
+            loaded = snapshot.read(path, self._fleet_name, self._config.name, self._clock())
         except snapshot.SnapshotError as error:
             self._log.event("snapshot_unusable", why=error.why, message=str(error))
             return None
-        self._log.event("snapshot_taken", generation=found.generation, servers=len(found.lines))
-        return found
+        self._log.event("snapshot_taken", generation=loaded.generation, servers=len(loaded.lines))
+        return loaded
 
     def _save(self, now: float) -> None:
         """Write a snapshot if its content has changed, in a thread: a slow disk must not block the loop."""
