--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -235,7 +235,7 @@
             try:
                 await feed.run()
             except Exception as error:
-                self.log.failure(f"feed {feed.name}", error)
+                self.log.log_exception(f"feed {feed.name}", error)
                 await asyncio.sleep(1.0)
 
     # Answers from sources and the parent.
@@ -593,7 +593,7 @@
             try:
                 self._check_once()
             except Exception as error:
-                self.log.failure("look", error)
+                self.log.log_exception("look", error)
 
     def _check_once(self) -> None:
         """Apply timeouts, and update and log completeness, propagation, isolation and freshness."""
@@ -808,7 +808,7 @@
             try:
                 self._reply(*self._tier.operator_call(line.removesuffix(b"\r").decode("ascii", "replace")))
             except Exception as error:
-                self._tier.log.failure("operators' call", error)
+                self._tier.log.log_exception("operators' call", error)
                 self.abort()
 
     def _reply(self, succeeded: bool, text: str) -> None:
@@ -862,7 +862,7 @@
         Log("tier").event("bad_configuration", message=str(error))
         return 2
     log = Log(config.name)
-    log.take_over()
+    log.capture_library_logs()
     try:
         asyncio.run(_run(config, log))
     except OSError as error:
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -33,9 +33,9 @@
             await crossing.open_pooled_connection(bed, client)
             balancer = crossing.ManualBalancer(bed)
             if phase == "draining":
-                bed.sidecar.life.drain()
+                bed.sidecar.lifecycle.drain()
             if phase == "ending":
-                bed.sidecar.life.begin_shutdown(bed.sidecar._clock() + 8000.0)
+                bed.sidecar.lifecycle.begin_shutdown(bed.sidecar._clock() + 8000.0)
             crossing.send_request(client, kind)
             request_id = await balancer.wait_for_request()
             await asyncio.sleep(0)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -13,7 +13,7 @@
 from larkcrank.core import interface as api
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
-from larkcrank.program.log import MOST_A_SECOND, Log
+from larkcrank.program.log import MAX_LINES_PER_SECOND, Log
 from larkcrank.protocol import http1, platform
 from larkcrank.protocol.discovery import Listing, Names
 from larkcrank.routing.discovery import DiscoveryClient
@@ -78,10 +78,25 @@
         descriptors = Descriptors(256)
         self.pool = Pool(descriptors, 60000.0)
         self.attempt_executor = AttemptExecutor(
-            self.pool, descriptors, 250.0, (), 65536, Budget(1 << 26), self.clock, self.counters, log.failure
+            self.pool,
+            descriptors,
+            250.0,
+            (),
+            65536,
+            Budget(1 << 26),
+            self.clock,
+            self.counters,
+            log.log_exception,
         )
         discovery = DiscoveryClient(
-            ("127.0.0.1", 1), descriptors, Names([], []), 250.0, False, Random(1), self.counters, log.failure
+            ("127.0.0.1", 1),
+            descriptors,
+            Names([], []),
+            250.0,
+            False,
+            Random(1),
+            self.counters,
+            log.log_exception,
         )
         self.driver = Driver(
             self.balancer, self.clock, self.attempt_executor, discovery, 100, 20.0, self.counters, log
@@ -486,10 +501,10 @@
 def test_log_limits_lines_per_second() -> None:
     log_output = io.BytesIO()
     log = Log("n0", log_output)
-    for _ in range(5 * MOST_A_SECOND):
+    for _ in range(5 * MAX_LINES_PER_SECOND):
         log.event("same")
     lines = [json.loads(line) for line in log_output.getvalue().splitlines()]
-    assert len(lines) < 5 * MOST_A_SECOND and all(line["sidecar"] == "n0" for line in lines)
+    assert len(lines) < 5 * MAX_LINES_PER_SECOND and all(line["sidecar"] == "n0" for line in lines)
 
 
 def test_clock_follows_unix_time_and_never_runs_backwards(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -513,14 +528,14 @@
         now_s = 50.0
         monkeypatch.setattr("larkcrank.program.clock.time.monotonic", lambda: now_s)
         clock = Clock()
-        clock.beat()
+        clock.start_heartbeat()
         started_at = clock()
         now_s += 0.03  # The loop is slightly late, which is usual.
-        assert clock.earliest() == clock() == started_at + 30.0
+        assert clock.earliest_arrival() == clock() == started_at + 30.0
         now_s += 0.5  # The process got no CPU time.
-        assert clock.earliest() == started_at
-        clock.beat()
-        assert clock.earliest() == clock()
+        assert clock.earliest_arrival() == started_at
+        clock.start_heartbeat()
+        assert clock.earliest_arrival() == clock()
 
     testbed.run(scenario())
 
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -250,12 +250,12 @@
 
 def test_configuration_takes_several_discovery_addresses_and_the_watch_wait() -> None:
     single = parse_config(discovery="127.0.0.1:1")
-    assert (single.discovery, single.elsewhere, single.watch_ms) == (("127.0.0.1", 1), (), None)
+    assert (single.discovery, single.fallback_discovery, single.watch_ms) == (("127.0.0.1", 1), (), None)
     notations: tuple[Any, ...] = (["127.0.0.1:1", "127.0.0.1:2"], "127.0.0.1:1, 127.0.0.1:2")
     for addresses in notations:
         double = parse_config(discovery=addresses, watch_ms=1500)
-        assert double.discovery == ("127.0.0.1", 1) and double.elsewhere == (("127.0.0.1", 2),)
-        assert double.watch_ms == 1500 and "watch_ms" in single.fixed_changes(double)
+        assert double.discovery == ("127.0.0.1", 1) and double.fallback_discovery == (("127.0.0.1", 2),)
+        assert double.watch_ms == 1500 and "watch_ms" in single.changes_needing_restart(double)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -311,7 +311,7 @@
 
     def _sidecar(self, index: int) -> Sidecar:
         def read_config() -> config.Config:
-            return config.parse(json.dumps(self.config_files[index]).encode(), {}, again=True)
+            return config.parse(json.dumps(self.config_files[index]).encode(), {}, is_reload=True)
 
         sidecar = Sidecar(read_config(), Log(f"n{index}", io.BytesIO()), read_config)
         self.record_drains(index, sidecar)
@@ -361,7 +361,7 @@
     sidecar_fleet = SidecarFleet(discovery_server, count, fleet_mode, seed)
     try:
         for sidecar in sidecar_fleet.sidecars:
-            sidecar.start()
+            sidecar.start_without_handover()
         async with asyncio.timeout(TEST_TIMEOUT_S):
             yield sidecar_fleet, discovery_server
     finally:
@@ -501,13 +501,15 @@
         await discovery_server.start()
         old_fleet = SidecarFleet(discovery_server, SIDECAR_COUNT, fleet_mode, 1)
         for sidecar in old_fleet.sidecars:
-            sidecar.start()
+            sidecar.start_without_handover()
         await asyncio.sleep(SETTLE_S)
         await discovery_server.fail("hang")
         new_fleet = SidecarFleet(discovery_server, SIDECAR_COUNT, fleet_mode, 2)
         for old_sidecar, new_sidecar in zip(old_fleet.sidecars, new_fleet.sidecars, strict=True):
-            body = old_sidecar._told()[handover._HEAD.size :]
-            new_sidecar._learn_list(handover.decode(body, new_sidecar._config.name, new_sidecar._marks()))
+            body = old_sidecar._handover_message()[handover._HEADER.size :]
+            new_sidecar._load_initial_servers(
+                handover.decode(body, new_sidecar._config.name, new_sidecar._settings_key())
+            )
         old_fleet.close()
         await asyncio.sleep(12.0)
         discovery_server.drain()
