--- a/larkcrank/fleet/asking.py
+++ b/larkcrank/fleet/asking.py
@@ -1,6 +1,7 @@
-"""Who asks discovery while nobody knows what it holds: a few, in turns; the others have it from them. No I/O.
+"""Limits the calls to discovery after a failure: a few members call it in turns, and share the list. No I/O.
 
-Times are milliseconds on the caller's clock, in Unix time: turns are told from it, as far as clocks agree.
+Times are milliseconds of Unix time on the caller's clock. The turns are derived from it, so members agree on
+them as far as their clocks do.
 """
 
 import math
@@ -8,77 +9,96 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-# One asks at a time; after so long it is the next one's turn, be this one dead, cut off or failing. At
-# 2 s the first was told 1.5 to 2 s after discovery was back, and the fleet stood by the old list as long.
+# One member may call per turn; a member that is dead, partitioned or failing loses only its turn. With turns
+# of 2 s, the first member had the list 1.5 to 2 s after discovery was back, and the fleet used the old list
+# for as long.
 TURN_MS = 1000.0
-WATCHERS = 2  # so many watch as soon as a list is known ...
-WATCHERS_SHARE = 0.1  # ... or this share of the fleet
-CALM_MS = 30_000.0  # the others watch again after so long ...
-EACH_MS = 150.0  # ... spread by so much a member
-MEET_MS = 1000.0  # until then all but the first wait to meet others: turns go by who lives
-ALONE_MS = 5000.0  # who has met nobody by then asks as if it were alone
-ALONE_TURNS = 2  # from a call that failed to the next of one that asks alone: many may be alone at once
-KNOWN_MS = 20_000.0  # a list that discovery told to a fellow so lately needs no call of ours
+MIN_EARLY_WATCHERS = 2  # members that watch discovery as soon as a list is known ...
+EARLY_WATCHER_SHARE = 0.1  # ... or this share of the fleet, if that is more
+WATCH_DELAY_MS = 30_000.0  # the other members watch again after this delay ...
+WATCH_SPREAD_PER_MEMBER_MS = 150.0  # ... plus a random delay of up to this value times the fleet's size
+FIRST_CONTACT_WAIT_MS = 1000.0  # until then only ordinal 0 calls without peers, since turns need live members
+ALONE_MS = 5000.0  # a member without contact for this long calls as if it were the only one
+ALONE_RETRY_TURNS = 2  # turns between calls of a member that is alone; many may be alone at once
+REPORT_MAX_AGE_MS = 20_000.0  # a list that discovery reported to a peer this recently makes a call needless
 
 
 @lru_cache(maxsize=4096)
-def turn_of(name: str) -> bytes:
+def turn_order_key(name: str) -> bytes:
     return blake2b(name.encode(), digest_size=8, person=b"asking").digest()
 
 
-class Asking:
-    """One member's leave to call discovery. In ordinary times everyone has it."""
+class DiscoveryCallGate:
+    """Decides whether one member may call discovery. In normal operation, every member may."""
 
-    def __init__(self, name: str, count: int, ordinal: int, now: float, draw: float) -> None:
-        """`count` and `ordinal` as configured: they count until others are met. `draw` is from 0 to 1."""
-        self.is_over = False  # the recovery, for this member
-        self._name, self._count, self._ordinal = name, max(count, 1), ordinal
-        self._began, self._draw = now, draw
-        self._alone_at = now + ALONE_MS  # once it has looked for others so long, it need not after a failure
-        self._known_at = math.inf
-        self._fails_since = -math.inf
-        self._failed_turn = -ALONE_TURNS  # one call a turn
+    def __init__(self, name: str, count: int, ordinal: int, now: float, random_share: float) -> None:
+        """`count` and `ordinal` are configured and apply until peers are met; `random_share` is in [0, 1]."""
+        self.is_unrestricted = False
+        self._name, self._configured_count, self._configured_ordinal = name, max(count, 1), ordinal
+        self._started_at, self._random_share = now, random_share
+        self._alone_at = now + ALONE_MS  # counted from the start only, not again after a failure
+        self._list_known_at = math.inf
+        self._failing_since = -math.inf
+        self._last_failed_turn = -ALONE_RETRY_TURNS  # at most one call per turn
 
-    def failed(self, now: float) -> None:
-        """A call failed: discovery is down, or we are cut off from it. Everyone's next call goes by turns."""
-        if self.is_over:
-            self.is_over, self._began = False, now
-        if self._fails_since == -math.inf:
-            self._fails_since, self._known_at = now, math.inf
-        self._failed_turn = self._turn(now)
+    def on_failure(self, now: float) -> None:
+        """Handle a failed call: discovery is down or unreachable, so the next calls are made in turns."""
+        if self.is_unrestricted:
+            self.is_unrestricted, self._started_at = False, now
+        if self._failing_since == -math.inf:
+            self._failing_since, self._list_known_at = now, math.inf
+        self._last_failed_turn = self._turn_at(now)
 
-    def heard(self) -> None:
-        """Discovery itself has answered us."""
-        self.is_over, self._fails_since = True, -math.inf
+    def on_success(self) -> None:
+        """Handle an answer of discovery to this member."""
+        self.is_unrestricted, self._failing_since = True, -math.inf
 
-    def may(self, now: float, live: Collection[str], told_at: float, lonely: bool = False) -> bool:
-        """Whether to call now.
+    def may_call(
+        self, now: float, live_names: Collection[str], list_reported_at: float, is_isolated: bool = False
+    ) -> bool:
+        """Return whether to call discovery now.
 
-        `told_at`: when discovery told the list held to whoever had it first. `lonely`: those who count as
-        live do not answer, so that most turns may be nobody's and no list comes from fellows.
+        `list_reported_at`: when discovery reported the list in use to the first member that received it.
+        `is_isolated`: members that count as live do not answer. Then most turns may belong to dead members,
+        and no list arrives from peers.
         """
-        if self.is_over:
+        if self.is_unrestricted:
             return True
-        if self._turn(now) == self._failed_turn:
+        if self._turn_at(now) == self._last_failed_turn:
             return False
-        met = len(live) > 1
-        if lonely or (not met and (now >= self._alone_at or self._count == 1)):
-            return self._turn(now) >= self._failed_turn + ALONE_TURNS
-        if not met and now < self._began + MEET_MS:
-            return self._ordinal % self._count == 0  # one at once: it may be that nobody has a list at all
-        place, count = self._place(live) if met else (self._ordinal % self._count, self._count)
-        if self._fails_since < told_at and now < told_at + KNOWN_MS:  # before that it tells nothing of now
-            self._known_at = min(self._known_at, now)
-        if self._known_at < math.inf:
-            watchers = max(WATCHERS, math.ceil(WATCHERS_SHARE * count))
-            return place < watchers or now >= self._known_at + CALM_MS + self._draw * EACH_MS * count
-        return self._turn(now) % count == place
+        has_peers = len(live_names) > 1
+        if is_isolated or (not has_peers and (now >= self._alone_at or self._configured_count == 1)):
+            return self._turn_at(now) >= self._last_failed_turn + ALONE_RETRY_TURNS
+        if not has_peers and now < self._started_at + FIRST_CONTACT_WAIT_MS:
+            # One member calls at once, since possibly no member has a list.
+            return self._configured_ordinal % self._configured_count == 0
+        position, count = (
+            self._turn_position(live_names)
+            if has_peers
+            else (self._configured_ordinal % self._configured_count, self._configured_count)
+        )
+        # A report from before the failure does not show that discovery is up again.
+        if self._failing_since < list_reported_at and now < list_reported_at + REPORT_MAX_AGE_MS:
+            self._list_known_at = min(self._list_known_at, now)
+        if self._list_known_at < math.inf:
+            early_watchers = max(MIN_EARLY_WATCHERS, math.ceil(EARLY_WATCHER_SHARE * count))
+            return (
+                position < early_watchers
+                or now
+                >= self._list_known_at
+                + WATCH_DELAY_MS
+                + self._random_share * WATCH_SPREAD_PER_MEMBER_MS * count
+            )
+        return self._turn_at(now) % count == position
 
     @staticmethod
-    def _turn(now: float) -> int:
-        """The same for all: counted from each one's own failure, they left gaps of many turns."""
+    def _turn_at(now: float) -> int:
+        """Return the number of the current turn, which is the same for all members.
+
+        Turns counted from each member's own failure left gaps of many turns.
+        """
         return int(now / TURN_MS)
 
-    def _place(self, live: Collection[str]) -> tuple[int, int]:
-        mine = turn_of(self._name)
-        return sum(turn_of(other) < mine for other in live), len(live)
+    def _turn_position(self, live_names: Collection[str]) -> tuple[int, int]:
+        own_key = turn_order_key(self._name)
+        return sum(turn_order_key(other) < own_key for other in live_names), len(live_names)
--- a/larkcrank/fleet/lists.py
+++ b/larkcrank/fleet/lists.py
@@ -1,21 +1,23 @@
-"""The server list as the sidecars have it together: who knows a newer one tells it. No I/O.
-
-Which list counts, in this order: one that discovery told to somebody before one from before a restart; a
-later epoch (discovery began its count anew); a higher generation. Discovery's own word replaces what fellows
-told.
-
-What fellows say is bounded, so that one that lies or lags does little harm:
-- A server that is known to drain or to be gone stays so within its life (its start time).
-- A list that takes away more than half of the ready servers needs two fellows that had it from discovery
-  itself; until then the servers of both count, and failing ones are found out by their answers.
-- A list whose age is over TRUST_MS is not taken, nor told as anything but one from before.
-- An empty list is not taken from fellows at all.
-- That discovery began its count anew is believed when two members heard so from it and nobody heard otherwise
-  of late.
-- Places are one's own, unless the operator says that they are the same for all. Without, a server that one
-  cannot place, or that lives at another place now, gets nothing.
-
-Times are milliseconds on the caller's clock; between members only ages travel, so no clocks have to agree.
+"""The server list as shared between the sidecars: whoever holds a newer one passes it on. No I/O.
+
+Lists are ordered as follows: a list that discovery reported to some member is newer than one from before a
+restart; then a higher epoch is newer (discovery restarted its generation count); then a higher generation.
+A list that this member receives from discovery itself replaces what it got from peers.
+
+What peers send is trusted within limits, so that a peer that is wrong or lags does little harm:
+- A server that is known to drain or to be gone stays so until it is started again with a later start time.
+- A list that removes more than half of the ready servers must be confirmed by two peers that received it from
+  discovery itself. Until then the servers of both lists are used; failing ones are detected by their answers.
+- A list that is older than MAX_PEER_LIST_AGE_MS is not adopted, and is offered only as one from before a
+  restart.
+- An empty list is never adopted from peers.
+- Discovery is considered to have restarted its generation count once two members received the lower count
+  from it and no member recently received another.
+- Server addresses (host:port) are each member's own, unless the operator declares them the same for all. If
+  they are not, a server whose address is unknown here, or that was restarted at another address, gets no
+  requests.
+
+Times are milliseconds on the caller's clock. Messages contain ages only, so the clocks need not agree.
 """
 
 import math
@@ -28,424 +30,539 @@
 
 from larkcrank.core.interface import State
 from larkcrank.fleet import trust
-from larkcrank.fleet.membership import Membership, Out
-from larkcrank.fleet.wire import MOST_BYTES, SEAL_BYTES, Have, Line, ListMessage, Piece, Want, size_of
-
-TELL_MS = 1000.0  # between two tellings of what one holds, to one member
-TELL_NEW = 3  # members that are told at once of a newer list
-TRUST_MS = trust.LIST.fellows_ms  # since discovery told a list: a fellow's is taken for so long
-FRESH_MS = 20_000.0  # discovery's own word of so long ago still says how it counts
-ANEW_MS = 30_000.0  # it is alone in hearing discovery, and that goes on counting lower: it began anew
-GONE_MS = trust.GONE.before_ms  # a server that went is remembered for so long ...
-GONE_MOST = 1024  # ... and so many are
-SAID_MOST = 16  # lists that fellows were heard to hold
-WANT_MS = 200.0  # without a piece it is wanted once more ...
-WANTS = 8  # ... so often; then whoever tells us next is asked
-DOUBT_MS = 300.0  # while one fellow is not believed, others are asked what they hold so often ...
-DOUBTS_MS = 3000.0  # ... for so long: if nobody vouches for it by then, it is as good as alone
-LINES_MOST = 4096  # of a list that is taken from fellows
-PIECE_BYTES = MOST_BYTES - SEAL_BYTES - 1 - 60
-HALF = 0.5
-SECOND = 2  # fellows that have to hold the same where one is not believed
-
-Key = tuple[bool, int, int]
+from larkcrank.fleet.membership import Membership, OutgoingMessage
+from larkcrank.fleet.wire import (
+    MAC_BYTES,
+    MAX_DATAGRAM_BYTES,
+    ListChunk,
+    ListMessage,
+    ListRequest,
+    ListStatus,
+    ServerEntry,
+    encoded_size,
+)
+
+STATUS_INTERVAL_MS = 1000.0  # between status messages, each to one member
+NEW_LIST_FANOUT = 3  # members that are told at once of a newer list
+MAX_PEER_LIST_AGE_MS = trust.SERVER_LIST.peer_max_age_ms  # since discovery reported the list
+DISCOVERY_REPORT_MAX_AGE_MS = 20_000.0  # an older answer of discovery says nothing about its present count
+# If a single member receives lower generations from discovery for this long, the count was restarted.
+COUNT_RESTART_CONFIRM_MS = 30_000.0
+DEPARTED_RETENTION_MS = trust.DEPARTED_SERVERS.restart_max_age_ms  # how long departed servers are remembered
+MAX_DEPARTED_SERVERS = 1024
+MAX_CONFIRMED_LISTS = 16  # lists for which it is remembered which peers hold them
+REQUEST_TIMEOUT_MS = 200.0
+MAX_REQUEST_ATTEMPTS = 8  # then the next peer that offers the list is asked
+CONFIRMATION_INTERVAL_MS = 300.0  # between status messages while a list needs confirmation by a second peer
+CONFIRMATION_TIMEOUT_MS = 3000.0  # after this, the search for a second peer stops
+MAX_LIST_ENTRIES = 4096  # of a list from peers
+MAX_CHUNK_BYTES = MAX_DATAGRAM_BYTES - MAC_BYTES - 1 - 60
+MAX_UNCONFIRMED_REMOVAL_SHARE = 0.5  # of the ready servers, that one peer's list may remove
+REQUIRED_CONFIRMATIONS = 2  # peers that must hold the same list where one is not enough
+CHUNK_OVERHEAD_BYTES = 8
+STATUS_PADDING_BYTES = 24  # reserves room for an answer whose values take more bytes
+
+ListRank = tuple[bool, int, int]
 
 
 @dataclass(slots=True, frozen=True)
-class Told:
-    """What the sidecar goes by from now on: whole, in place of what it had."""
+class ListUpdate:
+    """A complete list that replaces the one that the sidecar uses."""
 
     generation: int
-    lines: tuple[Line, ...]
-    by: str  # the fellow that it is from
+    entries: tuple[ServerEntry, ...]
+    source: str  # name of the peer that it came from; empty: discovery
 
 
 @dataclass(slots=True)
-class _Held:
+class _ListVersion:
     epoch: int = 0
     generation: int = -1
-    told_at: float = -math.inf  # when discovery told it to whoever had it first; -inf: from before
+    reported_at: float = -math.inf  # when discovery reported it to any member; -inf: from before a restart
 
 
 @dataclass(slots=True)
-class _Fetch:
-    """A list on its way, piece by piece."""
-
-    name: str
-    place: str
-    key: tuple[int, int, int]  # epoch, generation, mark
-    asked_at: float
-    told_at: float
-    tries: int = 0
-    lines: list[Line] = field(default_factory=list)
-
-
-def mark_of(lines: Iterable[Line], with_places: bool) -> int:
-    """Of what a list says, in any order."""
-    whole = 0
-    for line in lines:
-        text = msgspec.msgpack.encode(line if with_places else msgspec.structs.replace(line, place=""))
-        whole ^= int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
-    return whole
-
-
-class Lists:
-    """One member's list, and what it knows of the others'."""
-
-    def __init__(self, fellows: Membership, same_places: bool, rng: Random, now: float) -> None:
-        self.lines: dict[str, Line] = {}  # what this member goes by
-        self.taken = 0  # lists that came from fellows
-        self.refused: dict[str, int] = {}  # what fellows said that was not gone by, by reason
-        self.up: dict[str, float] = {}  # by fellow: since when its process runs
-        self._fellows, self._same, self._rng = fellows, same_places, rng
-        self._began = self._now = now
-        self._held = _Held()
-        self._shared: dict[str, Line] = {}  # the list as discovery told it to whoever had it first ...
-        self._mark = 0  # ... and its mark
-        self._direct = -1  # the generation that discovery itself told last ...
+class _Transfer:
+    """A list that is being received in chunks."""
+
+    peer: str
+    address: str
+    list_id: tuple[int, int, int]  # epoch, generation, hash
+    requested_at: float
+    reported_at: float
+    failed_attempts: int = 0
+    entries: list[ServerEntry] = field(default_factory=list)
+
+
+def list_hash(entries: Iterable[ServerEntry], with_addresses: bool) -> int:
+    """Return a hash of a list that does not depend on the order of its entries."""
+    combined = 0
+    for entry in entries:
+        text = msgspec.msgpack.encode(
+            entry if with_addresses else msgspec.structs.replace(entry, host_port="")
+        )
+        combined ^= int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
+    return combined
+
+
+class SharedServerList:
+    """One member's server list, and what it knows about the lists of its peers."""
+
+    def __init__(self, membership: Membership, same_addresses: bool, rng: Random, now: float) -> None:
+        """`same_addresses`: all members reach a server at the same host:port."""
+        self.entries: dict[str, ServerEntry] = {}  # the servers in use, by name
+        self.adopted_count = 0  # lists adopted from peers
+        self.rejected_counts: dict[str, int] = {}  # what was not accepted from peers, by reason
+        self.peer_started_at: dict[str, float] = {}  # when each peer's process started
+        self._membership, self._same_addresses, self._rng = membership, same_addresses, rng
+        self._started_at = self._now = now
+        self._version = _ListVersion()
+        # The list as discovery reported it, with the addresses of the member that received it, and its hash.
+        self._shared_entries: dict[str, ServerEntry] = {}
+        self._hash = 0
+        self._direct_generation = -1  # last generation that discovery itself reported here, ...
         self._direct_at = -math.inf  # ... and when
-        self._lower_since: float | None = None  # since when discovery counts lower than what is held
-        self._lower: tuple[int, dict[str, Line]] | None = None  # what it tells then
-        self._gone: dict[str, tuple[float, State, float]] = {}  # start time, drains or gone, since when known
-        self._said: dict[tuple[int, int, int], dict[str, float]] = {}  # list: who holds it, heard when
-        self._reports: dict[str, tuple[int, float]] = {}  # what discovery told a fellow, and when
-        self._partial: tuple[tuple[int, int, int], Told] | None = None  # taken but for what it takes away
-        self._sure = self._held, self._mark  # the list before that, which others are told of meanwhile
-        self._ready: Told | None = None
-        self._is_news = False
-        self._fetch: _Fetch | None = None
-        self._tell_at = now
-        self._asks_until = -math.inf  # a second fellow's word is looked for
-        fellows.on_list = self.receive
-
-    # What the owner reads
+        self._lower_since: float | None = None  # since when discovery reports lower generations than ours
+        self._lower_list: tuple[int, dict[str, ServerEntry]] | None = (
+            None  # the generation and list it reports
+        )
+        # Servers that drain or are gone, by name: start time, state, and when this became known.
+        self._departed: dict[str, tuple[float, State, float]] = {}
+        # By list ID (epoch, generation, hash): the peers that got it from discovery, and when they said so.
+        self._confirmations: dict[tuple[int, int, int], dict[str, float]] = {}
+        # For each peer: the generation that discovery last reported to it, and when.
+        self._peer_reports: dict[str, tuple[int, float]] = {}
+        # The ID and content of a list that was adopted without its removals, which need confirmation, ...
+        self._unconfirmed: tuple[tuple[int, int, int], ListUpdate] | None = None
+        self._confirmed_version = (
+            self._version,
+            self._hash,
+        )  # ... and the list before, offered to peers meanwhile
+        self._pending_update: ListUpdate | None = None
+        self._announce_soon = False
+        self._transfer: _Transfer | None = None
+        self._next_status_at = now
+        self._seek_confirmation_until = -math.inf
+        membership.on_list_message = self.receive
+
+    # Queries
 
     @property
     def generation(self) -> int:
-        return self._held.generation
+        return self._version.generation
 
     @property
-    def is_told(self) -> bool:
-        """Whether discovery told it since this process began, be it to a fellow."""
-        return self._held.told_at > -math.inf
+    def is_reported(self) -> bool:
+        """Whether discovery reported the list to this member or a peer, after this process started."""
+        return self._version.reported_at > -math.inf
 
     @property
-    def told_at(self) -> float:
-        """When discovery told it to whoever had it first; -inf: from before."""
-        return self._held.told_at
+    def reported_at(self) -> float:
+        """When discovery reported the list to the first member that received it; -inf: before a restart."""
+        return self._version.reported_at
 
     # Events
 
-    def begin(self, lines: Iterable[Line], generation: int, age_ms: float = math.inf) -> None:
-        """With the list of before; older than TRUST_MS, or of no known age, it counts among such ones."""
-        named = {line.name: line for line in lines}
-        told_at = self._now - age_ms if age_ms <= TRUST_MS else -math.inf
-        self._hold(named, named, _Held(0, generation, told_at))
-
-    def remember_gone(self, gone: dict[str, tuple[float, State, float]]) -> None:
-        """Servers that had gone or drained before a restart."""
-        self._gone |= gone
-
-    def gone(self) -> dict[str, tuple[float, State, float]]:
-        return dict(self._gone)
-
-    def heard(self, now: float, lines: Iterable[Line], generation: int, whole: bool) -> list[Line]:
-        """Discovery's own word: what it comes to, with what is known to drain or to have gone left so."""
-        self._now, self._direct, self._direct_at = now, generation, now
-        lower = generation < self._held.generation and self.is_told
-        kept = [self._graved(line) if lower else line for line in lines]
-        named = {line.name: line for line in kept}
-        if lower and not whole:  # older than what fellows told: only what it takes away counts
-            kept = [line for line in kept if line.state != State.READY]
-            named = {line.name: line for line in kept}
-            self._note_gone(named)
-            self._go_by(self.lines | named)
-            return kept
-        if lower and self._others():  # it lags, or began its count anew: both count until it is plain which
-            self._lower = generation, named
+    def load_saved(self, entries: Iterable[ServerEntry], generation: int, age_ms: float = math.inf) -> None:
+        """Start with a list from before a restart.
+
+        One that is older than MAX_PEER_LIST_AGE_MS counts as not reported by discovery.
+        """
+        by_name = {entry.name: entry for entry in entries}
+        reported_at = self._now - age_ms if age_ms <= MAX_PEER_LIST_AGE_MS else -math.inf
+        self._replace_list(by_name, by_name, _ListVersion(0, generation, reported_at))
+
+    def load_departed(self, departed: dict[str, tuple[float, State, float]]) -> None:
+        """Add servers that drained or were gone before a restart."""
+        self._departed |= departed
+
+    def departed(self) -> dict[str, tuple[float, State, float]]:
+        return dict(self._departed)
+
+    def on_discovery_list(
+        self, now: float, entries: Iterable[ServerEntry], generation: int, complete: bool
+    ) -> list[ServerEntry]:
+        """Handle an answer of discovery. Return the entries to use, with departed servers kept as such."""
+        self._now, self._direct_generation, self._direct_at = now, generation, now
+        is_lower = generation < self._version.generation and self.is_reported
+        accepted = [self._keep_departed(entry) if is_lower else entry for entry in entries]
+        by_name = {entry.name: entry for entry in accepted}
+        if is_lower and not complete:  # older than the list from peers: only removals are applied
+            accepted = [entry for entry in accepted if entry.state != State.READY]
+            by_name = {entry.name: entry for entry in accepted}
+            self._record_departed(by_name)
+            self._use(self.entries | by_name)
+            return accepted
+        # Discovery lags or restarted its generation count. Both lists are used until it is clear which.
+        if is_lower and self._has_peers():
+            self._lower_list = generation, by_name
             self._lower_since = now if self._lower_since is None else self._lower_since
-            self._note_gone(named)
-            self._go_by(self.lines | named)
-            return list(self.lines.values())
-        self._note_gone(named, whole)
-        epoch = self._held.epoch + lower
-        newer = (epoch, generation) != (self._held.epoch, self._held.generation)
-        before, shared = ({}, {}) if whole else (self.lines, self._shared)
-        self._partial = self._fetch = self._lower = self._lower_since = None
-        self._hold(before | named, shared | named, _Held(epoch, generation, now))
-        if newer:
-            self._is_news = True
-        return kept
-
-    def receive(self, now: float, place: str, message: ListMessage) -> list[Out]:
+            self._record_departed(by_name)
+            self._use(self.entries | by_name)
+            return list(self.entries.values())
+        self._record_departed(by_name, complete)
+        epoch = self._version.epoch + is_lower
+        is_newer = (epoch, generation) != (self._version.epoch, self._version.generation)
+        before, shared = ({}, {}) if complete else (self.entries, self._shared_entries)
+        self._unconfirmed = self._transfer = self._lower_list = self._lower_since = None
+        self._replace_list(before | by_name, shared | by_name, _ListVersion(epoch, generation, now))
+        if is_newer:
+            self._announce_soon = True
+        return accepted
+
+    def receive(self, now: float, address: str, message: ListMessage) -> list[OutgoingMessage]:
         self._now = now
         name = message.sender.name
         match message:
-            case Have():
-                return self._have(name, place, message)
-            case Want():
-                return self._wanted(name, place, message)
-            case Piece():
-                return self._piece(name, place, message)
-
-    def tick(self, now: float) -> list[Out]:
+            case ListStatus():
+                return self._handle_status(name, address, message)
+            case ListRequest():
+                return self._handle_request(name, address, message)
+            case ListChunk():
+                return self._handle_chunk(name, address, message)
+
+    def tick(self, now: float) -> list[OutgoingMessage]:
         self._now = now
-        out: list[Out] = []
-        if self._fetch is not None and now >= self._fetch.asked_at + WANT_MS:
-            self._fetch.tries += 1
-            if self._fetch.tries < WANTS:
-                out.append(self._want(self._fetch.lines[-1].name if self._fetch.lines else ""))
+        outgoing: list[OutgoingMessage] = []
+        if self._transfer is not None and now >= self._transfer.requested_at + REQUEST_TIMEOUT_MS:
+            self._transfer.failed_attempts += 1
+            if self._transfer.failed_attempts < MAX_REQUEST_ATTEMPTS:
+                outgoing.append(
+                    self._make_request(self._transfer.entries[-1].name if self._transfer.entries else "")
+                )
             else:
-                self._fetch = None
-        if now >= self._tell_at:
-            asks = now < self._asks_until
-            self._tell_at = now + (DOUBT_MS if asks else TELL_MS)
-            out += self._tell(TELL_NEW if asks else 1)
-            self._clear_out()
-        if self._is_news:  # made only now: a process that stood still would tell an age of before
-            self._is_news = False
-            out += self._tell(TELL_NEW)
-        return out
-
-    def result(self, now: float) -> Told | None:
-        """A list to go by from now on, where what fellows hold came to one."""
+                self._transfer = None
+        if now >= self._next_status_at:
+            seeks_confirmation = now < self._seek_confirmation_until
+            self._next_status_at = now + (
+                CONFIRMATION_INTERVAL_MS if seeks_confirmation else STATUS_INTERVAL_MS
+            )
+            outgoing += self._send_status(NEW_LIST_FANOUT if seeks_confirmation else 1)
+            self._remove_expired()
+        if self._announce_soon:  # the age is computed only now, since the process may have been stalled
+            self._announce_soon = False
+            outgoing += self._send_status(NEW_LIST_FANOUT)
+        return outgoing
+
+    def take_update(self, now: float) -> ListUpdate | None:
+        """Return a new list to use, if there is one."""
         self._now = now
-        told, self._ready = self._ready, None
-        if told is not None:
-            return told
-        if self._partial is not None and self._agreed(self._partial[0]):
-            (_, told), self._partial = self._partial, None
-            named = {line.name: line for line in told.lines}
-            self._note_gone(named, True)
-            self._go_by(named)
-            return told
-        if self._lower is not None and self._is_anew():
-            (generation, lines), self._lower, self._lower_since = self._lower, None, None
-            self._hold(lines, lines, _Held(self._held.epoch + 1, generation, self._direct_at))
-            self._is_news = True
-            return Told(generation, tuple(self.lines.values()), "")
+        update, self._pending_update = self._pending_update, None
+        if update is not None:
+            return update
+        if self._unconfirmed is not None and self._is_confirmed(self._unconfirmed[0]):
+            (_, update), self._unconfirmed = self._unconfirmed, None
+            by_name = {entry.name: entry for entry in update.entries}
+            self._record_departed(by_name, True)
+            self._use(by_name)
+            return update
+        if self._lower_list is not None and self._has_count_restarted():
+            (generation, entries), self._lower_list, self._lower_since = self._lower_list, None, None
+            self._replace_list(
+                entries, entries, _ListVersion(self._version.epoch + 1, generation, self._direct_at)
+            )
+            self._announce_soon = True
+            return ListUpdate(generation, tuple(self.entries.values()), "")
         return None
 
-    # What fellows hold
-
-    def _have(self, name: str, place: str, message: Have) -> list[Out]:
-        theirs = self._key(message.age_ms, message.epoch, message.generation)
-        told_at = self._now - message.age_ms if message.age_ms >= 0.0 else -math.inf
-        self.up[name] = self._now - message.up_ms
-        if message.direct >= 0:
-            self._reports[name] = message.direct, self._now - message.direct_ms
-        key = message.epoch, message.generation, message.mark
-        if message.direct == message.generation:  # it had it from discovery itself, not from another of us
-            self._said.setdefault(key, {})[name] = self._now
-            while len(self._said) > SAID_MOST:
-                del self._said[next(iter(self._said))]
-        mine = self._my_key()
-        if theirs == mine and message.mark == self._mark:
-            self._held.told_at = max(self._held.told_at, told_at)
+    # Lists of peers
+
+    def _handle_status(self, name: str, address: str, message: ListStatus) -> list[OutgoingMessage]:
+        peer_rank = self._rank(message.age_ms, message.epoch, message.generation)
+        reported_at = self._now - message.age_ms if message.age_ms >= 0.0 else -math.inf
+        self.peer_started_at[name] = self._now - message.uptime_ms
+        if message.direct_generation >= 0:
+            self._peer_reports[name] = message.direct_generation, self._now - message.direct_age_ms
+        list_id = message.epoch, message.generation, message.list_hash
+        if message.direct_generation == message.generation:  # the peer got it from discovery itself
+            self._confirmations.setdefault(list_id, {})[name] = self._now
+            while len(self._confirmations) > MAX_CONFIRMED_LISTS:
+                del self._confirmations[next(iter(self._confirmations))]
+        own_rank = self._own_rank()
+        if peer_rank == own_rank and message.list_hash == self._hash:
+            self._version.reported_at = max(self._version.reported_at, reported_at)
             return []
-        if theirs < mine:
-            out = self._have_message(name)
-            if self._key(out.age_ms, out.epoch, out.generation) <= theirs:
-                return []  # two that each hold one in part told each other of what they had before, for ever
-            room = size_of(message) - size_of(out) + len(out.room)
-            return [Out(place, msgspec.structs.replace(out, room=bytes(max(room, 0))))] if room >= 0 else []
-        if message.mark == 0 and self.lines:
-            self._refuse("empty")
+        if peer_rank < own_rank:
+            status = self._make_status(name)
+            # While a list is unconfirmed, the one before is offered. Two such peers would otherwise answer
+            # each other without end.
+            if self._rank(status.age_ms, status.epoch, status.generation) <= peer_rank:
+                return []
+            padding_bytes = encoded_size(message) - encoded_size(status) + len(status.padding)
+            return (
+                [
+                    OutgoingMessage(
+                        address, msgspec.structs.replace(status, padding=bytes(max(padding_bytes, 0)))
+                    )
+                ]
+                if padding_bytes >= 0
+                else []
+            )
+        if message.list_hash == 0 and self.entries:
+            self._reject("empty")
             return []
-        if theirs == mine or self._fetch is not None:
-            return []  # the same generation with other lines is settled by discovery, not between us
-        if message.epoch > self._held.epoch and self._held.generation >= 0 and not self._may_be_anew(key):
-            self._refuse("epoch")
-            self._asks_until = self._now + TELL_MS
-            self._tell_at = min(self._tell_at, self._now + DOUBT_MS)
+        if peer_rank == own_rank or self._transfer is not None:
+            return []  # lists of one generation that differ are left to discovery
+        if (
+            message.epoch > self._version.epoch
+            and self._version.generation >= 0
+            and not self._may_have_restarted_count(list_id)
+        ):
+            self._reject("epoch")
+            self._seek_confirmation_until = self._now + STATUS_INTERVAL_MS
+            self._next_status_at = min(self._next_status_at, self._now + CONFIRMATION_INTERVAL_MS)
             return []
-        if message.age_ms > TRUST_MS:
-            self._refuse("old")
+        if message.age_ms > MAX_PEER_LIST_AGE_MS:
+            self._reject("old")
             return []
-        self._fetch = _Fetch(name, place, key, self._now, told_at)
-        return [self._want("")]
-
-    def _may_be_anew(self, key: tuple[int, int, int]) -> bool:
-        """A later epoch is believed of two, or where discovery itself counts so to us."""
-        own = self._now - self._direct_at < FRESH_MS and self._direct < self._held.generation
-        return own or not self.is_told or self._agreed(key)
-
-    def _agreed(self, key: tuple[int, int, int]) -> bool:
-        return len(self._said.get(key, ())) >= SECOND
-
-    def _want(self, after: str) -> Out:
-        fetch = self._fetch
-        assert fetch is not None
-        fetch.asked_at = self._now
-        epoch, generation, _ = fetch.key
-        want = Want(*self._fellows.head(fetch.name), epoch, generation, after, b"")
-        return Out(fetch.place, msgspec.structs.replace(want, room=bytes(PIECE_BYTES - size_of(want))))
-
-    def _wanted(self, name: str, place: str, message: Want) -> list[Out]:
-        held = self._held
-        if (message.epoch, message.generation) != (held.epoch, held.generation):
+        self._transfer = _Transfer(name, address, list_id, self._now, reported_at)
+        return [self._make_request("")]
+
+    def _may_have_restarted_count(self, list_id: tuple[int, int, int]) -> bool:
+        """Accept a higher epoch from two peers, or if discovery itself reports a lower generation here."""
+        heard_lower = (
+            self._now - self._direct_at < DISCOVERY_REPORT_MAX_AGE_MS
+            and self._direct_generation < self._version.generation
+        )
+        return heard_lower or not self.is_reported or self._is_confirmed(list_id)
+
+    def _is_confirmed(self, list_id: tuple[int, int, int]) -> bool:
+        return len(self._confirmations.get(list_id, ())) >= REQUIRED_CONFIRMATIONS
+
+    def _make_request(self, after_name: str) -> OutgoingMessage:
+        transfer = self._transfer
+        assert transfer is not None
+        transfer.requested_at = self._now
+        epoch, generation, _ = transfer.list_id
+        request = ListRequest(
+            *self._membership.message_header(transfer.peer), epoch, generation, after_name, b""
+        )
+        return OutgoingMessage(
+            transfer.address,
+            msgspec.structs.replace(request, padding=bytes(MAX_CHUNK_BYTES - encoded_size(request))),
+        )
+
+    def _handle_request(self, name: str, address: str, message: ListRequest) -> list[OutgoingMessage]:
+        version = self._version
+        if (message.epoch, message.generation) != (version.epoch, version.generation):
             return []
-        lines: list[Line] = []
-        upto = ""
-        head = *self._fellows.head(name), held.epoch, held.generation, self._mark, self._age(), message.after
-        room = size_of(message) - size_of(Piece(*head, "", [])) - 8
-        for key in sorted(key for key in self._shared if key > message.after):
-            line = self._shared[key]
-            room -= size_of(line)
-            if room < len(key):
-                if not lines:
-                    self._refuse("untellable")  # one line alone is longer than a datagram
+        entries: list[ServerEntry] = []
+        last_name = ""
+        header = (
+            *self._membership.message_header(name),
+            version.epoch,
+            version.generation,
+            self._hash,
+            self._offered_age(),
+            message.after_name,
+        )
+        bytes_left = encoded_size(message) - encoded_size(ListChunk(*header, "", [])) - CHUNK_OVERHEAD_BYTES
+        for entry_name in sorted(
+            entry_name for entry_name in self._shared_entries if entry_name > message.after_name
+        ):
+            entry = self._shared_entries[entry_name]
+            bytes_left -= encoded_size(entry)
+            if bytes_left < len(entry_name):
+                if not entries:
+                    self._reject("untellable")  # this entry alone does not fit into a datagram
                     return []
-                upto = lines[-1].name
+                last_name = entries[-1].name
                 break
-            lines.append(line)
-        return [Out(place, Piece(*head, upto, lines))]
+            entries.append(entry)
+        return [OutgoingMessage(address, ListChunk(*header, last_name, entries))]
 
-    def _piece(self, name: str, place: str, message: Piece) -> list[Out]:
-        fetch = self._fetch
-        key = message.epoch, message.generation, message.mark
-        if fetch is None or fetch.name != name or fetch.key != key:
+    def _handle_chunk(self, name: str, address: str, message: ListChunk) -> list[OutgoingMessage]:
+        transfer = self._transfer
+        list_id = message.epoch, message.generation, message.list_hash
+        if transfer is None or transfer.peer != name or transfer.list_id != list_id:
             return []
-        after = fetch.lines[-1].name if fetch.lines else ""
-        if message.after != after or len(fetch.lines) + len(message.lines) > LINES_MOST:
+        after_name = transfer.entries[-1].name if transfer.entries else ""
+        if (
+            message.after_name != after_name
+            or len(transfer.entries) + len(message.entries) > MAX_LIST_ENTRIES
+        ):
             return []
-        fetch.lines += message.lines
-        fetch.tries = 0
-        if message.upto:
-            if not message.lines:
-                self._fetch = None
+        transfer.entries += message.entries
+        transfer.failed_attempts = 0
+        if message.last_name:
+            if not message.entries:
+                self._transfer = None
                 return []
-            return [self._want(message.upto)]
-        self._fetch = None
-        if mark_of(fetch.lines, self._same) != message.mark:
-            self._refuse("mark")
+            return [self._make_request(message.last_name)]
+        self._transfer = None
+        if list_hash(transfer.entries, self._same_addresses) != message.list_hash:
+            self._reject("mark")
             return []
-        self._take(fetch)
+        self._adopt(transfer)
         return []
 
-    def _take(self, fetch: _Fetch) -> None:
-        """A fellow's list is whole here: go by it as far as one fellow is believed."""
-        if self._key(self._now - fetch.told_at, *fetch.key[:2]) <= self._my_key():
+    def _adopt(self, transfer: _Transfer) -> None:
+        """Use a completely received list, as far as a single peer is trusted."""
+        if self._rank(self._now - transfer.reported_at, *transfer.list_id[:2]) <= self._own_rank():
             return
-        epoch, generation, _ = fetch.key
-        theirs: dict[str, Line] = {}
-        for line in fetch.lines:
-            placed = self._placed(self._graved(line))
-            if placed is not None:
-                theirs[line.name] = placed
-        ready = {line.name for line in self.lines.values() if line.state == State.READY}
-        stay = {line.name for line in theirs.values() if line.state == State.READY}
-        told = Told(generation, tuple(theirs.values()), fetch.name)
-        self.taken += 1
-        self._partial = None
-        if len(ready - stay) > HALF * len(ready) and not self._agreed(fetch.key):
-            self._refuse("alone")
-            self._sure = self._held, self._mark
-            self._partial = fetch.key, told
-            self._asks_until, self._tell_at = self._now + DOUBTS_MS, self._now
-            kept = {name: line for name, line in self.lines.items() if name in ready - stay}
-            told = Told(generation, tuple({**theirs, **kept}.values()), fetch.name)
+        epoch, generation, _ = transfer.list_id
+        received: dict[str, ServerEntry] = {}
+        for entry in transfer.entries:
+            localized = self._with_own_address(self._keep_departed(entry))
+            if localized is not None:
+                received[entry.name] = localized
+        ready = {entry.name for entry in self.entries.values() if entry.state == State.READY}
+        remaining = {entry.name for entry in received.values() if entry.state == State.READY}
+        update = ListUpdate(generation, tuple(received.values()), transfer.peer)
+        self.adopted_count += 1
+        self._unconfirmed = None
+        if len(ready - remaining) > MAX_UNCONFIRMED_REMOVAL_SHARE * len(ready) and not self._is_confirmed(
+            transfer.list_id
+        ):
+            self._reject("alone")
+            self._confirmed_version = self._version, self._hash
+            self._unconfirmed = transfer.list_id, update
+            self._seek_confirmation_until, self._next_status_at = (
+                self._now + CONFIRMATION_TIMEOUT_MS,
+                self._now,
+            )
+            kept = {name: entry for name, entry in self.entries.items() if name in ready - remaining}
+            update = ListUpdate(generation, tuple({**received, **kept}.values()), transfer.peer)
         else:
-            self._note_gone(theirs, True)
-        mine = {line.name: line for line in told.lines}
-        shared = {line.name: line for line in fetch.lines}
-        self._hold(mine, shared, _Held(epoch, generation, fetch.told_at))
-        self._ready = told
-        self._is_news = True
-
-    # What is held
-
-    def _hold(self, mine: dict[str, Line], shared: dict[str, Line], held: _Held) -> None:
-        self._held = held
-        self._shared = {name: line for name, line in shared.items() if line.state != State.GONE}
-        self._mark = mark_of(self._shared.values(), self._same)
-        self._go_by(mine)
-
-    def _go_by(self, lines: dict[str, Line]) -> None:
-        self.lines = {name: line for name, line in lines.items() if line.state != State.GONE}
-
-    def _graved(self, line: Line) -> Line:
-        """Draining or gone outranks ready within a life."""
-        known = self._gone.get(line.name)
-        if known is None or line.state != State.READY or line.started_ms > known[0]:
-            return line
-        self._refuse("gone")
-        return msgspec.structs.replace(line, state=int(known[1]))
-
-    def _placed(self, line: Line) -> Line | None:
-        if self._same:
-            return line
-        own = self.lines.get(line.name)
-        if own is None or own.started_ms != line.started_ms:
-            self._refuse("place")
+            self._record_departed(received, True)
+        used = {entry.name: entry for entry in update.entries}
+        shared = {entry.name: entry for entry in transfer.entries}
+        self._replace_list(used, shared, _ListVersion(epoch, generation, transfer.reported_at))
+        self._pending_update = update
+        self._announce_soon = True
+
+    # The list in use
+
+    def _replace_list(
+        self, used: dict[str, ServerEntry], shared: dict[str, ServerEntry], version: _ListVersion
+    ) -> None:
+        self._version = version
+        self._shared_entries = {name: entry for name, entry in shared.items() if entry.state != State.GONE}
+        self._hash = list_hash(self._shared_entries.values(), self._same_addresses)
+        self._use(used)
+
+    def _use(self, entries: dict[str, ServerEntry]) -> None:
+        self.entries = {name: entry for name, entry in entries.items() if entry.state != State.GONE}
+
+    def _keep_departed(self, entry: ServerEntry) -> ServerEntry:
+        """Return the entry as draining or gone if that is known and the server was not restarted since."""
+        departed = self._departed.get(entry.name)
+        if departed is None or entry.state != State.READY or entry.started_at_ms > departed[0]:
+            return entry
+        self._reject("gone")
+        return msgspec.structs.replace(entry, state=int(departed[1]))
+
+    def _with_own_address(self, entry: ServerEntry) -> ServerEntry | None:
+        """Return the entry with the address known here; None if it is unknown."""
+        if self._same_addresses:
+            return entry
+        own_entry = self.entries.get(entry.name)
+        if own_entry is None or own_entry.started_at_ms != entry.started_at_ms:
+            self._reject("place")
             return None
-        return msgspec.structs.replace(line, place=own.place)
-
-    def _note_gone(self, lines: dict[str, Line], whole: bool = False) -> None:
-        """Remember what these lines take away from what is held."""
-        for name, line in lines.items():
-            if line.state != State.READY:
-                known = self.lines.get(name)
-                started = max(line.started_ms, known.started_ms if known is not None else 0.0)
-                self._gone[name] = started, State(line.state), self._now
-            elif name in self._gone and line.started_ms > self._gone[name][0]:
-                del self._gone[name]
-        if whole:
-            for name, line in self.lines.items():
-                if name not in lines:
-                    self._gone[name] = line.started_ms, State.GONE, self._now
-        while len(self._gone) > GONE_MOST:
-            del self._gone[next(iter(self._gone))]
-
-    def _is_anew(self) -> bool:
+        return msgspec.structs.replace(entry, host_port=own_entry.host_port)
+
+    def _record_departed(self, entries: dict[str, ServerEntry], complete: bool = False) -> None:
+        """Remember servers that are draining or gone in these entries, or missing from a complete list."""
+        for name, entry in entries.items():
+            if entry.state != State.READY:
+                known = self.entries.get(name)
+                started_at = max(entry.started_at_ms, known.started_at_ms if known is not None else 0.0)
+                self._departed[name] = started_at, State(entry.state), self._now
+            elif name in self._departed and entry.started_at_ms > self._departed[name][0]:
+                del self._departed[name]
+        if complete:
+            for name, entry in self.entries.items():
+                if name not in entries:
+                    self._departed[name] = entry.started_at_ms, State.GONE, self._now
+        while len(self._departed) > MAX_DEPARTED_SERVERS:
+            del self._departed[next(iter(self._departed))]
+
+    def _has_count_restarted(self) -> bool:
+        """Return whether discovery restarted its generation count, rather than that it lags here."""
         assert self._lower_since is not None
-        reports = [(self._direct, self._direct_at), *self._reports.values()]
-        fresh = [generation for generation, at in reports if self._now < at + FRESH_MS]
-        if any(generation >= self._held.generation for generation in fresh):
+        reports = [(self._direct_generation, self._direct_at), *self._peer_reports.values()]
+        recent = [
+            generation
+            for generation, reported_at in reports
+            if self._now < reported_at + DISCOVERY_REPORT_MAX_AGE_MS
+        ]
+        if any(generation >= self._version.generation for generation in recent):
             self._lower_since = self._now
             return False
-        return len(fresh) >= SECOND or self._now >= self._lower_since + ANEW_MS
-
-    def _clear_out(self) -> None:
-        for name in [name for name, (_, _, at) in self._gone.items() if self._now >= at + GONE_MS]:
-            del self._gone[name]
-        members = self._fellows.members
-        self.up = {name: since for name, since in self.up.items() if name in members}
-        self._reports = {name: report for name, report in self._reports.items() if name in members}
-        for said in self._said.values():
-            for name in [name for name, at in said.items() if self._now >= at + FRESH_MS]:
-                del said[name]
-
-    def _others(self) -> bool:
-        return len(self._fellows.lives) > 1
-
-    # What is told
-
-    def _tell(self, count: int) -> list[Out]:
-        if self._held.generation < 0 and not self._others():
+        return (
+            len(recent) >= REQUIRED_CONFIRMATIONS or self._now >= self._lower_since + COUNT_RESTART_CONFIRM_MS
+        )
+
+    def _remove_expired(self) -> None:
+        for name in [
+            name
+            for name, (_, _, known_since) in self._departed.items()
+            if self._now >= known_since + DEPARTED_RETENTION_MS
+        ]:
+            del self._departed[name]
+        members = self._membership.members
+        self.peer_started_at = {
+            name: started_at for name, started_at in self.peer_started_at.items() if name in members
+        }
+        self._peer_reports = {name: report for name, report in self._peer_reports.items() if name in members}
+        for confirmed_at_by_peer in self._confirmations.values():
+            for name in [
+                name
+                for name, confirmed_at in confirmed_at_by_peer.items()
+                if self._now >= confirmed_at + DISCOVERY_REPORT_MAX_AGE_MS
+            ]:
+                del confirmed_at_by_peer[name]
+
+    def _has_peers(self) -> bool:
+        return len(self._membership.live_members) > 1
+
+    # Status messages
+
+    def _send_status(self, count: int) -> list[OutgoingMessage]:
+        if self._version.generation < 0 and not self._has_peers():
             return []
-        others = [one for one in self._fellows.lives.values() if one.name != self._fellows.me.name]
-        told = self._rng.sample(others, min(count, len(others)))
-        return [Out(one.place, self._have_message(one.name)) for one in told]
-
-    def _have_message(self, name: str) -> Have:
-        direct = self._now - self._direct_at if self._direct >= 0 else 0.0
-        # One that is taken but in part is not told: who holds it, or a newer one, answers, and that decides.
-        held, mark = (self._held, self._mark) if self._partial is None else self._sure
-        age = self._now - held.told_at
-        head = *self._fellows.head(name), held.epoch, held.generation, age if age <= TRUST_MS else -1.0, mark
-        return Have(*head, self._direct, direct, self._now - self._began, bytes(24))
-
-    def _age(self) -> float:
-        age = self._now - self._held.told_at
-        return age if age <= TRUST_MS else -1.0
+        others = [
+            record
+            for record in self._membership.live_members.values()
+            if record.name != self._membership.local_record.name
+        ]
+        recipients = self._rng.sample(others, min(count, len(others)))
+        return [OutgoingMessage(record.address, self._make_status(record.name)) for record in recipients]
+
+    def _make_status(self, name: str) -> ListStatus:
+        direct_age = self._now - self._direct_at if self._direct_generation >= 0 else 0.0
+        # An unconfirmed list is not offered. Peers that hold it or a newer one answer, which settles it.
+        version, current_hash = (
+            (self._version, self._hash) if self._unconfirmed is None else self._confirmed_version
+        )
+        age = self._now - version.reported_at
+        header = (
+            *self._membership.message_header(name),
+            version.epoch,
+            version.generation,
+            age if age <= MAX_PEER_LIST_AGE_MS else -1.0,
+            current_hash,
+        )
+        return ListStatus(
+            *header,
+            self._direct_generation,
+            direct_age,
+            self._now - self._started_at,
+            bytes(STATUS_PADDING_BYTES),
+        )
+
+    def _offered_age(self) -> float:
+        """Return the age of the list; negative if it counts as one from before a restart."""
+        age = self._now - self._version.reported_at
+        return age if age <= MAX_PEER_LIST_AGE_MS else -1.0
 
     @staticmethod
-    def _key(age_ms: float, epoch: int, generation: int) -> Key:
-        return 0.0 <= age_ms <= TRUST_MS, epoch, generation
+    def _rank(age_ms: float, epoch: int, generation: int) -> ListRank:
+        return 0.0 <= age_ms <= MAX_PEER_LIST_AGE_MS, epoch, generation
 
-    def _my_key(self) -> Key:
-        return self._key(self._age(), self._held.epoch, self._held.generation)
+    def _own_rank(self) -> ListRank:
+        return self._rank(self._offered_age(), self._version.epoch, self._version.generation)
 
-    def _refuse(self, why: str) -> None:
-        self.refused[why] = self.refused.get(why, 0) + 1
+    def _reject(self, reason: str) -> None:
+        self.rejected_counts[reason] = self.rejected_counts.get(reason, 0) + 1
--- a/larkcrank/fleet/membership.py
+++ b/larkcrank/fleet/membership.py
@@ -1,12 +1,14 @@
-"""Who is in the fleet: a failure detector and a view that settles, without I/O. See docs/fleet-view.md.
+"""Fleet membership: a failure detector and an eventually consistent view. No I/O. See docs/fleet-view.md.
 
-After SWIM (Das, Gupta, Motivala, DSN 2002): random probes, indirect probes, suspicion, incarnations, news
-on the back of probes. After Lifeguard (Dadgar, Phillips, Currey, DSN-W 2018): who misses answers blames
-itself first and waits longer, others' agreement shortens a suspicion, whoever is suspected is told first.
-Dead members are looked for at a bounded rate, as Serf does, and two members that differ compare and mend
-their views, bucket by bucket.
+The protocol follows SWIM (Das, Gupta, Motivala, DSN 2002): random probes, indirect probes, suspicion,
+incarnations, and updates piggybacked on probes. It adds three rules of Lifeguard (Dadgar, Phillips, Currey,
+DSN-W 2018): a member that misses answers first lowers the trust in itself and waits longer, confirmations by
+other members shorten a suspicion, and a suspected member is told first. As in Serf, dead members are
+contacted again at a bounded rate. Two members whose digests differ compare their views bucket by bucket and
+exchange the records that differ (anti-entropy).
 
-Times are milliseconds on the caller's clock. `tick` has to be called every TICK_MS; a late call is our stall.
+Times are milliseconds on the caller's clock. `tick` must be called every TICK_INTERVAL_MS; a late call means
+that this process was stalled.
 """
 
 import math
@@ -17,572 +19,697 @@
 
 import msgspec
 
-from larkcrank.fleet.news import News
-from larkcrank.fleet.records import BUCKETS, Digest, Record, Standing, bucket_of
+from larkcrank.fleet.news import UpdateQueue
+from larkcrank.fleet.records import BUCKET_COUNT, MemberRecord, Standing, ViewDigest, bucket_index
 from larkcrank.fleet.wire import (
-    MOST_BYTES,
-    SEAL_BYTES,
+    MAC_BYTES,
+    MAX_DATAGRAM_BYTES,
     Ack,
-    Ask,
-    Differ,
-    Have,
+    BucketDigests,
+    BucketPage,
+    BucketReply,
+    DifferingBuckets,
+    ListChunk,
     ListMessage,
+    ListRequest,
+    ListStatus,
     Message,
     Nack,
-    Once,
-    Page,
-    Piece,
     Ping,
-    Reply,
-    Summary,
-    Want,
-    size_of,
+    PingRequest,
+    ReplayFilter,
+    encoded_size,
 )
 
-TICK_MS = 100.0
-PERIOD_MS = 1000.0  # one probe in each; longer where answers take longer ...
-PERIOD_MOST_MS = 4000.0  # ... but not than this
-RTT_MOST_MS = 2000.0  # an answer after longer tells of a process that stood still, not of its way
-RTT_WEIGHT, RTT_SPREAD_WEIGHT = 0.125, 0.25  # of one answer's time, and of how far off it was (RFC 6298) ...
-RTT_SPREADS = 4.0  # ... so many of which an answer may take longer than usual
-TIMED_MOST = 16  # probes whose answer is timed, be it late
-DIRECT_SHARE = 0.5  # of a period that a probe may take before others are asked
-NACK_SHARE = 0.8  # of that time after which one who was asked says that it is there
-FIRST_MS = 300.0  # spread of the first probe: others are met soon, and not all at one moment
-ASKED = 3  # others that are asked
-SUSPECT_MIN = 5.0  # periods, times log10 of the fleet's size
-SUSPECT_MAX = 4.0  # times that, while nobody agrees
-AGREE = 3  # others whose agreement brings it down to the least
-DOUBT_MOST = 4  # of ourselves: periods are as many times longer, and once more
-NEWS_TIMES = 3.0  # tellings of a piece of news, times log2 of the fleet's size
-NEWS_BYTES = 700  # of news in one datagram
-STALL_MS = 1000.0  # a tick so late is our own stall
-FORGET_MS = 24 * 3600 * 1000.0  # the dead are looked for so long
-LIVES_HEARD = 4  # lives of one name whose datagrams are told apart from replayed ones
-LIVES_MOST = 64  # other lives with our name that are remembered
-RAISES = 4  # times that another life with our name outdid us: it lives
-PAGES_AT_ONCE = 4
-PAGE_BYTES = 1000  # of records in a page
-LEAVE_TOLD = 4
-ROOM_BYTES = 40  # of a datagram besides its records
+TICK_INTERVAL_MS = 100.0
+MIN_PROBE_PERIOD_MS = 1000.0  # one probe per period; the period grows with the round-trip time
+MAX_PROBE_PERIOD_MS = 4000.0
+MAX_RTT_SAMPLE_MS = 2000.0  # slower answers come from stalled processes and say nothing about the network
+RTT_GAIN, RTT_DEVIATION_GAIN = 0.125, 0.25  # smoothing factors of RFC 6298
+RTT_DEVIATIONS = 4.0  # an answer is expected within the mean plus this many deviations
+MAX_TIMED_PROBES = 16  # recent probes whose answers are timed, even if late
+DIRECT_PROBE_SHARE = 0.5  # share of a period after which other members are asked to probe the target
+NACK_SHARE = 0.8  # share of the direct probe time after which a member that was asked sends a Nack
+MAX_FIRST_PROBE_DELAY_MS = 300.0  # random delay, so that members that start together do not probe at once
+INDIRECT_PROBE_COUNT = 3  # members that are asked to probe the target
+MIN_SUSPICION_PERIODS = 5.0  # minimum suspicion time in periods, multiplied by log10 of the fleet's size
+SUSPICION_TIME_FACTOR = 4.0  # maximum suspicion time, without confirmations, as a multiple of the minimum
+FULL_CONFIRMATIONS = 3  # confirmations by other members that shorten a suspicion to the minimum
+MAX_LOCAL_HEALTH_SCORE = 4
+UPDATE_SENDS_FACTOR = 3.0  # sends of each update, multiplied by log2 of the fleet's size
+MAX_UPDATE_BYTES = 700  # per datagram
+STALL_MS = 1000.0  # a tick that is later than this means that this process was stalled
+FORGET_DEAD_MS = 24 * 3600 * 1000.0  # dead members are contacted again until then
+MAX_REPLAY_FILTERS = 4  # processes of one name for which replayed datagrams are detected
+MAX_OUTBID_BOOT_IDS = 64  # other processes with this member's name that are remembered
+DUPLICATE_RAISES = 4  # another process that has raised its incarnation above ours this often is alive
+MAX_PAGES_IN_FLIGHT = 4
+MAX_PAGE_BYTES = 1000  # of records in a page
+LEAVE_PING_COUNT = 4
+HEADER_BYTES = 40  # size of a datagram without its records
+REPLY_OVERHEAD_BYTES = 64  # size of a reply without its records, its sender and the last name
+MAX_RELAYED_PROBES = 64
 
 
 @dataclass(slots=True, frozen=True)
-class Out:
-    """A datagram to send."""
+class OutgoingMessage:
+    """A message to send, and the address (host:port) to send it to."""
 
-    place: str
+    address: str
     message: Message
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """What became of a member in our view, and why."""
+class MemberChange:
+    """A change of a member's standing in the local view."""
 
     name: str
     standing: Standing
-    why: str
+    reason: str  # the member that reported it, or a message
 
 
 @dataclass(slots=True)
 class _Probe:
-    name: str
-    number: int
-    asked: int = 0
-    nacks: int = 0
+    target: str
+    probe_id: int
+    requests_sent: int = 0  # members that were asked to probe the target
+    nacks_received: int = 0
     answered: bool = False
 
 
 @dataclass(slots=True)
 class _Suspicion:
-    since: float
+    started_at: float
     incarnation: int
-    least: float
-    most: float
-    by: set[str] = field(default_factory=set)
-
-    def is_news(self, by: str) -> bool:
-        return bool(by) and by not in self.by and len(self.by) <= AGREE
+    min_duration: float
+    max_duration: float
+    confirmed_by: set[str] = field(default_factory=set)
+
+    def is_new_confirmation(self, reporter: str) -> bool:
+        return (
+            bool(reporter)
+            and reporter not in self.confirmed_by
+            and len(self.confirmed_by) <= FULL_CONFIRMATIONS
+        )
 
-    def ends_at(self) -> float:
-        agree = min(math.log(len(self.by) + 1) / math.log(AGREE + 1), 1.0)
-        return self.since + max(self.least, self.most - (self.most - self.least) * agree)
+    def expires_at(self) -> float:
+        confirmed_share = min(math.log(len(self.confirmed_by) + 1) / math.log(FULL_CONFIRMATIONS + 1), 1.0)
+        return self.started_at + max(
+            self.min_duration, self.max_duration - (self.max_duration - self.min_duration) * confirmed_share
+        )
 
 
 @dataclass(slots=True)
-class _Relay:
-    """A probe that we do for another."""
+class _RelayedProbe:
+    """A probe on behalf of another member."""
 
-    number: int  # the other's
-    asker: str
-    place: str
+    requester_probe_id: int
+    requester: str
+    requester_address: str
     nack_at: float
-    ends_at: float
+    expires_at: float
 
 
 class Membership:
-    """One member's view. Feed it `receive` and `tick`, send what they return, read `changes`."""
+    """One member's view. Call `receive` and `tick`, send the messages they return, and read `changes`."""
 
-    def __init__(self, me: Record, seeds: Iterable[str], rng: Random, now: float) -> None:
-        self.me = me
-        self.is_duplicate = False  # another process has our name: it goes on with it, we are silent
+    def __init__(self, local_record: MemberRecord, seeds: Iterable[str], rng: Random, now: float) -> None:
+        """`seeds` are addresses (host:port) of members to contact first."""
+        self.local_record = local_record
+        self.is_duplicate = False  # another process has this name and continues to use it; this one is silent
         self.has_left = False
-        self.doubt = 0
-        self.changes: list[Change] = []
-        self.members: dict[str, Record] = {}  # all that are known, also the dead
-        self.lives: dict[str, Record] = {}  # those of them that live
-        self.digest = Digest()
-        self.version = 0  # grows when the live ones are others
-        self.differed_at = -math.inf  # when somebody's digest was last another than ours
-        self.met_at = math.inf  # when the first other was met
-        self._dead: dict[
-            str, Record
-        ] = {}  # those that do not, and are looked for: also who left may come again
-        self._names: list[set[str]] = [set() for _ in range(BUCKETS)]  # all known names, by bucket
-        self._places: Counter[str] = Counter()  # where the live ones are
-        self._hold(None, me)
-        self._seeds = [seed for seed in seeds if seed != me.place]
+        # Local health of Lifeguard: 0 is healthy; the probe period is multiplied by 1 plus this score.
+        self.local_health_score = 0
+        self.changes: list[MemberChange] = []
+        self.members: dict[str, MemberRecord] = {}  # all known members, including dead ones
+        self.live_members: dict[str, MemberRecord] = {}
+        self.digest = ViewDigest()
+        self.live_set_version = 0  # increases when the set of live members changes
+        self.digest_mismatch_at = -math.inf  # when a digest that differs from ours was last received
+        self.first_contact_at = math.inf  # when the first datagram of another member was received
+        # Members that died or left. They are contacted again, since even one that left may come back.
+        self._dead_members: dict[str, MemberRecord] = {}
+        self._names_by_bucket: list[set[str]] = [set() for _ in range(BUCKET_COUNT)]  # all known names
+        self._live_addresses: Counter[str] = Counter()
+        self._store(None, local_record)
+        self._seeds = [seed for seed in seeds if seed != local_record.address]
         self._rng, self._now = rng, now
-        self._tick_at = now
-        self._period_at = now + rng.random() * FIRST_MS
-        self._ask_at = math.inf
-        self._round: list[str] = []  # who is probed next, in random order
+        self._last_tick_at = now
+        self._next_period_at = now + rng.random() * MAX_FIRST_PROBE_DELAY_MS
+        self._indirect_probe_at = math.inf
+        self._probe_queue: list[str] = []  # names of the members to probe next, in random order
         self._probe: _Probe | None = None
-        self._timed: dict[int, float] = {}  # probes of late, and when they were sent
-        self._usual_rtt, self._rtt_spread = -1.0, 0.0  # of answers; below 0: none yet
-        self._relays: dict[int, _Relay] = {}
+        self._probe_sent_at: dict[int, float] = {}  # by probe ID, for the latest probes
+        self._smoothed_rtt, self._rtt_deviation = -1.0, 0.0  # negative: no sample yet
+        self._relayed_probes: dict[int, _RelayedProbe] = {}
         self._suspicions: dict[str, _Suspicion] = {}
-        self._news = News()
-        self._dead_at: dict[str, float] = {}
-        self._once: dict[str, dict[int, Once]] = {}  # by name and life
-        self._raises: dict[int, int] = {}  # by life: how often it outdid us
-        self._outdone: dict[int, int] = {}  # by life: its incarnation that we have outdone
-        self._pages: deque[tuple[str, str, int, str]] = (
-            deque()
-        )  # name, place, bucket, after: still to compare
-        self._pages_out = 0
-        self._sync_at = now
-        self._differs: tuple[str, str] | None = None  # who has another digest, and where
-        self._compared = ""  # who was asked where the views differ
-        self._number = 0
-        self._count = 0
-        self.replayed = 0
-        # What is told of server lists, once it is plain that the datagram counts.
-        self.on_list: Callable[[float, str, ListMessage], list[Out]] = lambda now, place, message: []
-
-    # What the owner reads
-
-    def live(self) -> list[Record]:
-        return list(self.lives.values())
+        self._updates = UpdateQueue()
+        self._dead_since: dict[str, float] = {}
+        self._replay_filters: dict[str, dict[int, ReplayFilter]] = {}  # by name and boot ID
+        # For other processes with our name, by boot ID: how often each raised its incarnation above ours, ...
+        self._raise_counts: dict[int, int] = {}
+        self._outbid_incarnations: dict[int, int] = {}  # ... and its highest incarnation that we exceeded.
+        # Pages to send in the comparison of views: name, address, bucket, after_name.
+        self._pending_pages: deque[tuple[str, str, int, str]] = deque()
+        self._pages_in_flight = 0
+        self._next_sync_at = now
+        self._sync_candidate: tuple[str, str] | None = (
+            None  # name and address of a member whose digest differs
+        )
+        self._sync_peer = ""  # the member that was sent our bucket digests
+        self._last_probe_id = 0
+        self._last_sequence = 0
+        self.replayed_count = 0
+        # Handles messages about server lists, after the datagram was accepted.
+        self.on_list_message: Callable[[float, str, ListMessage], list[OutgoingMessage]] = (
+            lambda now, address, message: []
+        )
+
+    # Queries
+
+    def live_records(self) -> list[MemberRecord]:
+        return list(self.live_members.values())
 
     # Events
 
-    def receive(self, now: float, place: str, message: Message) -> list[Out]:
-        """A datagram that was opened, from where it came."""
+    def receive(self, now: float, address: str, message: Message) -> list[OutgoingMessage]:
+        """Handle a decoded datagram from this address and return the messages to send."""
         self._now = now
-        if self.has_left or self.is_duplicate or message.to not in ("", self.me.name):
+        if self.has_left or self.is_duplicate or message.recipient not in ("", self.local_record.name):
             return []
         sender = message.sender
-        if sender.life == self.me.life:
+        if sender.boot_id == self.local_record.boot_id:
             return []
-        if not self._once_of(sender).takes(message.count):
-            self.replayed += 1
+        if not self._replay_filter_for(sender).accept(message.sequence):
+            self.replayed_count += 1
             return []
         if not self._is_current(sender):
-            # A restart that nobody noticed, or a second process with this name: only what we hold of the name
-            # lets it outdo that. Left without an answer, it was nobody until its former life had died.
-            return [self._ack(place, message)] if isinstance(message, Ping) else []
+            # A restart that was not noticed, or a second process with this name. It needs our record of the
+            # name to choose a higher incarnation; without an answer it would stay unknown until the former
+            # process is declared dead.
+            return [self._make_ack(address, message)] if isinstance(message, Ping) else []
         self._merge(sender)
-        out: list[Out] = []
+        outgoing: list[OutgoingMessage] = []
         match message:
             case Ping():
-                self._learn(message.news)
-                out.append(self._ack(place, message))
+                self._merge_all(message.updates)
+                outgoing.append(self._make_ack(address, message))
             case Ack():
-                self._learn(message.news)
-                out += self._acked(sender.name, message.number)
-            case Ask():
-                self._learn(message.news)
-                out += self._probe_for(place, sender.name, message)
+                self._merge_all(message.updates)
+                outgoing += self._handle_ack(sender.name, message.probe_id)
+            case PingRequest():
+                self._merge_all(message.updates)
+                outgoing += self._relay_probe(address, sender.name, message)
             case Nack():
-                if self._probe is not None and self._probe.number == message.number:
-                    self._probe.nacks += 1
-            case Summary():
-                mine = [one & 0xFFFFFFFF for one in self.digest.buckets]
-                differ = [i for i, (a, b) in enumerate(zip(mine, message.buckets, strict=False)) if a != b]
-                if differ:
-                    out.append(Out(place, Differ(*self.head(sender.name), differ)))
-            case Differ() if sender.name == self._compared:
-                self._compared = ""
-                wanted = [bucket for bucket in message.buckets if 0 <= bucket < BUCKETS]
-                self._rng.shuffle(wanted)
-                self._pages = deque((sender.name, place, bucket, "") for bucket in wanted[:BUCKETS])
-                self._pages_out = 0
-                out += self._next_pages()
-            case Page():
-                out.append(Out(place, self._reply(sender.name, message)))
-            case Have() | Want() | Piece():
-                out += self.on_list(now, place, message)
-            case Reply():
-                self._learn(message.records)
-                self._pages_out = max(self._pages_out - 1, 0)
-                if message.upto and 0 <= message.bucket < BUCKETS:
-                    self._pages.append((sender.name, place, message.bucket, message.upto))
-                out += self._next_pages()
-        self.met_at = min(self.met_at, now)
-        if message.digest != self.digest.whole:
-            self._differs, self.differed_at = (sender.name, place), now
-        return out
-
-    def tick(self, now: float) -> list[Out]:
-        """Time has passed."""
-        late, self._now, self._tick_at = now - self._tick_at, now, now
+                if self._probe is not None and self._probe.probe_id == message.probe_id:
+                    self._probe.nacks_received += 1
+            case BucketDigests():
+                own_buckets = [digest & 0xFFFFFFFF for digest in self.digest.buckets]
+                differing = [
+                    i for i, (a, b) in enumerate(zip(own_buckets, message.buckets, strict=False)) if a != b
+                ]
+                if differing:
+                    outgoing.append(
+                        OutgoingMessage(
+                            address, DifferingBuckets(*self.message_header(sender.name), differing)
+                        )
+                    )
+            case DifferingBuckets() if sender.name == self._sync_peer:
+                self._sync_peer = ""
+                buckets = [bucket for bucket in message.buckets if 0 <= bucket < BUCKET_COUNT]
+                self._rng.shuffle(buckets)
+                self._pending_pages = deque(
+                    (sender.name, address, bucket, "") for bucket in buckets[:BUCKET_COUNT]
+                )
+                self._pages_in_flight = 0
+                outgoing += self._send_pages()
+            case BucketPage():
+                outgoing.append(OutgoingMessage(address, self._make_bucket_reply(sender.name, message)))
+            case ListStatus() | ListRequest() | ListChunk():
+                outgoing += self.on_list_message(now, address, message)
+            case BucketReply():
+                self._merge_all(message.records)
+                self._pages_in_flight = max(self._pages_in_flight - 1, 0)
+                if message.last_name and 0 <= message.bucket < BUCKET_COUNT:
+                    self._pending_pages.append((sender.name, address, message.bucket, message.last_name))
+                outgoing += self._send_pages()
+        self.first_contact_at = min(self.first_contact_at, now)
+        if message.digest != self.digest.total:
+            self._sync_candidate, self.digest_mismatch_at = (sender.name, address), now
+        return outgoing
+
+    def tick(self, now: float) -> list[OutgoingMessage]:
+        """Handle everything that is due and return the messages to send."""
+        since_last_tick, self._now, self._last_tick_at = now - self._last_tick_at, now, now
         if self.has_left or self.is_duplicate:
             return []
-        if late > STALL_MS:
-            self._stalled(late)
-        out = self._relays_due() + self._compare()
+        if since_last_tick > STALL_MS:
+            self._recover_from_stall(since_last_tick)
+        outgoing = self._check_relayed_probes() + self._start_sync()
         for name, suspicion in list(self._suspicions.items()):
-            if now >= suspicion.ends_at():
-                known = self.members[name]
-                self._merge(msgspec.structs.replace(known, standing=Standing.DEAD, by=self.me.name))
+            if now >= suspicion.expires_at():
+                record = self.members[name]
+                self._merge(
+                    msgspec.structs.replace(
+                        record, standing=Standing.DEAD, reported_by=self.local_record.name
+                    )
+                )
         probe = self._probe
-        if probe is not None and now >= self._ask_at:
-            self._ask_at = math.inf
+        if probe is not None and now >= self._indirect_probe_at:
+            self._indirect_probe_at = math.inf
             if not probe.answered:
-                out += self._ask_others(probe)
-        if now >= self._period_at:
-            self._end_probe()
-            self._period_at = now + self._period() * (1 + self.doubt)
-            out += self._begin_probe()
-            out += self._look_for_lost() + self._hear_suspect()
-            self._forget()
-        return out
-
-    def leave(self, now: float) -> list[Out]:
-        """Go in order: some are told, and tell the others."""
+                outgoing += self._probe_indirectly(probe)
+        if now >= self._next_period_at:
+            self._finish_probe()
+            self._next_period_at = now + self._probe_period() * (1 + self.local_health_score)
+            outgoing += self._start_probe()
+            outgoing += self._ping_lost_member() + self._ping_suspect()
+            self._forget_dead_members()
+        return outgoing
+
+    def leave(self, now: float) -> list[OutgoingMessage]:
+        """Leave the fleet. Some members are told directly, and spread the news."""
         self._now = now
-        gone = msgspec.structs.replace(self.me, incarnation=self.me.incarnation + 1, standing=Standing.LEFT)
-        self._become(gone)
-        others = [record for record in self.live() if record.name != self.me.name]
-        told = self._rng.sample(others, min(LEAVE_TOLD, len(others)))
-        out = [self._ping(record.place, record.name) for record in told]
+        left_record = msgspec.structs.replace(
+            self.local_record, incarnation=self.local_record.incarnation + 1, standing=Standing.LEFT
+        )
+        self._set_local_record(left_record)
+        others = [record for record in self.live_records() if record.name != self.local_record.name]
+        recipients = self._rng.sample(others, min(LEAVE_PING_COUNT, len(others)))
+        outgoing = [self._make_ping(record.address, record.name) for record in recipients]
         self.has_left = True
-        return out
+        return outgoing
 
-    def _compare(self) -> list[Out]:
-        """Once a period ask one whose digest was another where the views differ."""
-        if self._differs is None or self._now < self._sync_at:
+    def _start_sync(self) -> list[OutgoingMessage]:
+        """Once per period, ask a member whose digest differed in which buckets the views differ."""
+        if self._sync_candidate is None or self._now < self._next_sync_at:
             return []
-        (self._compared, place), self._differs = self._differs, None
-        self._sync_at = self._now + PERIOD_MS
-        buckets = [one & 0xFFFFFFFF for one in self.digest.buckets]
-        return [Out(place, Summary(*self.head(self._compared), buckets))]
+        (self._sync_peer, address), self._sync_candidate = self._sync_candidate, None
+        self._next_sync_at = self._now + MIN_PROBE_PERIOD_MS
+        buckets = [digest & 0xFFFFFFFF for digest in self.digest.buckets]
+        return [OutgoingMessage(address, BucketDigests(*self.message_header(self._sync_peer), buckets))]
 
     # Probes
 
-    def _begin_probe(self) -> list[Out]:
-        while self._round:
-            record = self.members.get(self._round.pop())
-            if record is not None and record.is_live and record.name != self.me.name:
+    def _start_probe(self) -> list[OutgoingMessage]:
+        while self._probe_queue:
+            record = self.members.get(self._probe_queue.pop())
+            if record is not None and record.is_live and record.name != self.local_record.name:
                 break
         else:
-            self._round = [record.name for record in self.live() if record.name != self.me.name]
-            self._rng.shuffle(self._round)
-            if not self._round:
+            self._probe_queue = [
+                record.name for record in self.live_records() if record.name != self.local_record.name
+            ]
+            self._rng.shuffle(self._probe_queue)
+            if not self._probe_queue:
                 return []
-            record = self.members[self._round.pop()]
-        self._number += 1
-        self._probe = _Probe(record.name, self._number)
-        self._ask_at = self._now + DIRECT_SHARE * self._period() * (1 + self.doubt)
-        self._timed[self._number] = self._now
-        if len(self._timed) > TIMED_MOST:
-            del self._timed[next(iter(self._timed))]
-        return [self._ping(record.place, record.name, self._number)]
-
-    def _time(self, took: float) -> None:
-        """An answer's time, as TCP measures it. Links of 300 ms made everybody suspect everybody by turns."""
-        if self._usual_rtt < 0.0:
-            self._usual_rtt, self._rtt_spread = took, took / 2
+            record = self.members[self._probe_queue.pop()]
+        self._last_probe_id += 1
+        self._probe = _Probe(record.name, self._last_probe_id)
+        self._indirect_probe_at = self._now + DIRECT_PROBE_SHARE * self._probe_period() * (
+            1 + self.local_health_score
+        )
+        self._probe_sent_at[self._last_probe_id] = self._now
+        if len(self._probe_sent_at) > MAX_TIMED_PROBES:
+            del self._probe_sent_at[next(iter(self._probe_sent_at))]
+        return [self._make_ping(record.address, record.name, self._last_probe_id)]
+
+    def _update_rtt(self, sample: float) -> None:
+        """Update the RTT estimate as TCP does. With a fixed period, links of 300 ms made all suspect all."""
+        if self._smoothed_rtt < 0.0:
+            self._smoothed_rtt, self._rtt_deviation = sample, sample / 2
             return
-        self._rtt_spread += RTT_SPREAD_WEIGHT * (abs(took - self._usual_rtt) - self._rtt_spread)
-        self._usual_rtt += RTT_WEIGHT * (took - self._usual_rtt)
+        self._rtt_deviation += RTT_DEVIATION_GAIN * (abs(sample - self._smoothed_rtt) - self._rtt_deviation)
+        self._smoothed_rtt += RTT_GAIN * (sample - self._smoothed_rtt)
 
-    def _period(self) -> float:
-        """Half of it is time enough for a direct answer."""
-        longest = self._usual_rtt + RTT_SPREADS * self._rtt_spread
-        return min(max(PERIOD_MS, longest / DIRECT_SHARE), PERIOD_MOST_MS)
+    def _probe_period(self) -> float:
+        """Return a period whose direct probe share is long enough for an answer."""
+        expected_max_rtt = self._smoothed_rtt + RTT_DEVIATIONS * self._rtt_deviation
+        return min(max(MIN_PROBE_PERIOD_MS, expected_max_rtt / DIRECT_PROBE_SHARE), MAX_PROBE_PERIOD_MS)
 
-    def _end_probe(self) -> None:
+    def _finish_probe(self) -> None:
         probe, self._probe = self._probe, None
-        if probe is None or probe.answered:  # who has nobody to ask hears nothing bad of itself either
-            self.doubt = max(self.doubt - 1, 0)
+        # Without a probe, because there is nobody to probe, the local health recovers too.
+        if probe is None or probe.answered:
+            self.local_health_score = max(self.local_health_score - 1, 0)
             return
-        self.doubt = min(
-            self.doubt + probe.asked - probe.nacks, DOUBT_MOST
-        )  # who was asked, and said nothing
-        record = self.members.get(probe.name)
+        # Each member that was asked and sent neither an Ack nor a Nack suggests a local problem.
+        self.local_health_score = min(
+            self.local_health_score + probe.requests_sent - probe.nacks_received, MAX_LOCAL_HEALTH_SCORE
+        )
+        record = self.members.get(probe.target)
         if record is not None and record.standing is Standing.ALIVE:
-            self._merge(msgspec.structs.replace(record, standing=Standing.SUSPECT, by=self.me.name))
+            self._merge(
+                msgspec.structs.replace(record, standing=Standing.SUSPECT, reported_by=self.local_record.name)
+            )
         elif record is not None and record.standing is Standing.SUSPECT:
-            self._merge(msgspec.structs.replace(record, by=self.me.name))
-
-    def _ask_others(self, probe: _Probe) -> list[Out]:
-        target = self.members.get(probe.name)
-        others = [one for one in self.live() if one.name not in (self.me.name, probe.name)]
+            self._merge(msgspec.structs.replace(record, reported_by=self.local_record.name))
+
+    def _probe_indirectly(self, probe: _Probe) -> list[OutgoingMessage]:
+        target = self.members.get(probe.target)
+        others = [
+            record
+            for record in self.live_records()
+            if record.name not in (self.local_record.name, probe.target)
+        ]
         if target is None or not others:
             return []
-        asked = self._rng.sample(others, min(ASKED, len(others)))
-        probe.asked = len(asked)
+        helpers = self._rng.sample(others, min(INDIRECT_PROBE_COUNT, len(others)))
+        probe.requests_sent = len(helpers)
         return [
-            Out(
-                one.place,
-                Ask(*self.head(one.name), probe.number, target.name, target.place, self._news_for(one.name)),
+            OutgoingMessage(
+                helper.address,
+                PingRequest(
+                    *self.message_header(helper.name),
+                    probe.probe_id,
+                    target.name,
+                    target.address,
+                    self._select_updates(helper.name),
+                ),
             )
-            for one in asked
+            for helper in helpers
         ]
 
-    def _probe_for(self, place: str, asker: str, message: Ask) -> list[Out]:
-        if len(self._relays) >= 64:
+    def _relay_probe(self, address: str, requester: str, message: PingRequest) -> list[OutgoingMessage]:
+        if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
             return []
-        self._number += 1
-        wait = DIRECT_SHARE * self._period()
-        self._relays[self._number] = _Relay(
-            message.number, asker, place, self._now + NACK_SHARE * wait, self._now + 4 * PERIOD_MS
+        self._last_probe_id += 1
+        direct_wait = DIRECT_PROBE_SHARE * self._probe_period()
+        self._relayed_probes[self._last_probe_id] = _RelayedProbe(
+            message.probe_id,
+            requester,
+            address,
+            self._now + NACK_SHARE * direct_wait,
+            self._now + 4 * MIN_PROBE_PERIOD_MS,
         )
-        # No longer than the question, also here: it goes where the asker says.
-        return [Out(message.place, Ping(*self.head(message.target), self._number, [], b""))]
-
-    def _relays_due(self) -> list[Out]:
-        out = []
-        for number, relay in list(self._relays.items()):
-            if self._now >= relay.nack_at:
-                relay.nack_at = math.inf
-                out.append(Out(relay.place, Nack(*self.head(relay.asker), relay.number)))
-            if self._now >= relay.ends_at:
-                del self._relays[number]
-        return out
-
-    def _acked(self, name: str, number: int) -> list[Out]:
-        sent_at = self._timed.pop(number, None)
-        if sent_at is not None and self._now - sent_at <= RTT_MOST_MS:
-            self._time(self._now - sent_at)
+        # The ping must not be longer than the request either, since the requester chooses its destination.
+        return [
+            OutgoingMessage(
+                message.target_address,
+                Ping(*self.message_header(message.target), self._last_probe_id, [], b""),
+            )
+        ]
+
+    def _check_relayed_probes(self) -> list[OutgoingMessage]:
+        outgoing = []
+        for probe_id, relayed in list(self._relayed_probes.items()):
+            if self._now >= relayed.nack_at:
+                relayed.nack_at = math.inf
+                outgoing.append(
+                    OutgoingMessage(
+                        relayed.requester_address,
+                        Nack(*self.message_header(relayed.requester), relayed.requester_probe_id),
+                    )
+                )
+            if self._now >= relayed.expires_at:
+                del self._relayed_probes[probe_id]
+        return outgoing
+
+    def _handle_ack(self, name: str, probe_id: int) -> list[OutgoingMessage]:
+        sent_at = self._probe_sent_at.pop(probe_id, None)
+        if sent_at is not None and self._now - sent_at <= MAX_RTT_SAMPLE_MS:
+            self._update_rtt(self._now - sent_at)
         probe = self._probe
-        if probe is not None and probe.number == number:
+        if probe is not None and probe.probe_id == probe_id:
             probe.answered = True
             return []
-        relay = self._relays.pop(number, None)
-        if relay is None:
+        relayed = self._relayed_probes.pop(probe_id, None)
+        if relayed is None:
             return []
-        return [Out(relay.place, Ack(*self.head(relay.asker), relay.number, []))]
+        return [
+            OutgoingMessage(
+                relayed.requester_address,
+                Ack(*self.message_header(relayed.requester), relayed.requester_probe_id, []),
+            )
+        ]
 
-    def _look_for_lost(self) -> list[Out]:
-        """One of the dead, or of the seeds that are not live here: partitions heal from either side."""
-        lost = [record.place for record in self._dead.values() if not self._places[record.place]]
-        lost += [seed for seed in self._seeds if not self._places[seed]]
-        return [self._ping(self._rng.choice(lost), "")] if lost else []
+    def _ping_lost_member(self) -> list[OutgoingMessage]:
+        """Ping a dead member or a seed that is not live here, so that either side can heal a partition."""
+        lost = [
+            record.address
+            for record in self._dead_members.values()
+            if not self._live_addresses[record.address]
+        ]
+        lost += [seed for seed in self._seeds if not self._live_addresses[seed]]
+        return [self._make_ping(self._rng.choice(lost), "")] if lost else []
 
-    def _hear_suspect(self) -> list[Out]:
-        """Ask one who is suspected, whoever began it: its answer refutes, with no hop between."""
+    def _ping_suspect(self) -> list[OutgoingMessage]:
+        """Ping a suspected member, whoever reported it: its answer refutes the suspicion directly."""
         if not self._suspicions:
             return []
         suspect = self.members[self._rng.choice(sorted(self._suspicions))]
-        return [self._ping(suspect.place, suspect.name)]
-
-    def _stalled(self, late: float) -> None:
-        """We stood still: what did not come in that time says nothing of the others."""
-        self.doubt = DOUBT_MOST // 2
-        self._probe, self._ask_at = None, math.inf
-        self._relays.clear()
-        self._period_at = self._now
+        return [self._make_ping(suspect.address, suspect.name)]
+
+    def _recover_from_stall(self, stalled_for: float) -> None:
+        """Discard all waits: answers that were missed while this process stalled say nothing about others."""
+        self.local_health_score = MAX_LOCAL_HEALTH_SCORE // 2
+        self._probe, self._indirect_probe_at = None, math.inf
+        self._relayed_probes.clear()
+        self._next_period_at = self._now
         for suspicion in self._suspicions.values():
-            suspicion.since += late
+            suspicion.started_at += stalled_for
 
     # Records
 
-    def _once_of(self, sender: Record) -> Once:
-        """What was taken of this life; also of some earlier ones, whose datagrams may be played again."""
-        lives = self._once.setdefault(sender.name, {})
-        once = lives.pop(sender.life, None) or Once()
-        while len(lives) >= LIVES_HEARD:
-            del lives[next(iter(lives))]  # the one that was silent for longest
-        lives[sender.life] = once
-        return once
+    def _replay_filter_for(self, sender: MemberRecord) -> ReplayFilter:
+        """Return the filter of the sender's process. Filters of some earlier processes are kept as well.
+
+        Otherwise, recorded datagrams of an earlier process could be replayed.
+        """
+        filters = self._replay_filters.setdefault(sender.name, {})
+        replay_filter = filters.pop(sender.boot_id, None) or ReplayFilter()
+        while len(filters) >= MAX_REPLAY_FILTERS:
+            del filters[next(iter(filters))]  # the least recently used
+        filters[sender.boot_id] = replay_filter
+        return replay_filter
 
-    def _is_current(self, sender: Record) -> bool:
+    def _is_current(self, sender: MemberRecord) -> bool:
         known = self.members.get(sender.name)
-        return known is None or known.life == sender.life or not known.outranks(sender) or not known.is_live
+        return (
+            known is None
+            or known.boot_id == sender.boot_id
+            or not known.supersedes(sender)
+            or not known.is_live
+        )
 
-    def _learn(self, news: Iterable[Record]) -> None:
-        for record in news:
+    def _merge_all(self, records: Iterable[MemberRecord]) -> None:
+        for record in records:
             self._merge(record)
 
-    def _merge(self, record: Record) -> None:
-        if record.name == self.me.name:
-            self._about_me(record)
+    def _merge(self, record: MemberRecord) -> None:
+        if record.name == self.local_record.name:
+            self._handle_own_name(record)
             return
         known = self.members.get(record.name)
-        if known is not None and not record.outranks(known):
+        if known is not None and not record.supersedes(known):
             suspicion = self._suspicions.get(record.name)
-            # Of the same life, too: else a lesser one with as high an incarnation took the name back.
-            same = msgspec.structs.replace(record, by=known.by) == known
-            if suspicion is not None and same and suspicion.is_news(record.by):
-                suspicion.by.add(record.by)
-                self._news.put(record.name)  # who agrees is news too
-                self._hold(known, record)
+            # The boot ID must match too. Otherwise a confirmation that concerns another process with a lower
+            # boot ID and the same incarnation would replace the record.
+            is_same = msgspec.structs.replace(record, reported_by=known.reported_by) == known
+            if suspicion is not None and is_same and suspicion.is_new_confirmation(record.reported_by):
+                suspicion.confirmed_by.add(record.reported_by)
+                self._updates.enqueue(record.name)  # other members count confirmations too
+                self._store(known, record)
             return
-        self._hold(known, record)
-        self._news.put(record.name)
+        self._store(known, record)
+        self._updates.enqueue(record.name)
         self._suspicions.pop(record.name, None)
-        self._dead_at.pop(record.name, None)
+        self._dead_since.pop(record.name, None)
         if record.standing is Standing.SUSPECT:
-            least = SUSPECT_MIN * self._period() * max(math.log10(max(len(self.lives), 1)), 1.0)
-            suspicion = _Suspicion(self._now, record.incarnation, least, least * SUSPECT_MAX, set())
-            if record.by and record.by != self.me.name:
-                suspicion.by.add(record.by)
+            min_duration = (
+                MIN_SUSPICION_PERIODS
+                * self._probe_period()
+                * max(math.log10(max(len(self.live_members), 1)), 1.0)
+            )
+            suspicion = _Suspicion(
+                self._now, record.incarnation, min_duration, min_duration * SUSPICION_TIME_FACTOR, set()
+            )
+            if record.reported_by and record.reported_by != self.local_record.name:
+                suspicion.confirmed_by.add(record.reported_by)
             self._suspicions[record.name] = suspicion
         elif not record.is_live:
-            self._dead_at[record.name] = self._now
-        if known is None or known.standing is not record.standing or known.life != record.life:
-            self.changes.append(Change(record.name, record.standing, record.by))
-
-    def _about_me(self, record: Record) -> None:
-        """Somebody says something of us, or of another process with our name."""
-        raised = record.incarnation >= self.me.incarnation and record.is_live
-        if record.life != self.me.life and raised and record.incarnation > self._outdone.get(record.life, -1):
-            # A former life of ours is in old news; one that comes back each time we outdo it lives.
-            self._raises[record.life] = self._raises.get(record.life, 0) + 1
-            if self._raises[record.life] == RAISES:
-                self.is_duplicate = record.life > self.me.life
-                why = f"another process has our name, at {record.place}"
-                self.changes.append(Change(self.me.name, Standing.SUSPECT, why))
+            self._dead_since[record.name] = self._now
+        if known is None or known.standing is not record.standing or known.boot_id != record.boot_id:
+            self.changes.append(MemberChange(record.name, record.standing, record.reported_by))
+
+    def _handle_own_name(self, record: MemberRecord) -> None:
+        """Handle a record about this process or another process with the same name; refute it if needed."""
+        is_raised = record.incarnation >= self.local_record.incarnation and record.is_live
+        if (
+            record.boot_id != self.local_record.boot_id
+            and is_raised
+            and record.incarnation > self._outbid_incarnations.get(record.boot_id, -1)
+        ):
+            # Outdated updates may mention a former process of this member. A process that raises its
+            # incarnation each time we exceed it is alive.
+            self._raise_counts[record.boot_id] = self._raise_counts.get(record.boot_id, 0) + 1
+            if self._raise_counts[record.boot_id] == DUPLICATE_RAISES:
+                self.is_duplicate = record.boot_id > self.local_record.boot_id
+                reason = f"another process uses this member's name, at {record.address}"
+                self.changes.append(MemberChange(self.local_record.name, Standing.SUSPECT, reason))
                 if self.is_duplicate:
                     return
-        mine = self.me
-        if record.life == mine.life and record.is_live and record.standing is Standing.ALIVE:
+        own_record = self.local_record
+        if record.boot_id == own_record.boot_id and record.is_live and record.standing is Standing.ALIVE:
             return
-        if record.incarnation < mine.incarnation:
+        if record.incarnation < own_record.incarnation:
             return
-        if record.life == mine.life:
-            self.doubt = min(self.doubt + 1, DOUBT_MOST)
-        self._outdone[record.life] = max(record.incarnation, self._outdone.get(record.life, -1))
-        if len(self._outdone) > LIVES_MOST:
-            oldest = next(iter(self._outdone))
-            self._raises.pop(oldest, None)
-            del self._outdone[oldest]
-        self._become(msgspec.structs.replace(mine, incarnation=record.incarnation + 1))
-
-    def _become(self, me: Record) -> None:
-        self._hold(self.me, me)
-        self.me = me
-
-    def _hold(self, known: Record | None, record: Record | None) -> None:
-        """The one place where what is known of a member, and all that is derived from it, changes."""
-        self.digest.change(known, record)
+        if record.boot_id == own_record.boot_id:
+            self.local_health_score = min(self.local_health_score + 1, MAX_LOCAL_HEALTH_SCORE)
+        self._outbid_incarnations[record.boot_id] = max(
+            record.incarnation, self._outbid_incarnations.get(record.boot_id, -1)
+        )
+        if len(self._outbid_incarnations) > MAX_OUTBID_BOOT_IDS:
+            oldest = next(iter(self._outbid_incarnations))
+            self._raise_counts.pop(oldest, None)
+            del self._outbid_incarnations[oldest]
+        self._set_local_record(msgspec.structs.replace(own_record, incarnation=record.incarnation + 1))
+
+    def _set_local_record(self, record: MemberRecord) -> None:
+        self._store(self.local_record, record)
+        self.local_record = record
+
+    def _store(self, known: MemberRecord | None, record: MemberRecord | None) -> None:
+        """Replace the known record of a member and update all indexes; nothing else may change them."""
+        self.digest.update(known, record)
         if known is not None and known.is_live:
-            self._places[known.place] -= 1
-            if not self._places[known.place]:
-                del self._places[known.place]
+            self._live_addresses[known.address] -= 1
+            if not self._live_addresses[known.address]:
+                del self._live_addresses[known.address]
         name = known.name if record is None and known is not None else record.name if record else ""
-        was_live = self.lives.pop(name, None) is not None
-        self._dead.pop(name, None)
+        was_live = self.live_members.pop(name, None) is not None
+        self._dead_members.pop(name, None)
         if record is None:
             self.members.pop(name, None)
-            self._names[bucket_of(name)].discard(name)
+            self._names_by_bucket[bucket_index(name)].discard(name)
         else:
             self.members[name] = record
-            self._names[bucket_of(name)].add(name)
+            self._names_by_bucket[bucket_index(name)].add(name)
             if record.is_live:
-                self.lives[name] = record
-                self._places[record.place] += 1
+                self.live_members[name] = record
+                self._live_addresses[record.address] += 1
             else:
-                self._dead[name] = record
-        self.version += was_live is not (name in self.lives)
+                self._dead_members[name] = record
+        self.live_set_version += was_live is not (name in self.live_members)
 
-    def _forget(self) -> None:
-        for name, at in list(self._dead_at.items()):
-            if self._now >= at + FORGET_MS:
-                del self._dead_at[name]
-                self._hold(self.members[name], None)
-                self._once.pop(name, None)
-                self._news.drop(name)
+    def _forget_dead_members(self) -> None:
+        for name, dead_since in list(self._dead_since.items()):
+            if self._now >= dead_since + FORGET_DEAD_MS:
+                del self._dead_since[name]
+                self._store(self.members[name], None)
+                self._replay_filters.pop(name, None)
+                self._updates.remove(name)
 
     # Datagrams
 
-    def head(self, to: str) -> tuple[Record, str, int, int]:
-        """What every message to a member begins with."""
-        self._count += 1
-        return self.me, to, self._count, self.digest.whole
-
-    def _ping(self, place: str, name: str, number: int = 0) -> Out:
-        if not number:
-            self._number += 1
-            number = self._number
-        room = bytes(size_of(self.me) + ROOM_BYTES)
-        return Out(place, Ping(*self.head(name), number, self._news_for(name), room))
+    def message_header(self, recipient: str) -> tuple[MemberRecord, str, int, int]:
+        """Return the fields that every message starts with; uses up one sequence number."""
+        self._last_sequence += 1
+        return self.local_record, recipient, self._last_sequence, self.digest.total
+
+    def _make_ping(self, address: str, name: str, probe_id: int = 0) -> OutgoingMessage:
+        if not probe_id:
+            self._last_probe_id += 1
+            probe_id = self._last_probe_id
+        padding = bytes(encoded_size(self.local_record) + HEADER_BYTES)
+        return OutgoingMessage(
+            address, Ping(*self.message_header(name), probe_id, self._select_updates(name), padding)
+        )
 
-    def _ack(self, place: str, ping: Ping) -> Out:
+    def _make_ack(self, address: str, ping: Ping) -> OutgoingMessage:
         name = ping.sender.name
-        room = size_of(ping) - size_of(self.me) - ROOM_BYTES
-        return Out(place, Ack(*self.head(name), ping.number, self._news_for(name, ping.sender, room)))
-
-    def _news_for(self, name: str, sender: Record | None = None, room: int = NEWS_BYTES) -> list[Record]:
-        """What was told least often first; before all, what we think of the other: it can refute."""
-        news: list[Record] = []
-        room = min(room, NEWS_BYTES)
-        about = self.members.get(name)
-        wrong = about is not None and about.standing is not Standing.ALIVE
-        stale = about is not None and sender is not None and about.outranks(sender)
-        if about is not None and (wrong or stale) and size_of(about) <= room:
-            news.append(about)
-            room -= size_of(about)
-        most = math.ceil(NEWS_TIMES * math.log2(len(self.members) + 1))
-        for told in self._news:
-            record = self.members.get(told)
-            if record is None or told == name:
+        max_bytes = encoded_size(ping) - encoded_size(self.local_record) - HEADER_BYTES
+        return OutgoingMessage(
+            address,
+            Ack(
+                *self.message_header(name), ping.probe_id, self._select_updates(name, ping.sender, max_bytes)
+            ),
+        )
+
+    def _select_updates(
+        self, name: str, sender: MemberRecord | None = None, max_bytes: int = MAX_UPDATE_BYTES
+    ) -> list[MemberRecord]:
+        """Return the updates for one datagram to this member, those sent least often first.
+
+        A record of the recipient itself goes first if it is suspect, dead or newer than the recipient's own,
+        so that the recipient can refute it.
+        """
+        updates: list[MemberRecord] = []
+        bytes_left = min(max_bytes, MAX_UPDATE_BYTES)
+        recipient = self.members.get(name)
+        is_not_alive = recipient is not None and recipient.standing is not Standing.ALIVE
+        is_newer = recipient is not None and sender is not None and recipient.supersedes(sender)
+        if recipient is not None and (is_not_alive or is_newer) and encoded_size(recipient) <= bytes_left:
+            updates.append(recipient)
+            bytes_left -= encoded_size(recipient)
+        max_sends = math.ceil(UPDATE_SENDS_FACTOR * math.log2(len(self.members) + 1))
+        for updated_name in self._updates:
+            record = self.members.get(updated_name)
+            if record is None or updated_name == name:
                 continue
-            room -= size_of(record)
-            if room < 0:
+            bytes_left -= encoded_size(record)
+            if bytes_left < 0:
                 break
-            news.append(record)
-            self._news.count(told, most)
-        return news
-
-    def _range(self, bucket: int, after: str, upto: str) -> list[Record]:
-        """What we hold of a bucket between two names, by name."""
-        names = sorted(name for name in self._names[bucket] if name > after and (not upto or name <= upto))
+            updates.append(record)
+            self._updates.record_send(updated_name, max_sends)
+        return updates
+
+    def _records_in_range(self, bucket: int, after_name: str, last_name: str) -> list[MemberRecord]:
+        """Return the records of a bucket whose names lie in the range, sorted by name."""
+        names = sorted(
+            name
+            for name in self._names_by_bucket[bucket]
+            if name > after_name and (not last_name or name <= last_name)
+        )
         return [self.members[name] for name in names]
 
-    def _next_pages(self) -> list[Out]:
-        out: list[Out] = []
-        while self._pages and self._pages_out < PAGES_AT_ONCE:
-            name, place, bucket, after = self._pages.popleft()
-            records: list[Record] = []
-            upto, room = "", PAGE_BYTES
-            for record in self._range(bucket, after, ""):
-                room -= size_of(record)
-                if room < 0:
-                    upto = records[-1].name
+    def _send_pages(self) -> list[OutgoingMessage]:
+        outgoing: list[OutgoingMessage] = []
+        while self._pending_pages and self._pages_in_flight < MAX_PAGES_IN_FLIGHT:
+            name, address, bucket, after_name = self._pending_pages.popleft()
+            records: list[MemberRecord] = []
+            last_name, bytes_left = "", MAX_PAGE_BYTES
+            for record in self._records_in_range(bucket, after_name, ""):
+                bytes_left -= encoded_size(record)
+                if bytes_left < 0:
+                    last_name = records[-1].name
                     break
                 records.append(record)
-            self._pages_out += 1
-            if upto:
-                self._pages.append((name, place, bucket, upto))
-            out.append(Out(place, Page(*self.head(name), bucket, after, upto, records, bytes(max(room, 0)))))
-        return out
-
-    def _reply(self, name: str, page: Page) -> Reply:
-        told = {record.name: record for record in page.records}
-        room = min(size_of(page), MOST_BYTES - SEAL_BYTES - 1) - size_of(self.me) - size_of(page.upto) - 64
-        records: list[Record] = []
-        upto = ""
-        for record in self._range(page.bucket, page.after, page.upto):
-            theirs = told.get(record.name)
-            if theirs is None or record.outranks(theirs):
-                room -= size_of(record)
-                if room < 0:
-                    upto = records[-1].name if records else ""
+            self._pages_in_flight += 1
+            if last_name:
+                self._pending_pages.append((name, address, bucket, last_name))
+            outgoing.append(
+                OutgoingMessage(
+                    address,
+                    BucketPage(
+                        *self.message_header(name),
+                        bucket,
+                        after_name,
+                        last_name,
+                        records,
+                        bytes(max(bytes_left, 0)),
+                    ),
+                )
+            )
+        return outgoing
+
+    def _make_bucket_reply(self, name: str, page: BucketPage) -> BucketReply:
+        page_records = {record.name: record for record in page.records}
+        bytes_left = (
+            min(encoded_size(page), MAX_DATAGRAM_BYTES - MAC_BYTES - 1)
+            - encoded_size(self.local_record)
+            - encoded_size(page.last_name)
+            - REPLY_OVERHEAD_BYTES
+        )
+        records: list[MemberRecord] = []
+        last_name = ""
+        for record in self._records_in_range(page.bucket, page.after_name, page.last_name):
+            page_record = page_records.get(record.name)
+            if page_record is None or record.supersedes(page_record):
+                bytes_left -= encoded_size(record)
+                if bytes_left < 0:
+                    last_name = records[-1].name if records else ""
                     break
                 records.append(record)
-        self._learn(page.records)
-        return Reply(*self.head(name), page.bucket, upto, records)
+        self._merge_all(page.records)
+        return BucketReply(*self.message_header(name), page.bucket, last_name, records)
--- a/larkcrank/fleet/news.py
+++ b/larkcrank/fleet/news.py
@@ -1,60 +1,68 @@
-"""News on the back of probes: what was told least often goes first, each piece so many times. No I/O."""
+"""Queue of membership updates that are piggybacked on probes. No I/O.
+
+The updates sent least often go first. Each is sent a limited number of times.
+"""
 
 from collections.abc import Iterator
 
 
-class News:
-    """Names whose record is to be told. Each step costs the same however many there are."""
+class UpdateQueue:
+    """Names of members whose records are to be sent. Operations take constant time."""
 
     def __init__(self) -> None:
-        self._told: dict[str, int] = {}  # how often each was told
-        self._levels: list[dict[str, None]] = [{}]  # names by how often, each level in the order of arrival
+        self._send_counts: dict[str, int] = {}
+        # Names grouped by how often they were sent; each group in order of insertion.
+        self._names_by_send_count: list[dict[str, None]] = [{}]
 
     def __len__(self) -> int:
-        return len(self._told)
+        return len(self._send_counts)
 
     def __contains__(self, name: str) -> bool:
-        return name in self._told
+        return name in self._send_counts
 
-    def put(self, name: str) -> None:
-        """It is new: told from now on, never yet."""
-        self.drop(name)
-        self._told[name] = 0
-        self._levels[0][name] = None
+    def enqueue(self, name: str) -> None:
+        """Add a new update for this member, which replaces an earlier one."""
+        self.remove(name)
+        self._send_counts[name] = 0
+        self._names_by_send_count[0][name] = None
 
-    def drop(self, name: str) -> None:
-        count = self._told.pop(name, None)
-        if count is not None:
-            del self._levels[count][name]
+    def remove(self, name: str) -> None:
+        send_count = self._send_counts.pop(name, None)
+        if send_count is not None:
+            del self._names_by_send_count[send_count][name]
 
     def clear(self) -> None:
-        self._told.clear()
-        self._levels = [{}]
-
-    def count(self, name: str, most: int) -> None:
-        """Told once more; after `most` times it is no news."""
-        count = self._told[name] + 1
-        self.drop(name)
-        if count >= most:
+        self._send_counts.clear()
+        self._names_by_send_count = [{}]
+
+    def record_send(self, name: str, max_sends: int) -> None:
+        """Count one more send; remove the update after `max_sends`."""
+        send_count = self._send_counts[name] + 1
+        self.remove(name)
+        if send_count >= max_sends:
             return
-        self._told[name] = count
-        while len(self._levels) <= count:
-            self._levels.append({})
-        self._levels[count][name] = None
+        self._send_counts[name] = send_count
+        while len(self._names_by_send_count) <= send_count:
+            self._names_by_send_count.append({})
+        self._names_by_send_count[send_count][name] = None
 
     def __iter__(self) -> Iterator[str]:
-        """Least often told first. What is counted or dropped meanwhile changes nothing of this round."""
-        for level in list(self._levels):
-            yield from list(level) if len(level) <= _GLANCE else _first(level)
+        """Iterate over the names, those sent least often first.
+
+        `record_send` and `remove` may be called during the iteration. They do not affect the group that is
+        being iterated, but a name that moves into a later group that already exists is yielded again.
+        """
+        for names in list(self._names_by_send_count):
+            yield from list(names) if len(names) <= _MAX_NAMES_PER_GROUP else _first_names(names)
 
 
-_GLANCE = 64  # more than any datagram holds
+_MAX_NAMES_PER_GROUP = 64  # more than fit into one datagram
 
 
-def _first(level: dict[str, None]) -> list[str]:
-    found = []
-    for name in level:
-        found.append(name)
-        if len(found) == _GLANCE:
+def _first_names(names: dict[str, None]) -> list[str]:
+    first_names = []
+    for name in names:
+        first_names.append(name)
+        if len(first_names) == _MAX_NAMES_PER_GROUP:
             break
-    return found
+    return first_names
--- a/larkcrank/fleet/ranks.py
+++ b/larkcrank/fleet/ranks.py
@@ -1,13 +1,14 @@
-"""How many sidecars there are and which place is this one's, from the view alone: stable, damped.
+"""The fleet's size and this member's ordinal, derived from the membership view alone, and damped.
 
-Places are ranks in the order of a hash of the names: all who hold the same view come to the same ones without
-a word, the circle stays evenly covered, members that are lost together do not stand together, and one member
-more or less moves each part by less than one member's share. Slots that members keep while others come and go
-(open addressing, a fixed order of insertion) move fewer between their steps and several times more at each:
-see docs/fleet-view.md. Names decide, not lives: a restart keeps its place.
+A member's ordinal is its rank in the order of a hash of the names. All members with the same view compute the
+same ordinals without further messages. The hash order remains evenly covered, members that fail together are
+not neighbours in it, and one member more or less moves each member's part of the servers by less than the
+part of one member. With slots that members keep while others come and go (open addressing in a fixed order of
+insertion), fewer parts would move between the steps of a resize, but several times more at each step; see
+docs/fleet-view.md. The order depends on names rather than processes, so a restarted member keeps its ordinal.
 
-Damping. Whoever dies keeps its place for HOLD_MS, twice as long for each death of late (route flap damping,
-RFC 2439). A view in doubt moves nobody.
+Damping: a member that dies keeps its ordinal for HOLD_MS, and twice as long for each recent death before (as
+in route flap damping, RFC 2439). While the view is not trusted, no ordinal changes.
 
 Times are milliseconds on the caller's clock. No I/O.
 """
@@ -19,133 +20,175 @@
 
 from larkcrank.core.interface import FleetSize
 
-JOIN_MS = 2000.0  # a new member is counted after so long: a hundred that join at one moment are one change
-HOLD_MS = 10000.0  # a lost one is counted on for so long: most are back by then ...
-HOLD_MOST_MS = 300000.0  # ... and for so long at most, however often it went
-CALM_MS = 60000.0  # after so long one death weighs half
-CUT_SHARE = 0.25  # of the members lost within HOLD_MS: we may have been cut off, not they killed ...
-CUT_MS = 30000.0  # ... so places stand for so long
-QUIET_MS = 3000.0  # since a member came or went, or somebody's digest was another: still on the move ...
-MOVING_MOST_MS = 15000.0  # ... and after so long it is taken as it is
-ALONE_MS = 5000.0  # after a start, if nobody was met
-RECKON_MS = 300000.0  # for so long those lost may live on elsewhere, and send to the same servers
+JOIN_DELAY_MS = 2000.0  # new members are counted after this, so that many that join together cause one change
+HOLD_MS = 10000.0  # a lost member is still counted for this long, since most come back within it ...
+MAX_HOLD_MS = 300000.0  # ... and for at most this long, however often it was lost
+DEATH_WEIGHT_HALF_LIFE_MS = 60000.0
+# If more than this share of the members is lost at once, this member may be partitioned from live ones ...
+PARTITION_LOSS_SHARE = 0.25
+PARTITION_HOLD_MS = 30000.0  # ... so the ordinals are kept for this long.
+QUIET_MS = 3000.0  # the view has settled if no member came or went and no digest differed for this long ...
+MAX_UNSETTLED_MS = 15000.0  # ... and is used as it is after this long
+ALONE_MS = 5000.0  # after a start without contact to any member, this one counts as the only one
+# Lost members count towards `max_instances` for this long, as they may still send to the same servers.
+MAX_INSTANCES_HOLD_MS = 300000.0
 
 
-class Doubt(Enum):
-    """Why the view is not gone by."""
+class DistrustReason(Enum):
+    """Why the view is not used for now."""
 
     NONE = "none"
-    STARTED = "just started"
-    MOVING = "still on the move"
-    SLOW = "this one was slow itself"
-    CUT = "many lost at one moment"
+    JUST_STARTED = "just started"
+    UNSETTLED = "still on the move"
+    SLOW_PROCESS = "this one was slow itself"
+    POSSIBLE_PARTITION = "many lost at one moment"
 
 
 @dataclass(slots=True)
-class _Lost:
-    at: float
-    until: float  # counted up to then
+class _LostMember:
+    lost_at: float
+    counted_until: float
 
 
-def rank_of(name: str, names: Iterable[str]) -> int:
-    """The place of a name among these, the same wherever they are the same."""
-    mine = _mark(name)
-    return sum(_mark(other) < mine for other in names)
+def ordinal_of(name: str, names: Iterable[str]) -> int:
+    """Return the ordinal of a name among these names, whatever their order."""
+    own_key = _sort_key(name)
+    return sum(_sort_key(other) < own_key for other in names)
 
 
-def _mark(name: str) -> tuple[bytes, str]:
+def _sort_key(name: str) -> tuple[bytes, str]:
     return blake2b(name.encode(), digest_size=8).digest(), name
 
 
-class Ranks:
-    """One member's count and place. Ask it once a second or so."""
+class FleetSizeTracker:
+    """Determines the fleet's size and this member's ordinal. Call `observe` about once a second."""
 
     def __init__(self, name: str, count: int, ordinal: int, now: float) -> None:
-        """`count` and `ordinal` are the configuration's: what holds until the view is trusted."""
-        self.doubt = Doubt.STARTED
-        self.moves = 0  # times that this one's place became another
-        self._name, self._configured = name, count
-        self._began = now
-        self._since: dict[str, float] = {}  # those that live, and since when we count it so
-        self._lost: dict[str, _Lost] = {}
-        self._deaths: dict[str, tuple[float, float]] = {}  # weight of its deaths, and when that was so
-        self._counted: frozenset[str] = frozenset()  # those whose places the last answer went by
-        self._changed_at = now  # when the live ones were others
-        self._moving_since: float | None = None
-        self._told = FleetSize(count, ordinal, count)
+        """`count` and `ordinal` are configured; they apply until the view is trusted."""
+        self.distrust_reason = DistrustReason.JUST_STARTED
+        self.move_count = 0  # how often the ordinal or the count in use changed
+        self._name, self._configured_count = name, count
+        self._started_at = now
+        self._live_since: dict[str, float] = {}  # live members, and since when they count as live
+        self._lost_members: dict[str, _LostMember] = {}
+        self._death_weights: dict[
+            str, tuple[float, float]
+        ] = {}  # decaying number of deaths, and when computed
+        self._counted: frozenset[str] = frozenset()  # the names behind the size and ordinal in use
+        self._live_changed_at = now
+        self._unsettled_since: float | None = None
+        self._current = FleetSize(count, ordinal, count)
 
     @property
-    def told(self) -> FleetSize:
-        return self._told
+    def current(self) -> FleetSize:
+        return self._current
 
     def observe(
-        self, now: float, live: Iterable[str], met_at: float, differed_at: float, slow: bool
+        self,
+        now: float,
+        live_names: Iterable[str],
+        first_contact_at: float,
+        digest_mismatch_at: float,
+        is_slow: bool,
     ) -> FleetSize | None:
-        """What holds from now on, where that is something new.
+        """Return the fleet's size if it changed.
 
-        `live` are the names in the view; `met_at` is when the first fellow was met, `differed_at` when
-        somebody had another view; `slow` says that this process stood still or heard badly itself.
+        `live_names` are the live members in the view; `first_contact_at` is when the first peer was met,
+        `digest_mismatch_at` is when a peer last had another view; `is_slow` means that this process stalled
+        or received few answers.
         """
-        self._count(now, set(live))
-        self.doubt = self._doubt(now, met_at, differed_at, slow)
-        reckoned = {name for name, lost in self._lost.items() if now < lost.at + RECKON_MS}
-        most = len(self._since.keys() | reckoned)
-        if self.doubt is not Doubt.NONE:
-            # The safer of all: the largest count that might be so; places stand.
-            most = max(most, self._configured, self._told.max_instances)
-            return self._tell(FleetSize(self._told.count, self._told.ordinal, most))
+        self._update_members(now, set(live_names))
+        self.distrust_reason = self._check_view(now, first_contact_at, digest_mismatch_at, is_slow)
+        maybe_alive = {
+            name for name, lost in self._lost_members.items() if now < lost.lost_at + MAX_INSTANCES_HOLD_MS
+        }
+        max_instances = len(self._live_since.keys() | maybe_alive)
+        if self.distrust_reason is not DistrustReason.NONE:
+            # Assume the highest plausible number of instances, and keep the ordinal.
+            max_instances = max(max_instances, self._configured_count, self._current.max_instances)
+            return self._set_current(FleetSize(self._current.count, self._current.ordinal, max_instances))
         counted = frozenset(
-            name for name, since in self._since.items() if now >= since + JOIN_MS or name == self._name
+            name
+            for name, since in self._live_since.items()
+            if now >= since + JOIN_DELAY_MS or name == self._name
         )
-        counted |= {name for name, lost in self._lost.items() if now < lost.until} | {self._name}
-        count, ordinal = self._told.count, self._told.ordinal
+        counted |= {name for name, lost in self._lost_members.items() if now < lost.counted_until} | {
+            self._name
+        }
+        count, ordinal = self._current.count, self._current.ordinal
         if counted != self._counted:
             self._counted = counted
-            ordinal, count = rank_of(self._name, counted), len(counted)
-            self.moves += (ordinal, count) != (self._told.ordinal, self._told.count)
-        return self._tell(FleetSize(count, ordinal, max(most, count)))
+            ordinal, count = ordinal_of(self._name, counted), len(counted)
+            self.move_count += (ordinal, count) != (self._current.ordinal, self._current.count)
+        return self._set_current(FleetSize(count, ordinal, max(max_instances, count)))
 
-    def _tell(self, found: FleetSize) -> FleetSize | None:
-        if found == self._told:
+    def _set_current(self, size: FleetSize) -> FleetSize | None:
+        if size == self._current:
             return None
-        self._told = found
-        return found
-
-    def _count(self, now: float, live: set[str]) -> None:
-        gone = [name for name in self._since if name not in live]
-        if gone or len(live) > len(self._since):
-            self._changed_at = now
-        for name in gone:
-            del self._since[name]
-            weight, at = self._deaths.get(name, (0.0, now))
-            weight = weight * 0.5 ** ((now - at) / CALM_MS) + 1.0
-            self._deaths[name] = weight, now
-            self._lost[name] = _Lost(now, now + min(HOLD_MS * 2.0 ** (weight - 1.0), HOLD_MOST_MS))
-        for name in live - self._since.keys():
-            lost = self._lost.pop(name, None)
-            # One that is back before its place was given away was never gone.
-            self._since[name] = -JOIN_MS + now if lost is not None and now < lost.until else now
-        over = [name for name, one in self._lost.items() if now >= max(one.until, one.at + RECKON_MS)]
-        for name in over:
-            del self._lost[name]
-        for name in [name for name, (_, at) in self._deaths.items() if now >= at + 8 * CALM_MS]:
-            del self._deaths[name]
-
-    def _doubt(self, now: float, met_at: float, differed_at: float, slow: bool) -> Doubt:
-        worse = self._worse_doubt(now, met_at, slow)
-        if worse is not Doubt.NONE or now >= max(differed_at, self._changed_at) + QUIET_MS:
-            self._moving_since = None  # also: what heals after a cut has the whole time to come to rest
-            return worse
-        if self._moving_since is None:
-            self._moving_since = now
-        return Doubt.MOVING if now < self._moving_since + MOVING_MOST_MS else Doubt.NONE
-
-    def _worse_doubt(self, now: float, met_at: float, slow: bool) -> Doubt:
-        if now < (self._began + ALONE_MS if met_at > now else max(met_at, self._began) + JOIN_MS):
-            return Doubt.STARTED
-        if slow:
-            return Doubt.SLOW
-        cut = sum(now < lost.at + CUT_MS for lost in self._lost.values())
-        if cut > 1 and cut > CUT_SHARE * (cut + len(self._since)):
-            return Doubt.CUT
-        return Doubt.NONE
+        self._current = size
+        return size
+
+    def _update_members(self, now: float, live_names: set[str]) -> None:
+        lost_names = [name for name in self._live_since if name not in live_names]
+        if lost_names or len(live_names) > len(self._live_since):
+            self._live_changed_at = now
+        for name in lost_names:
+            del self._live_since[name]
+            weight, computed_at = self._death_weights.get(name, (0.0, now))
+            weight = weight * 0.5 ** ((now - computed_at) / DEATH_WEIGHT_HALF_LIFE_MS) + 1.0
+            self._death_weights[name] = weight, now
+            self._lost_members[name] = _LostMember(
+                now, now + min(HOLD_MS * 2.0 ** (weight - 1.0), MAX_HOLD_MS)
+            )
+        for name in live_names - self._live_since.keys():
+            lost = self._lost_members.pop(name, None)
+            # A member that returns while it is still counted is counted without the delay for new members.
+            self._live_since[name] = (
+                -JOIN_DELAY_MS + now if lost is not None and now < lost.counted_until else now
+            )
+        expired_names = [
+            name
+            for name, member in self._lost_members.items()
+            if now >= max(member.counted_until, member.lost_at + MAX_INSTANCES_HOLD_MS)
+        ]
+        for name in expired_names:
+            del self._lost_members[name]
+        for name in [
+            name
+            for name, (_, computed_at) in self._death_weights.items()
+            if now >= computed_at + 8 * DEATH_WEIGHT_HALF_LIFE_MS
+        ]:
+            del self._death_weights[name]
+
+    def _check_view(
+        self, now: float, first_contact_at: float, digest_mismatch_at: float, is_slow: bool
+    ) -> DistrustReason:
+        reason = self._check_other_reasons(now, first_contact_at, is_slow)
+        if (
+            reason is not DistrustReason.NONE
+            or now >= max(digest_mismatch_at, self._live_changed_at) + QUIET_MS
+        ):
+            self._unsettled_since = None  # after a partition, the view gets the full time to settle
+            return reason
+        if self._unsettled_since is None:
+            self._unsettled_since = now
+        return (
+            DistrustReason.UNSETTLED
+            if now < self._unsettled_since + MAX_UNSETTLED_MS
+            else DistrustReason.NONE
+        )
+
+    def _check_other_reasons(self, now: float, first_contact_at: float, is_slow: bool) -> DistrustReason:
+        """Return any reason other than an unsettled view."""
+        if now < (
+            self._started_at + ALONE_MS
+            if first_contact_at > now
+            else max(first_contact_at, self._started_at) + JOIN_DELAY_MS
+        ):
+            return DistrustReason.JUST_STARTED
+        if is_slow:
+            return DistrustReason.SLOW_PROCESS
+        lost_count = sum(now < lost.lost_at + PARTITION_HOLD_MS for lost in self._lost_members.values())
+        if lost_count > 1 and lost_count > PARTITION_LOSS_SHARE * (lost_count + len(self._live_since)):
+            return DistrustReason.POSSIBLE_PARTITION
+        return DistrustReason.NONE
--- a/larkcrank/fleet/records.py
+++ b/larkcrank/fleet/records.py
@@ -1,65 +1,74 @@
-"""What members say of each other, which of two records counts, and how a view is told in a few bytes."""
+"""Membership records, the rule for which of two records is newer, and a compact digest of a view."""
 
 from enum import IntEnum
 from hashlib import blake2b
 
 import msgspec
 
-BUCKETS = 64
+BUCKET_COUNT = 64
 
 
 class Standing(IntEnum):
-    """In the order in which one outranks the other, at the same incarnation (SWIM)."""
+    """State of a member. At the same incarnation, the higher value takes precedence, as in SWIM."""
 
     ALIVE = 0
     SUSPECT = 1
     DEAD = 2
-    LEFT = 3  # it said so itself
+    LEFT = 3  # the member announced that it is leaving
 
 
-class Record(msgspec.Struct, frozen=True, array_like=True):
-    """A member as somebody knows it. Only the member itself raises its incarnation."""
+class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
+    """What is known about a member. Only the member itself raises its incarnation."""
 
     name: str
-    place: str  # host:port for datagrams
+    address: str  # host:port for datagrams
     zone: str
-    life: int  # drawn anew by each start of the process: tells two with one name apart
+    boot_id: int  # random, drawn at each process start; distinguishes processes with the same name
     incarnation: int
     standing: Standing = Standing.ALIVE
-    started_ms: float = 0.0  # by the member's own clock; shown, never compared
-    versions: tuple[int, int] = (1, 1)  # the protocol versions that it speaks, least and most
-    by: str = ""  # who suspects it
+    started_at_ms: float = 0.0  # on the member's own clock; informational, never compared
+    protocol_versions: tuple[int, int] = (1, 1)  # lowest and highest supported protocol version
+    reported_by: str = ""  # the member that reported the suspicion or death
 
     @property
     def is_live(self) -> bool:
         return self.standing <= Standing.SUSPECT
 
-    def outranks(self, other: "Record") -> bool:
-        """The life decides last, so that two processes with one name give one view everywhere."""
-        mine = self.incarnation, self.standing, self.life
-        return mine > (other.incarnation, other.standing, other.life)
+    def supersedes(self, other: "MemberRecord") -> bool:
+        """Return whether this record is newer.
 
+        The boot ID is compared last, so that all members choose the same one of two processes with one name.
+        """
+        own_rank = self.incarnation, self.standing, self.boot_id
+        return own_rank > (other.incarnation, other.standing, other.boot_id)
 
-def bucket_of(name: str) -> int:
-    return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
 
+def bucket_index(name: str) -> int:
+    return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
-def mark_of(record: Record) -> int:
-    """What a live member adds to a digest. Suspicion adds nothing: it passes."""
-    text = f"{record.name}\0{record.life}\0{record.incarnation}".encode()
+
+def record_hash(record: MemberRecord) -> int:
+    """Return what a live member contributes to a digest.
+
+    The standing is left out: a suspicion is temporary and must not make two views differ.
+    """
+    text = f"{record.name}\0{record.boot_id}\0{record.incarnation}".encode()
     return int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
 
 
-class Digest:
-    """Of all live members, by bucket and in all. Two sides with the same one agree, but for chance."""
+class ViewDigest:
+    """XOR of the hashes of all live members, per bucket and in total.
+
+    Equal digests mean equal views, except for hash collisions.
+    """
 
     def __init__(self) -> None:
-        self.buckets = [0] * BUCKETS
-        self.whole = 0
+        self.buckets = [0] * BUCKET_COUNT
+        self.total = 0
 
-    def change(self, before: Record | None, after: Record | None) -> None:
+    def update(self, before: MemberRecord | None, after: MemberRecord | None) -> None:
         for record in (before, after):
             if record is not None and record.is_live:
-                mark = mark_of(record)  # adding twice takes out again
-                self.whole ^= mark
-                self.buckets[bucket_of(record.name)] ^= mark
+                value = record_hash(record)  # XOR: applying a hash a second time removes it
+                self.total ^= value
+                self.buckets[bucket_index(record.name)] ^= value
--- a/larkcrank/fleet/restart.py
+++ b/larkcrank/fleet/restart.py
@@ -1,46 +1,48 @@
-"""Which restart was it: this process alone, one after another, a zone, everyone? From the fellows' ages.
+"""Classifies a restart from the uptimes of the peers: this process alone, a rolling one, a zone or the fleet.
 
-No I/O. Only ages travel, so no clocks have to agree. What follows from the answer, and why a wrong one is
-harmless, is in docs/fleet-recovery.md.
+No I/O. Only ages are compared, so clocks need not agree. docs/fleet-recovery.md describes what depends on the
+result, and why a wrong result does no harm.
 """
 
 from collections.abc import Mapping
 from enum import Enum
 
-TOGETHER_MS = 30_000.0  # processes that began within so long of each other began together
-ROLLING_MS = 600_000.0  # a rolling restart goes on for so long
-MOST = 0.9  # of those asked: "all"
-FEW = 0.2  # "hardly any"
-ASKED_LEAST = 2  # fewer say nothing
-ASKED_SHARE = 0.5  # of the members known, or fewer than these have answered yet ...
-ASKED_ENOUGH = 12  # ... but so many, by chance, tell enough of any fleet
+SAME_START_MS = 30_000.0  # processes that started within this time of each other restarted together
+ROLLING_MS = 600_000.0  # maximum duration of a rolling restart
+NEARLY_ALL_SHARE = 0.9  # of the peers whose uptime is known
+HARDLY_ANY_SHARE = 0.2
+MIN_KNOWN_PEERS = 2
+REQUIRED_PEER_SHARE = 0.5  # share of the peers whose uptime must be known ...
+ENOUGH_KNOWN_PEERS = 12  # ... unless this many are known, which is a sufficient sample of any fleet
 
 
-class Restart(Enum):
+class RestartKind(Enum):
     UNKNOWN = "unknown"
-    ALONE = "this one alone"
+    SINGLE = "this one alone"
     ROLLING = "one after another"
     ZONE = "this zone"
-    EVERYONE = "everyone"
+    FLEET = "everyone"
 
 
-def which(mine_ms: float, others: Mapping[str, float], zones: Mapping[str, str], zone: str) -> Restart:
-    """From this process's age and the fellows' (ms), all members' zones by name, and this one's zone."""
-    known = {name: age for name, age in others.items() if name in zones}
-    wanted = min(ASKED_SHARE * (len(zones) - 1), ASKED_ENOUGH)
-    if len(known) < max(wanted, ASKED_LEAST):
-        return Restart.UNKNOWN
-    together = {name for name, age in known.items() if abs(age - mine_ms) <= TOGETHER_MS}
-    share = len(together) / len(known)
-    if share >= MOST:
-        return Restart.EVERYONE
-    here = {name for name in known if zones[name] == zone}
+def classify_restart(
+    own_age_ms: float, peer_ages_ms: Mapping[str, float], zones: Mapping[str, str], own_zone: str
+) -> RestartKind:
+    """Classify this process's restart. `zones` maps the names of all members to their zones."""
+    known_ages = {name: age for name, age in peer_ages_ms.items() if name in zones}
+    required = min(REQUIRED_PEER_SHARE * (len(zones) - 1), ENOUGH_KNOWN_PEERS)
+    if len(known_ages) < max(required, MIN_KNOWN_PEERS):
+        return RestartKind.UNKNOWN
+    together = {name for name, age in known_ages.items() if abs(age - own_age_ms) <= SAME_START_MS}
+    together_share = len(together) / len(known_ages)
+    if together_share >= NEARLY_ALL_SHARE:
+        return RestartKind.FLEET
+    same_zone = {name for name in known_ages if zones[name] == own_zone}
     if (
-        here
-        and len(here & together) >= MOST * len(here)
-        and len(together - here) <= FEW * (len(known) - len(here))
+        same_zone
+        and len(same_zone & together) >= NEARLY_ALL_SHARE * len(same_zone)
+        and len(together - same_zone) <= HARDLY_ANY_SHARE * (len(known_ages) - len(same_zone))
     ):
-        return Restart.ZONE
-    if sum(age < ROLLING_MS for age in known.values()) > FEW * len(known):
-        return Restart.ROLLING
-    return Restart.ALONE
+        return RestartKind.ZONE
+    if sum(age < ROLLING_MS for age in known_ages.values()) > HARDLY_ANY_SHARE * len(known_ages):
+        return RestartKind.ROLLING
+    return RestartKind.SINGLE
--- a/larkcrank/fleet/snapshot.py
+++ b/larkcrank/fleet/snapshot.py
@@ -1,8 +1,8 @@
-"""What a member knew, in a file for installations with a lasting disk: whole or not at all, read at a start.
+"""A file with a member's state, for installations with a persistent disk. It is valid as a whole or not used.
 
-One line of JSON that names the format and holds a checksum of the rest, then msgpack. A file that is missing,
-torn, of another version, from the future or of another fleet is each told apart. What is in it, what it is
-trusted for and how long: docs/fleet-recovery.md.
+The format is one line of JSON, which names the format and contains a checksum of the rest, followed by
+msgpack. A file that is missing, truncated, of another version, from the future or of another fleet gives a
+distinct error each. docs/fleet-recovery.md describes the contents, and for how long they are trusted.
 """
 
 import os
@@ -13,22 +13,22 @@
 import msgspec
 
 from larkcrank.fleet import trust
-from larkcrank.fleet.wire import Line
+from larkcrank.fleet.wire import ServerEntry
 
 FORMAT = "larkcrank-fleet"
 VERSION = 1
-MOST_BYTES = 4 << 20
-FUTURE_MS = 60_000.0  # a clock that was set back by so little is forgiven
-LIST_MS = trust.LIST.before_ms  # an older list names servers that are others by now
-FELLOWS_MOST = 256
+MAX_FILE_BYTES = 4 << 20
+MAX_CLOCK_SETBACK_MS = 60_000.0  # the clock may have been set back by this much since the file was written
+MAX_AGE_MS = trust.SERVER_LIST.restart_max_age_ms  # most servers of an older list have been replaced
+MAX_PEER_ADDRESSES = 256
 
 
 class SnapshotError(Exception):
-    """The file can't be used; `why` is a word, the message says more."""
+    """The file cannot be used. `reason` is a word for logs; the message has details."""
 
-    def __init__(self, why: str, message: str) -> None:
+    def __init__(self, reason: str, message: str) -> None:
         super().__init__(message)
-        self.why = why
+        self.reason = reason
 
 
 class _Head(msgspec.Struct, forbid_unknown_fields=True):
@@ -38,25 +38,27 @@
     crc32: int
 
 
-class Gone(msgspec.Struct, array_like=True, frozen=True):
+class DepartedServer(msgspec.Struct, array_like=True, frozen=True):
+    """A server that is draining or gone."""
+
     name: str
-    started_ms: float
-    state: int
-    age_ms: float  # since it was known
+    started_at_ms: float
+    state: int  # value of `core.interface.State`
+    age_ms: float  # since this became known
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Times are Unix milliseconds of the writer's clock; ages are safe against clocks that disagree."""
+    """Times are Unix milliseconds on the writer's clock. Ages remain valid if clocks differ."""
 
     fleet: str
     member: str
     saved_at_ms: float
     generation: int
-    list_age_ms: float  # when it was saved, since discovery told the list; below 0: nobody knew
-    lines: list[Line]
-    gone: list[Gone]
-    places: list[str]  # of fellows, for a start at which no seed answers
-    size: int  # members that were counted on
+    list_age_ms: float  # when saved, time since discovery reported the list; negative: unknown
+    lines: list[ServerEntry]  # the server list
+    gone: list[DepartedServer]  # servers that are draining or gone
+    places: list[str]  # addresses of peers, to be contacted if no seed answers after a start
+    size: int  # number of members that were counted
 
 
 def encode(snapshot: Snapshot) -> bytes:
@@ -66,64 +68,64 @@
 
 
 def decode(data: bytes, fleet: str, member: str, now_ms: float) -> Snapshot:
-    """Raises SnapshotError."""
-    first, newline, body = data.partition(b"\n")
+    """Raise SnapshotError if the data cannot be used."""
+    first_line, newline, body = data.partition(b"\n")
     try:
-        head = msgspec.json.decode(first, type=_Head)
+        head = msgspec.json.decode(first_line, type=_Head)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise SnapshotError("torn" if not newline else "foreign", str(error)) from None
     if head.format != FORMAT:
-        raise SnapshotError("foreign", f"format {head.format!r}")
+        raise SnapshotError("foreign", f"unknown format {head.format!r}")
     if head.version != VERSION:
-        raise SnapshotError("version", f"version {head.version}, not {VERSION}")
+        raise SnapshotError("version", f"unsupported version {head.version}, expected {VERSION}")
     if len(body) != head.length or zlib.crc32(body) != head.crc32:
-        raise SnapshotError("torn", f"{len(body)} bytes of {head.length}, or others than were written")
+        raise SnapshotError("torn", f"{len(body)} of {head.length} bytes, or a wrong checksum")
     try:
-        found = msgspec.msgpack.decode(body, type=Snapshot)
+        snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise SnapshotError("foreign", str(error)) from None
-    if found.fleet != fleet or found.member != member:
-        raise SnapshotError("other", f"of {found.member!r} in {found.fleet!r}")
-    age = now_ms - found.saved_at_ms
-    if age < -FUTURE_MS:
-        raise SnapshotError("future", f"saved {-age / 1000:.0f} s from now")
-    if age > LIST_MS:
-        raise SnapshotError("old", f"saved {age / 1000:.0f} s ago")
-    return found
+    if snapshot.fleet != fleet or snapshot.member != member:
+        raise SnapshotError("other", f"belongs to member {snapshot.member!r} of fleet {snapshot.fleet!r}")
+    age = now_ms - snapshot.saved_at_ms
+    if age < -MAX_CLOCK_SETBACK_MS:
+        raise SnapshotError("future", f"its time is {-age / 1000:.0f} s in the future")
+    if age > MAX_AGE_MS:
+        raise SnapshotError("old", f"was saved {age / 1000:.0f} s ago")
+    return snapshot
 
 
 def read(path: Path, fleet: str, member: str, now_ms: float) -> Snapshot:
-    """Raises SnapshotError."""
+    """Raise SnapshotError if the file cannot be used."""
     try:
         with path.open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
+            data = file.read(MAX_FILE_BYTES + 1)
     except FileNotFoundError:
         raise SnapshotError("missing", "no such file") from None
     except OSError as error:
         raise SnapshotError("unreadable", error.strerror or str(error)) from None
-    if len(data) > MOST_BYTES:
-        raise SnapshotError("large", f"over {MOST_BYTES} bytes")
+    if len(data) > MAX_FILE_BYTES:
+        raise SnapshotError("large", f"is larger than {MAX_FILE_BYTES} bytes")
     return decode(data, fleet, member, now_ms)
 
 
-def write(path: Path, data: bytes, step: Callable[[str], None] = lambda name: None) -> None:
-    """Replace the file in one step; blocks, so it is called in a thread. Raises OSError.
+def write(path: Path, data: bytes, on_step: Callable[[str], None] = lambda step: None) -> None:
+    """Replace the file atomically. It blocks, so call it in a thread. Raise OSError on failure.
 
-    `step` is told each step that is done; tests end the process in it.
+    `on_step` is called after each step, with its name; tests end the process there.
     """
-    beside = path.with_name(f"{path.name}.part")
-    with beside.open("wb") as file:
-        step("opened")
+    temporary_path = path.with_name(f"{path.name}.part")
+    with temporary_path.open("wb") as file:
+        on_step("opened")
         file.write(data[: len(data) // 2])
         file.flush()
-        step("half written")
+        on_step("half written")
         file.write(data[len(data) // 2 :])
         file.flush()
-        step("written")
+        on_step("written")
         os.fsync(file.fileno())
-    step("synced")
-    beside.replace(path)
-    step("replaced")
+    on_step("synced")
+    temporary_path.replace(path)
+    on_step("replaced")
     folder = os.open(path.parent, os.O_RDONLY)
     try:
         os.fsync(folder)
--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -1,4 +1,4 @@
-"""The fleet's socket: datagrams, the tick, log lines, counters. All decisions are `Membership`'s."""
+"""The fleet's I/O: datagram socket, timer, log lines and counters. `Membership` makes the decisions."""
 
 import asyncio
 import secrets
@@ -11,33 +11,38 @@
 
 from larkcrank.config.sidecar import FleetConfig
 from larkcrank.core.interface import FleetSize
-from larkcrank.fleet.membership import DOUBT_MOST, TICK_MS, Membership, Out
-from larkcrank.fleet.ranks import Ranks
-from larkcrank.fleet.records import Record, Standing
+from larkcrank.fleet.membership import (
+    MAX_LOCAL_HEALTH_SCORE,
+    TICK_INTERVAL_MS,
+    Membership,
+    OutgoingMessage,
+)
+from larkcrank.fleet.ranks import FleetSizeTracker
+from larkcrank.fleet.records import MemberRecord, Standing
 from larkcrank.fleet.wire import Codec, DatagramError
 from larkcrank.routing.driver import Journal
 
-LIFE_BITS = 62
-COUNT_MS = 1000.0  # between looks at how many there are
+BOOT_ID_BITS = 62
+SIZE_CHECK_INTERVAL_MS = 1000.0
 
 
 @dataclass(slots=True)
 class FleetCounters:
-    """`docs/fleet-view.md` says what they mean."""
+    """Documented in docs/fleet-view.md."""
 
     datagrams_in: int = 0
     datagrams_out: int = 0
     bytes_out: int = 0
     unsendable: int = 0
     replayed: int = 0
-    refused: dict[str, int] = field(default_factory=dict)  # by reason
-    deaths: int = 0  # members that this one has seen die
-    moves: int = 0  # times that this one's place among its fellows changed
-    size: int = 0  # members that it counts on
-    place: int = 0  # its own among them
+    refused: dict[str, int] = field(default_factory=dict)  # rejected datagrams by reason
+    deaths: int = 0  # members that this one saw die
+    moves: int = 0  # how often this member's ordinal or the count changed
+    size: int = 0  # number of members counted
+    place: int = 0  # this member's ordinal among them
 
 
-class Speaker(asyncio.DatagramProtocol):
+class FleetProtocol(asyncio.DatagramProtocol):
     """Owns the datagram socket and the timer of one member."""
 
     def __init__(
@@ -45,50 +50,59 @@
         config: FleetConfig,
         name: str,
         zone: str,
-        configured: FleetSize,
+        configured_size: FleetSize,
         clock: Callable[[], float],
         log: Journal,
-        on_size: Callable[[FleetSize], None],
-        joined: Callable[[Membership, float], None],
-        step: Callable[[float], list[Out]],
+        on_fleet_size: Callable[[FleetSize], None],
+        on_started: Callable[[Membership, float], None],
+        on_step: Callable[[float], list[OutgoingMessage]],
     ) -> None:
-        """`joined` is told the membership before its first step; `step` is called after each one."""
+        """`on_started` gets the membership before its first tick.
+
+        `on_step` is called after each tick and datagram, and returns further messages to send.
+        """
         self.counters = FleetCounters()
         self._config, self._name, self._zone = config, name, zone
-        self._configured, self._on_size = configured, on_size
-        self._joined, self._step = joined, step
+        self._configured_size, self._on_fleet_size = configured_size, on_fleet_size
+        self._on_started, self._on_step = on_started, on_step
         self._clock, self._log = clock, log
-        self._count_at = 0.0
-        self._more_seeds: list[str] = []
-        self.ranks: Ranks | None = None
+        self._next_size_check_at = 0.0
+        self._extra_seeds: list[str] = []
+        self.size_tracker: FleetSizeTracker | None = None
         self._codec = Codec(config.name, config.secret)
         self._transport: asyncio.DatagramTransport | None = None
         self._timer: asyncio.TimerHandle | None = None
         self.membership: Membership | None = None
 
-    def more_seeds(self, places: list[str]) -> None:
-        """Where fellows were before, for the case that no seed answers."""
-        self._more_seeds = places
+    def set_extra_seeds(self, addresses: list[str]) -> None:
+        """Set earlier addresses of peers, which are contacted too in case no configured seed answers."""
+        self._extra_seeds = addresses
 
     async def start(self) -> None:
-        """Raises OSError where the address can't be had."""
+        """Raise OSError if the socket cannot be bound."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self._config.listen)
         assert self._transport is not None
         host, port = self._transport.get_extra_info("sockname")[:2]
-        place = self._config.public or f"{host}:{port}"
+        address = self._config.public or f"{host}:{port}"
         now = self._clock()
-        me = Record(self._name, place, self._zone, secrets.randbits(LIFE_BITS), 1, started_ms=now)
+        local_record = MemberRecord(
+            self._name, address, self._zone, secrets.randbits(BOOT_ID_BITS), 1, started_at_ms=now
+        )
         self.membership = Membership(
-            me, [*self._config.seeds, *self._more_seeds], Random(secrets.randbits(64)), now
+            local_record, [*self._config.seeds, *self._extra_seeds], Random(secrets.randbits(64)), now
+        )
+        self.size_tracker = FleetSizeTracker(
+            self._name, self._configured_size.count, self._configured_size.ordinal, now
+        )
+        self._on_started(self.membership, now)
+        self._log.event(
+            "fleet_joining", fleet=self._config.name, place=address, seeds=len(self._config.seeds)
         )
-        self.ranks = Ranks(self._name, self._configured.count, self._configured.ordinal, now)
-        self._joined(self.membership, now)
-        self._log.event("fleet_joining", fleet=self._config.name, place=place, seeds=len(self._config.seeds))
         self._tick()
 
     def leave(self) -> None:
-        """The planned end: tell some others, then close."""
+        """Leave the fleet in a planned shutdown: tell some members, then close."""
         if self.membership is not None and self._transport is not None:
             self._send(self.membership.leave(self._clock()))
         self.close()
@@ -101,21 +115,33 @@
         self._timer = self._transport = None
 
     def view(self) -> str:
-        """One line: how many live, the digest, then all members as JSON."""
-        if self.membership is None or self.ranks is None:
+        """Return one line for operators: live members, digest, fleet size, then all members as JSON."""
+        if self.membership is None or self.size_tracker is None:
             return "live 0 digest none []"
-        membership, told, doubt = self.membership, self.ranks.told, self.ranks.doubt
-        doubted = doubt.value.replace(" ", "-")
-        uses = f"place {told.ordinal} of {told.count} most {told.max_instances} doubt {doubted}"
+        membership, size, reason = (
+            self.membership,
+            self.size_tracker.current,
+            self.size_tracker.distrust_reason,
+        )
+        reason_text = reason.value.replace(" ", "-")
+        size_text = f"place {size.ordinal} of {size.count} most {size.max_instances} doubt {reason_text}"
         members = [
-            {"name": one.name, "place": one.place, "zone": one.zone, "standing": one.standing.name.lower()}
-            | {"incarnation": one.incarnation, "life": f"{one.life:x}"}
-            for one in sorted(membership.members.values(), key=lambda record: record.name)
+            {
+                "name": member.name,
+                "place": member.address,
+                "zone": member.zone,
+                "standing": member.standing.name.lower(),
+            }
+            | {"incarnation": member.incarnation, "life": f"{member.boot_id:x}"}
+            for member in sorted(membership.members.values(), key=lambda record: record.name)
         ]
-        text = msgspec.json.encode(members).decode()
-        return f"live {len(membership.live())} digest {membership.digest.whole:016x} {uses} {text}"
+        members_text = msgspec.json.encode(members).decode()
+        return (
+            f"live {len(membership.live_records())} digest {membership.digest.total:016x} "
+            f"{size_text} {members_text}"
+        )
 
-    # What the loop calls
+    # Callbacks of the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
@@ -126,64 +152,72 @@
         self.counters.datagrams_in += 1
         try:
             message = self._codec.decode(data)
-        except DatagramError as refused:
-            self.counters.refused[refused.why] = self.counters.refused.get(refused.why, 0) + 1
+        except DatagramError as error:
+            self.counters.refused[error.reason] = self.counters.refused.get(error.reason, 0) + 1
             return
         now = self._clock()
         self._send(self.membership.receive(now, f"{addr[0]}:{addr[1]}", message))
-        self._send(self._step(now))
-        self.counters.replayed = self.membership.replayed
-        self._tell()
+        self._send(self._on_step(now))
+        self.counters.replayed = self.membership.replayed_count
+        self._log_changes()
 
     def error_received(self, exc: Exception) -> None:
-        """Nobody listens where we sent: the failure detector will say so."""
+        """Ignore errors such as ICMP port unreachable; the failure detector notices dead members."""
 
     def _tick(self) -> None:
         assert self.membership is not None
-        self._timer = asyncio.get_running_loop().call_later(TICK_MS / 1000.0, self._tick)
+        self._timer = asyncio.get_running_loop().call_later(TICK_INTERVAL_MS / 1000.0, self._tick)
         now = self._clock()
         self._send(self.membership.tick(now))
-        self._send(self._step(now))
-        self._tell()
-        self._count()
-
-    def _count(self) -> None:
-        """Tell the balancer how many there are, and this one's place, where that is something new."""
-        assert self.membership is not None and self.ranks is not None
-        now, membership, ranks = self._clock(), self.membership, self.ranks
-        if now < self._count_at or membership.is_duplicate:
+        self._send(self._on_step(now))
+        self._log_changes()
+        self._check_size()
+
+    def _check_size(self) -> None:
+        """Report the fleet's size and this member's ordinal to the balancer if they changed."""
+        assert self.membership is not None and self.size_tracker is not None
+        now, membership, size_tracker = self._clock(), self.membership, self.size_tracker
+        if now < self._next_size_check_at or membership.is_duplicate:
             return
-        self._count_at = now + COUNT_MS
-        slow = membership.doubt * 2 >= DOUBT_MOST
-        told = ranks.observe(now, membership.lives, membership.met_at, membership.differed_at, slow)
-        self.counters.moves = ranks.moves
-        self.counters.size, self.counters.place = ranks.told.count, ranks.told.ordinal
-        if told is not None:
-            doubt = ranks.doubt.value
+        self._next_size_check_at = now + SIZE_CHECK_INTERVAL_MS
+        is_slow = membership.local_health_score * 2 >= MAX_LOCAL_HEALTH_SCORE
+        new_size = size_tracker.observe(
+            now, membership.live_members, membership.first_contact_at, membership.digest_mismatch_at, is_slow
+        )
+        self.counters.moves = size_tracker.move_count
+        self.counters.size, self.counters.place = size_tracker.current.count, size_tracker.current.ordinal
+        if new_size is not None:
+            reason = size_tracker.distrust_reason.value
             self._log.event(
-                "fleet_size", count=told.count, place=told.ordinal, most=told.max_instances, doubt=doubt
+                "fleet_size",
+                count=new_size.count,
+                place=new_size.ordinal,
+                most=new_size.max_instances,
+                doubt=reason,
             )
-            self._on_size(told)
+            self._on_fleet_size(new_size)
 
-    def _send(self, outs: list[Out]) -> None:
+    def _send(self, outgoing: list[OutgoingMessage]) -> None:
         if self._transport is None:
             return
-        for out in outs:
-            host, _, port = out.place.rpartition(":")
+        for message in outgoing:
+            host, _, port = message.address.rpartition(":")
             try:
-                data = self._codec.encode(out.message)
+                data = self._codec.encode(message.message)
                 self._transport.sendto(data, (host, int(port)))
-            except (ValueError, OSError):  # a place that is none came with somebody's record
+            except (ValueError, OSError):  # a record of another member contained an invalid address
                 self.counters.unsendable += 1
                 continue
             self.counters.datagrams_out += 1
             self.counters.bytes_out += len(data)
 
-    def _tell(self) -> None:
+    def _log_changes(self) -> None:
         assert self.membership is not None
         for change in self.membership.changes:
             self.counters.deaths += change.standing is Standing.DEAD
-            what = change.standing.name.lower()
-            live = len(self.membership.live())
-            self._log.event("fleet_member", member=change.name, standing=what, by=change.why, live=live)
+            standing = change.standing.name.lower()
+            live_count = len(self.membership.live_records())
+            self._log.event(
+                "fleet_member", member=change.name, standing=standing, by=change.reason, live=live_count
+            )
         self.membership.changes.clear()
--- a/larkcrank/fleet/trust.py
+++ b/larkcrank/fleet/trust.py
@@ -1,90 +1,92 @@
-"""What a member goes by that it did not hear from discovery just now: one row for each kind of state.
+"""For how long a member uses state that it did not just receive from discovery: one rule per kind of state.
 
-`docs/fleet-recovery.md` shows this table; a test holds the two together. Ages are milliseconds: of what was
-kept from before a restart, and of what fellows tell. 0: not at all; infinite: as long as it lasts.
+docs/fleet-recovery.md contains these rules as a table; a test compares the two. Ages are in milliseconds, for
+state from before a restart and for state from peers. 0: not used at all; infinite: no limit.
 """
 
 import math
 from dataclasses import dataclass
 
-MINUTE = 60_000.0
-HOUR = 60 * MINUTE
-DAY = 24 * HOUR
+MINUTE_MS = 60_000.0
+HOUR_MS = 60 * MINUTE_MS
+DAY_MS = 24 * HOUR_MS
 
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class TrustRule:
+    """The texts appear in docs/fleet-recovery.md word for word."""
+
     state: str
-    before_ms: float
-    fellows_ms: float
-    why: str
-    wrong: str  # what a wrong one costs
+    restart_max_age_ms: float  # limit for state from before a restart
+    peer_max_age_ms: float  # limit for state from peers
+    reason: str
+    cost_of_error: str  # what happens if the state is wrong
 
 
-LIST = Row(
+SERVER_LIST = TrustRule(
     "server list",
-    7 * DAY,
-    10 * MINUTE,
+    7 * DAY_MS,
+    10 * MINUTE_MS,
     "most servers outlive a sidecar; whoever heard discovery last knows best",
     "attempts that find nobody: they never ran, and go on elsewhere",
 )
-PLACES = Row(
+SERVER_ADDRESSES = TrustRule(
     "places of servers",
-    7 * DAY,
-    10 * MINUTE,
+    7 * DAY_MS,
+    10 * MINUTE_MS,
     "as the list; a fellow's only where `same_places` says so, else only one's own for the same life",
     "an old address may be another server's: it answers as that one, under the wrong name",
 )
-GONE = Row(
+DEPARTED_SERVERS = TrustRule(
     "drains and ends heard",
-    10 * MINUTE,
-    10 * MINUTE,
+    10 * MINUTE_MS,
+    10 * MINUTE_MS,
     "the safe direction: within its life a server does not come back",
     "a server that is there gets nothing until discovery's next word or its next start",
 )
-USUAL = Row(
+USUAL_RESPONSE_TIMES = TrustRule(
     "usual answer times",
-    DAY,
+    DAY_MS,
     0.0,
     "they belong to the servers, not to the moment; others' traffic is another",
     "bounded to 2.5 times the first guess: some answers are overdue too early or late",
 )
-LIMITS = Row(
+SERVER_LIMITS = TrustRule(
     "limits, rests, what is owed",
     0.0,
     0.0,
     "they describe one moment",
     "servers shut for nothing, or a jam believed over",
 )
-COLD = Row(
+SERVER_START_TIMES = TrustRule(
     "start times (cold marks)",
-    7 * DAY,
-    10 * MINUTE,
+    7 * DAY_MS,
+    10 * MINUTE_MS,
     "with the list; a server that restarted since tells no older one",
     "a cold server taken for warm until discovery tells: its quota is missing, its answers tell",
 )
-HOMES = Row(
+KEY_ASSIGNMENTS = TrustRule(
     "homes of keys",
     math.inf,
     math.inf,
     "computed from names alone, nothing is kept",
     "none",
 )
-BUDGETS = Row(
+RETRY_BUDGETS = TrustRule(
     "budgets for repeats",
     0.0,
     0.0,
     "a restart begins with what quiet time would have saved",
     "ten repeats too many a process",
 )
-VIEW = Row(
+FLEET_VIEW = TrustRule(
     "view of the fleet",
-    7 * DAY,
+    7 * DAY_MS,
     math.inf,
     "of before only places of fellows, to look for them; who lives is asked",
     "datagrams that nobody answers",
 )
-INCARNATION = Row(
+INCARNATION = TrustRule(
     "incarnation",
     0.0,
     math.inf,
@@ -92,11 +94,22 @@
     "none: a lower one is outranked and told so",
 )
 
-TABLE = (LIST, PLACES, GONE, USUAL, LIMITS, COLD, HOMES, BUDGETS, VIEW, INCARNATION)
+TRUST_RULES = (
+    SERVER_LIST,
+    SERVER_ADDRESSES,
+    DEPARTED_SERVERS,
+    USUAL_RESPONSE_TIMES,
+    SERVER_LIMITS,
+    SERVER_START_TIMES,
+    KEY_ASSIGNMENTS,
+    RETRY_BUDGETS,
+    FLEET_VIEW,
+    INCARNATION,
+)
 
 
-def shown(age_ms: float) -> str:
-    """An age as the page has it."""
+def format_age(age_ms: float) -> str:
+    """Return an age as written in the table of docs/fleet-recovery.md."""
     if age_ms in (0.0, math.inf):
         return "no" if not age_ms else "yes"
-    return f"{age_ms / DAY:g} d" if age_ms >= DAY else f"{age_ms / MINUTE:g} min"
+    return f"{age_ms / DAY_MS:g} d" if age_ms >= DAY_MS else f"{age_ms / MINUTE_MS:g} min"
--- a/larkcrank/fleet/wire.py
+++ b/larkcrank/fleet/wire.py
@@ -1,7 +1,8 @@
-"""Datagrams between members: versioned, bounded, sealed with the fleet's name and key, each taken once.
+"""Encoding of datagrams between members: versioned, bounded, authenticated, protected from replay.
 
-Format: one byte of version, 16 bytes of keyed BLAKE2b over the rest, then msgpack. The key is made of the
-fleet's name and a secret that may be empty. It keeps out strangers, other fleets, damage; it hides nothing.
+Format: one version byte, a 16-byte keyed BLAKE2b MAC of the version and the body, then the body in msgpack.
+The key is derived from the fleet's name and a secret, which may be empty. The MAC rejects datagrams of
+outsiders and of other fleets, and damaged ones; nothing is encrypted.
 """
 
 import hmac
@@ -9,132 +10,150 @@
 
 import msgspec
 
-from larkcrank.fleet.records import Record
+from larkcrank.fleet.records import MemberRecord
 
-VERSION = 2
-MOST_BYTES = 1200
-SEAL_BYTES = 16
-WINDOW = 64  # datagrams of one sender that may overtake each other
+PROTOCOL_VERSION = 2
+MAX_DATAGRAM_BYTES = 1200
+MAC_BYTES = 16
+REPLAY_WINDOW = 64  # datagrams of one sender that may arrive out of order
 
 
-class _Body(msgspec.Struct, tag_field="t", array_like=True, frozen=True):
-    sender: Record
-    to: str  # the member that it is for; empty: whoever is there
-    count: int  # of the sender's datagrams in this life
-    digest: int
+class _Message(msgspec.Struct, tag_field="t", array_like=True, frozen=True):
+    sender: MemberRecord
+    recipient: str  # name of the member addressed; empty: any member at the address
+    sequence: int  # number of the datagram among those of the sender's process
+    digest: int  # total of the sender's view digest
 
 
-class Ping(_Body, tag=1, frozen=True):
-    number: int
-    news: list[Record]
-    room: bytes  # no answer is longer than its question: room for what the other thinks of the sender
+class Ping(_Message, tag=1, frozen=True):
+    probe_id: int
+    updates: list[MemberRecord]
+    # An answer is never longer than its request, so that forged requests cannot amplify traffic. The padding
+    # makes room for the receiver's record of the sender.
+    padding: bytes
 
 
-class Ack(_Body, tag=2, frozen=True):
-    number: int
-    news: list[Record]
+class Ack(_Message, tag=2, frozen=True):
+    probe_id: int
+    updates: list[MemberRecord]
 
 
-class Ask(_Body, tag=3, frozen=True):
-    """Ping `target` for me, and pass on that it answered."""
+class PingRequest(_Message, tag=3, frozen=True):
+    """Asks the recipient to ping `target` for the sender and to forward its Ack (SWIM ping-req)."""
 
-    number: int
+    probe_id: int
     target: str
-    place: str
-    news: list[Record]
+    target_address: str
+    updates: list[MemberRecord]
 
 
-class Nack(_Body, tag=4, frozen=True):
-    """I am here, and have heard nothing of the one that you ask about."""
+class Nack(_Message, tag=4, frozen=True):
+    """The sender of a PingRequest learns that the recipient is alive, but has no answer from the target."""
 
-    number: int
+    probe_id: int
 
 
-class Summary(_Body, tag=5, frozen=True):
+class BucketDigests(_Message, tag=5, frozen=True):
     buckets: list[int]  # low 32 bits of each bucket's digest
 
 
-class Differ(_Body, tag=6, frozen=True):
-    """The buckets in which the answerer has something else."""
+class DifferingBuckets(_Message, tag=6, frozen=True):
+    """The buckets in which the sender's view differs from the digests that it received."""
 
     buckets: list[int]
 
 
-class Page(_Body, tag=7, frozen=True):
-    """All that the sender has of a bucket between two names; padded, as no answer is longer than it."""
+class BucketPage(_Message, tag=7, frozen=True):
+    """All records of the sender in one bucket whose names lie in a range.
+
+    It is padded, since the answer must not be longer.
+    """
 
     bucket: int
-    after: str
-    upto: str  # empty: to the end
-    records: list[Record]
-    room: bytes
+    after_name: str
+    last_name: str  # empty: to the end of the bucket
+    records: list[MemberRecord]
+    padding: bytes
 
 
-class Reply(_Body, tag=8, frozen=True):
-    """What the answerer has in the page's range that outranks it."""
+class BucketReply(_Message, tag=8, frozen=True):
+    """Records in the range of a `BucketPage` that the page lacks or that supersede the page's."""
 
     bucket: int
-    upto: str
-    records: list[Record]
+    last_name: str  # last name covered, if the records did not fit; empty: the whole range is covered
+    records: list[MemberRecord]
 
 
-class Line(msgspec.Struct, frozen=True, array_like=True):
-    """A server as discovery tells it."""
+class ServerEntry(msgspec.Struct, frozen=True, array_like=True):
+    """A server as reported by discovery."""
 
     name: str
-    state: int  # as `core.interface.State` has it
+    state: int  # value of `core.interface.State`
     zone: str
-    kind: str
+    kind: str  # machine type
     cell: int
-    size: float
-    started_ms: float
-    place: str  # host:port as the teller reaches it
+    size: float  # nominal capacity relative to the other servers
+    started_at_ms: float
+    host_port: str  # host:port at which the sender of the entry reaches the server
 
 
-class Have(_Body, tag=9, frozen=True):
-    """Which server list the sender holds, and how it has it."""
+class ListStatus(_Message, tag=9, frozen=True):
+    """Which server list the sender holds, and how recently discovery reported it."""
 
-    epoch: int  # times that discovery began its count anew
+    epoch: int  # number of times that discovery restarted its generation count
     generation: int
-    age_ms: float  # since discovery told this list to whoever had it first; below 0: from before a restart
-    mark: int  # of its lines
-    direct: int  # the generation that discovery itself told the sender last, -1: none
-    direct_ms: float  # how long ago that was
-    up_ms: float  # since the sender's process began
-    room: bytes  # the answer is another one of these, and no longer
+    # Since discovery first reported this list to a member; negative: the list is from before a restart.
+    age_ms: float
+    list_hash: int
+    direct_generation: int  # last generation that the sender received from discovery itself; -1: none
+    direct_age_ms: float  # since then
+    uptime_ms: float  # since the sender's process started
+    padding: bytes  # the answer is another ListStatus, and must not be longer
 
 
-class Want(_Body, tag=10, frozen=True):
-    """Tell me the lines of that list behind this name; padded, as no answer is longer than it."""
+class ListRequest(_Message, tag=10, frozen=True):
+    """Requests the entries of a list that follow a name. Padded, since the answer must not be longer."""
 
     epoch: int
     generation: int
-    after: str
-    room: bytes
+    after_name: str
+    padding: bytes
 
 
-class Piece(_Body, tag=11, frozen=True):
-    """Lines of a list in the order of their names."""
+class ListChunk(_Message, tag=11, frozen=True):
+    """Consecutive entries of a list, sorted by name."""
 
     epoch: int
     generation: int
-    mark: int
+    list_hash: int
     age_ms: float
-    after: str
-    upto: str  # empty: to the end
-    lines: list[Line]
-
-
-Message = Ping | Ack | Ask | Nack | Summary | Differ | Page | Reply | Have | Want | Piece
-ListMessage = Have | Want | Piece
+    after_name: str
+    last_name: str  # empty: the chunk reaches the end of the list
+    entries: list[ServerEntry]
+
+
+Message = (
+    Ping
+    | Ack
+    | PingRequest
+    | Nack
+    | BucketDigests
+    | DifferingBuckets
+    | BucketPage
+    | BucketReply
+    | ListStatus
+    | ListRequest
+    | ListChunk
+)
+ListMessage = ListStatus | ListRequest | ListChunk
 
 
 class DatagramError(Exception):
-    """A datagram that is not taken. `why` is a counter's name."""
+    """A datagram was rejected. `reason` is the name of a counter."""
 
-    def __init__(self, why: str) -> None:
-        super().__init__(why)
-        self.why = why
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -142,56 +161,60 @@
 
 
 class Codec:
-    """Seals and opens datagrams of one fleet."""
+    """Encodes and authenticates the datagrams of one fleet."""
 
     def __init__(self, fleet: str, secret: str = "") -> None:
         self._key = blake2b(f"{fleet}\0{secret}".encode(), digest_size=32).digest()
 
     def encode(self, message: Message) -> bytes:
-        """Raises ValueError where it is over the bound: whoever fills it has to count."""
+        """Raise ValueError if the datagram exceeds MAX_DATAGRAM_BYTES; the caller must limit the contents."""
         body = _encoder.encode(message)
-        if len(body) + SEAL_BYTES + 1 > MOST_BYTES:
-            raise ValueError(f"a datagram of {len(body) + SEAL_BYTES + 1} bytes")
-        head = bytes((VERSION,))
-        return head + self._seal(head + body) + body
+        if len(body) + MAC_BYTES + 1 > MAX_DATAGRAM_BYTES:
+            raise ValueError(
+                f"datagram has {len(body) + MAC_BYTES + 1} bytes, which exceeds the maximum size"
+            )
+        header = bytes((PROTOCOL_VERSION,))
+        return header + self._mac(header + body) + body
 
     def decode(self, data: bytes) -> Message:
-        """Raises `DatagramError`."""
-        if len(data) > MOST_BYTES or len(data) <= SEAL_BYTES + 1:
+        """Raise `DatagramError` for an invalid datagram."""
+        if len(data) > MAX_DATAGRAM_BYTES or len(data) <= MAC_BYTES + 1:
             raise DatagramError("damaged")
-        if data[0] != VERSION:
+        if data[0] != PROTOCOL_VERSION:
             raise DatagramError("other_version")
-        body = data[SEAL_BYTES + 1 :]
-        if not hmac.compare_digest(data[1 : SEAL_BYTES + 1], self._seal(data[:1] + body)):
+        body = data[MAC_BYTES + 1 :]
+        if not hmac.compare_digest(data[1 : MAC_BYTES + 1], self._mac(data[:1] + body)):
             raise DatagramError("strange")
         try:
             return _decoder.decode(body)
         except (msgspec.DecodeError, UnicodeDecodeError):
             raise DatagramError("damaged") from None
 
-    def _seal(self, text: bytes) -> bytes:
-        return blake2b(text, digest_size=SEAL_BYTES, key=self._key).digest()
+    def _mac(self, data: bytes) -> bytes:
+        return blake2b(data, digest_size=MAC_BYTES, key=self._key).digest()
 
 
-def size_of(value: object) -> int:
-    """Bytes that a value takes in a datagram."""
+def encoded_size(value: object) -> int:
+    """Return the number of bytes that a value takes in a datagram."""
     return len(_encoder.encode(value))
 
 
-class Once:
-    """Which datagrams of one sender's life were taken: the newest, and those of the window before it."""
+class ReplayFilter:
+    """Remembers which datagrams of one sender process were received: the newest and the window before it."""
 
     def __init__(self) -> None:
-        self._newest, self._seen = -1, 0
-
-    def takes(self, count: int) -> bool:
-        """Whether this one is new; then it is remembered."""
-        if count > self._newest:
-            self._seen = ((self._seen << (count - self._newest)) | 1) & ((1 << WINDOW) - 1)
-            self._newest = count
+        self._newest, self._seen_bits = -1, 0
+
+    def accept(self, sequence: int) -> bool:
+        """Return whether a datagram is new, and mark it as received."""
+        if sequence > self._newest:
+            self._seen_bits = ((self._seen_bits << (sequence - self._newest)) | 1) & (
+                (1 << REPLAY_WINDOW) - 1
+            )
+            self._newest = sequence
             return True
-        behind = self._newest - count
-        if behind >= WINDOW or self._seen >> behind & 1:
+        distance = self._newest - sequence
+        if distance >= REPLAY_WINDOW or self._seen_bits >> distance & 1:
             return False
-        self._seen |= 1 << behind
+        self._seen_bits |= 1 << distance
         return True
