--- a/larkcrank/lab/scale/view.py
+++ b/larkcrank/lab/scale/view.py
@@ -27,11 +27,11 @@
 
 from larkcrank.config.sidecar import FleetConfig
 from larkcrank.core.interface import FleetSize
-from larkcrank.fleet.membership import TICK_MS, Membership, Out
-from larkcrank.fleet.ranks import Ranks
-from larkcrank.fleet.records import Record, Standing
-from larkcrank.fleet.speaker import Speaker
-from larkcrank.fleet.wire import Ack, Codec, Ping, Reply
+from larkcrank.fleet.membership import TICK_INTERVAL_MS, Membership, OutgoingMessage
+from larkcrank.fleet.ranks import FleetSizeTracker
+from larkcrank.fleet.records import MemberRecord, Standing
+from larkcrank.fleet.speaker import FleetProtocol
+from larkcrank.fleet.wire import Ack, BucketReply, Codec, Ping
 from larkcrank.lab.processes import end_with_parent
 from larkcrank.lab.scale import machine, slopes
 from larkcrank.lab.scale.fit import FitError
@@ -70,7 +70,7 @@
 
     def __init__(self, count: int, seed: int) -> None:
         super().__init__(count, seed, seeds=min(count, 3))
-        records = [member.me for member in self.members.values()]
+        records = [member.local_record for member in self.members.values()]
         for member in self.members.values():
             know(member, records, self.now)
 
@@ -84,12 +84,12 @@
         super()._note(number, member)
 
 
-def know(member: Membership, records: Iterable[Record], now: float) -> None:
+def know(member: Membership, records: Iterable[MemberRecord], now: float) -> None:
     """Have a member hold these, as one that has heard them all long ago."""
     for record in records:
-        if record.name != member.me.name:
-            member._hold(None, record)
-    member.met_at = now
+        if record.name != member.local_record.name:
+            member._store(None, record)
+    member.first_contact_at = now
 
 
 @dataclass(slots=True, frozen=True)
@@ -180,9 +180,9 @@
     """An operator asks one member for its view: the answer, and the processor time it takes."""
     config = FleetConfig("world", ("127.0.0.1", 0), "", "", (), None)
     size = FleetSize(case.members, 0, case.members)
-    speaker = Speaker(config, "n0", "z0", size, float, _Nobody(), _nothing, _nothing, lambda now: [])
+    speaker = FleetProtocol(config, "n0", "z0", size, float, _Nobody(), _nothing, _nothing, lambda now: [])
     one = LoneMember(case.members, case.seed)
-    speaker.membership, speaker.ranks = one.member, one.ranks
+    speaker.membership, speaker.size_tracker = one.member, one.ranks
     began = time.thread_time()
     for _ in range(ASKED):
         text = speaker.view()
@@ -208,21 +208,21 @@
     def __init__(self, count: int, seed: int) -> None:
         self.rng = Random(seed)
         self._codec = Codec("world")
-        me = Record("n0", "m:0", "z0", self.rng.getrandbits(62), 1)
+        me = MemberRecord("n0", "m:0", "z0", self.rng.getrandbits(62), 1)
         self.now = self.spent = 0.0
         self.sent = self.bytes = self.received = 0
         self.member = Membership(me, ["m:1"], Random(seed), 0.0)
         self.fellows = [
-            Record(f"n{number}", f"m:{number}", "z0", self.rng.getrandbits(62), 1)
+            MemberRecord(f"n{number}", f"m:{number}", "z0", self.rng.getrandbits(62), 1)
             for number in range(1, count)
         ]
         know(self.member, copies(self.fellows), 0.0)
-        self.ranks = Ranks("n0", count, 0, -WARM_MS)
+        self.ranks = FleetSizeTracker("n0", count, 0, -WARM_MS)
         self._counts: defaultdict[str, itertools.count[int]] = defaultdict(lambda: itertools.count(1))
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
         self._silent: set[str] = set()
-        for every, do in ((TICK_MS, self._tick), (COUNT_MS, self._count), (1000.0, self._ask)):
+        for every, do in ((TICK_INTERVAL_MS, self._tick), (COUNT_MS, self._count), (1000.0, self._ask)):
             self._at(every * self.rng.random(), self._each(every, do))
 
     def run(self, ms: float) -> None:
@@ -239,14 +239,14 @@
         self._silent = {record.name for record in silent}
         for teller in self.fellows[:TELLERS]:
             suspected = [
-                msgspec.structs.replace(record, standing=Standing.SUSPECT, by=teller.name)
+                msgspec.structs.replace(record, standing=Standing.SUSPECT, reported_by=teller.name)
                 for record in silent
             ]
             for first in range(0, count, IN_ONE):
                 some = suspected[first : first + IN_ONE]
-                self._arrive(teller, Reply(*self._head(teller), 0, "", some))
+                self._arrive(teller, BucketReply(*self._head(teller), 0, "", some))
 
-    def _teller(self) -> Record:
+    def _teller(self) -> MemberRecord:
         while (one := self.rng.choice(self.fellows)).name in self._silent:
             pass
         return one
@@ -269,46 +269,48 @@
 
     def _count(self) -> None:
         member, began = self.member, time.thread_time()
-        self.ranks.observe(self.now, member.lives, member.met_at, member.differed_at, False)
+        self.ranks.observe(
+            self.now, member.live_members, member.first_contact_at, member.digest_mismatch_at, False
+        )
         self._spend(began)
 
     def _ask(self) -> None:
         one = self._teller()
         self._arrive(one, Ping(*self._head(one), self.rng.getrandbits(30), [], bytes(100)))
 
-    def _head(self, one: Record) -> tuple[Record, str, int, int]:
-        return one, "n0", next(self._counts[one.name]), self.member.digest.whole
+    def _head(self, one: MemberRecord) -> tuple[MemberRecord, str, int, int]:
+        return one, "n0", next(self._counts[one.name]), self.member.digest.total
 
-    def _arrive(self, sender: Record, message: Ping | Ack | Reply) -> None:
+    def _arrive(self, sender: MemberRecord, message: Ping | Ack | BucketReply) -> None:
         data = self._codec.encode(message)
         self.received += 1
         began = time.thread_time()
-        outs = self.member.receive(self.now, sender.place, self._codec.decode(data))
+        outs = self.member.receive(self.now, sender.address, self._codec.decode(data))
         self._spend(began)
         self._send(outs)
 
-    def _send(self, outs: list[Out]) -> None:
+    def _send(self, outs: list[OutgoingMessage]) -> None:
         for out in outs:
             began = time.thread_time()
             data = self._codec.encode(out.message)
             self._spend(began)
             self.sent += 1
             self.bytes += len(data)
-            number = int(out.place[2:])
+            number = int(out.address[2:])
             one = self.fellows[number - 1]
             if isinstance(out.message, Ping) and one.name not in self._silent:
-                self._at(self.now + WAY_MS, self._answer(one, out.message.number))
+                self._at(self.now + WAY_MS, self._answer(one, out.message.probe_id))
 
-    def _answer(self, one: Record, number: int) -> Callable[[], None]:
+    def _answer(self, one: MemberRecord, number: int) -> Callable[[], None]:
         return lambda: self._arrive(one, Ack(*self._head(one), number, []))
 
     def _spend(self, began: float) -> None:
         self.spent += time.thread_time() - began
 
 
-def copies(records: list[Record]) -> list[Record]:
+def copies(records: list[MemberRecord]) -> list[MemberRecord]:
     """As they come off the wire: nothing of them is shared with the sender's."""
-    return msgspec.msgpack.decode(msgspec.msgpack.encode(records), type=list[Record])
+    return msgspec.msgpack.decode(msgspec.msgpack.encode(records), type=list[MemberRecord])
 
 
 def lone(case: Case) -> Found:
@@ -323,15 +325,18 @@
 def memory(case: Case) -> Found:
     """Of views of this size side by side: what the process grows by for each. Needs a process of its own."""
     text = msgspec.msgpack.encode(
-        [Record(f"n{number}", f"m:{number}", "z0", number << 40, 1) for number in range(1, case.members)]
+        [
+            MemberRecord(f"n{number}", f"m:{number}", "z0", number << 40, 1)
+            for number in range(1, case.members)
+        ]
     )
 
-    def view(number: int) -> tuple[Membership, Ranks]:
-        member = Membership(Record("n0", "m:0", "z0", number, 1), [], Random(case.seed), 0.0)
-        know(member, msgspec.msgpack.decode(text, type=list[Record]), 0.0)
-        ranks = Ranks("n0", case.members, 0, 0.0)
+    def view(number: int) -> tuple[Membership, FleetSizeTracker]:
+        member = Membership(MemberRecord("n0", "m:0", "z0", number, 1), [], Random(case.seed), 0.0)
+        know(member, msgspec.msgpack.decode(text, type=list[MemberRecord]), 0.0)
+        ranks = FleetSizeTracker("n0", case.members, 0, 0.0)
         for now in (0.0, WARM_MS, 4 * WARM_MS):
-            ranks.observe(now, member.lives, 0.0, -math.inf, False)
+            ranks.observe(now, member.live_members, 0.0, -math.inf, False)
         return member, ranks
 
     held, process = [view(0)], psutil.Process()  # the first pays for what all have in common
@@ -351,7 +356,7 @@
     usual, one.spent = one.spent, 0.0
     one.lose(int(case.amount))
     one.run(LOOK_MS)
-    gone = case.members - len(one.member.lives)
+    gone = case.members - len(one.member.live_members)
     return {"added_ms": 1000.0 * (one.spent - usual), "gone": float(gone)}
 
 
--- a/larkcrank/lab/stranger.py
+++ b/larkcrank/lab/stranger.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from larkcrank.fleet.wire import SEAL_BYTES, VERSION
+from larkcrank.fleet.wire import MAC_BYTES, PROTOCOL_VERSION
 from larkcrank.protocol.discovery import host_port
 
 EACH_S = 0.1
@@ -22,8 +22,8 @@
 class Stranger(asyncio.DatagramProtocol):
     def __init__(self, fleet: dict[str, Any]) -> None:
         key = blake2b(f"{fleet['name']}\0{fleet['secret']}".encode(), digest_size=32).digest()
-        head, body = bytes((VERSION + 1,)), msgspec.msgpack.encode(["hello", "from later"])
-        seal = blake2b(head + body, digest_size=SEAL_BYTES, key=key).digest()
+        head, body = bytes((PROTOCOL_VERSION + 1,)), msgspec.msgpack.encode(["hello", "from later"])
+        seal = blake2b(head + body, digest_size=MAC_BYTES, key=key).digest()
         self.datagram = head + seal + body
         self.others = [host_port(seed) for seed in fleet["seeds"]]
         self.heard = 0
--- a/larkcrank/lab/virtual.py
+++ b/larkcrank/lab/virtual.py
@@ -9,9 +9,9 @@
 from random import Random
 
 from larkcrank.core.interface import FleetSize
-from larkcrank.fleet.membership import DOUBT_MOST, TICK_MS, Membership, Out
-from larkcrank.fleet.ranks import Ranks
-from larkcrank.fleet.records import Record
+from larkcrank.fleet.membership import MAX_LOCAL_HEALTH_SCORE, TICK_INTERVAL_MS, Membership, OutgoingMessage
+from larkcrank.fleet.ranks import FleetSizeTracker
+from larkcrank.fleet.records import MemberRecord
 from larkcrank.fleet.wire import Codec, DatagramError
 
 STARVED_ON_MS, STARVED_OFF_MS = 1000.0, 3000.0  # most that a starved member runs and stands
@@ -28,7 +28,7 @@
         self.delay_ms, self.jitter_ms = delay_ms, delay_ms
         self.cut: Callable[[int, int], bool] = lambda source, to: False
         self.members: dict[int, Membership] = {}  # those whose process lives
-        self.ranks: dict[int, Ranks] = {}  # theirs
+        self.ranks: dict[int, FleetSizeTracker] = {}  # theirs
         self.sizes: list[tuple[float, int, FleetSize]] = []  # when, to whom, what its balancer was told
         self.configured = count  # the number of members that configurations tell
         self.stopped: set[int] = set()
@@ -51,10 +51,10 @@
         """A process under this name and address with nothing kept; its life is drawn anew."""
         life = self.rng.getrandbits(62)
         self._lives[number] = life
-        me = Record(name or f"n{number}", f"m:{number}", f"z{number % self._zones}", life, 1)
+        me = MemberRecord(name or f"n{number}", f"m:{number}", f"z{number % self._zones}", life, 1)
         self.members[number] = Membership(me, self.seeds, Random(self.rng.getrandbits(62)), self.now)
-        self.ranks[number] = Ranks(me.name, self.configured, number, self.now)
-        self.at(self.now + self.rng.random() * TICK_MS, lambda: self._tick(number, life))
+        self.ranks[number] = FleetSizeTracker(me.name, self.configured, number, self.now)
+        self.at(self.now + self.rng.random() * TICK_INTERVAL_MS, lambda: self._tick(number, life))
         self.at(self.now + self.rng.random() * COUNT_MS, lambda: self._count(number, life))
 
     def kill(self, numbers: Iterable[int]) -> None:
@@ -113,14 +113,16 @@
         return self.now - began if self.is_settled() else None
 
     def truth(self) -> set[tuple[str, int]]:
-        return {(member.me.name, member.me.life) for member in self.members.values()}
+        return {(member.local_record.name, member.local_record.boot_id) for member in self.members.values()}
 
     def is_settled(self) -> bool:
         """Every live member holds just the live ones, and all digests are the same."""
         truth = self.truth()
-        if len({member.digest.whole for member in self.members.values()}) > 1:
+        if len({member.digest.total for member in self.members.values()}) > 1:
             return False
-        views = ({(one.name, one.life) for one in member.live()} for member in self.members.values())
+        views = (
+            {(one.name, one.boot_id) for one in member.live_records()} for member in self.members.values()
+        )
         return all(view == truth for view in views)
 
     def _tick(self, number: int, life: int) -> None:
@@ -130,23 +132,25 @@
         if number not in self.stopped:
             self._send(number, member.tick(self.now))
             self._note(number, member)
-        self.at(self.now + TICK_MS, lambda: self._tick(number, life))
+        self.at(self.now + TICK_INTERVAL_MS, lambda: self._tick(number, life))
 
     def _count(self, number: int, life: int) -> None:
         member = self.members.get(number)
         if member is None or self._lives[number] != life:
             return
         if number not in self.stopped and not member.is_duplicate:
-            slow = member.doubt * 2 >= DOUBT_MOST
+            slow = member.local_health_score * 2 >= MAX_LOCAL_HEALTH_SCORE
             ranks = self.ranks[number]
-            told = ranks.observe(self.now, member.lives, member.met_at, member.differed_at, slow)
+            told = ranks.observe(
+                self.now, member.live_members, member.first_contact_at, member.digest_mismatch_at, slow
+            )
             if told is not None:
                 self.sizes.append((self.now, number, told))
         self.at(self.now + COUNT_MS, lambda: self._count(number, life))
 
     def are_placed(self) -> bool:
         """Every live member has a place of its own, and counts right."""
-        told = [ranks.told for ranks in self.ranks.values()]
+        told = [ranks.current for ranks in self.ranks.values()]
         everyone = set(range(len(self.members)))
         return {one.ordinal for one in told} == everyone and {one.count for one in told} == {len(told)}
 
@@ -156,12 +160,12 @@
                 self.deaths.append((self.now, number, change.name))
         member.changes.clear()
 
-    def _send(self, source: int, outs: list[Out]) -> None:
+    def _send(self, source: int, outs: list[OutgoingMessage]) -> None:
         for out in outs:
             data = self._codec.encode(out.message)
             self.sent += 1
             self.bytes += len(data)
-            to = int(out.place[2:])
+            to = int(out.address[2:])
             if self.rng.random() < self.loss or self.cut(source, to):
                 continue
             when = self.now + self.delay_ms + self.rng.random() * self.jitter_ms
@@ -177,7 +181,7 @@
         try:
             message = self._codec.decode(data)
         except DatagramError as refused:
-            self.refused[refused.why] = self.refused.get(refused.why, 0) + 1
+            self.refused[refused.reason] = self.refused.get(refused.reason, 0) + 1
             return
         self._send(to, member.receive(self.now, place, message))
         self._note(to, member)
--- a/larkcrank/lab/worlds.py
+++ b/larkcrank/lab/worlds.py
@@ -11,7 +11,7 @@
 from itertools import product
 from random import Random
 
-from larkcrank.fleet.records import Record
+from larkcrank.fleet.records import MemberRecord
 from larkcrank.lab.virtual import World
 
 QUIET_MS = 300_000.0
@@ -37,7 +37,7 @@
     def __init__(self, world: World) -> None:
         self.world = world
         self.found: list[str] = []
-        self._seen: dict[tuple[int, int, str], Record] = {}
+        self._seen: dict[tuple[int, int, str], MemberRecord] = {}
 
     def run(self, ms: float) -> None:
         until = self.world.now + ms
@@ -54,17 +54,17 @@
             self.run(STEP_MS)
         if not can_meet(self.world):
             return None
-        live = {number: sorted(member.lives) for number, member in self.world.members.items()}
+        live = {number: sorted(member.live_members) for number, member in self.world.members.items()}
         self.found.append(f"not settled after {QUIET_MS / 1000:.0f} s: {live}")
         return None
 
     def _look(self) -> None:
         for number, member in self.world.members.items():
             for name, record in member.members.items():
-                before = self._seen.get((number, member.me.life, name))
+                before = self._seen.get((number, member.local_record.boot_id, name))
                 if before is not None and _rank(before) > _rank(record):
                     self.found.append(f"n{number} went back from {before} to {record}")
-                self._seen[number, member.me.life, name] = record
+                self._seen[number, member.local_record.boot_id, name] = record
 
 
 def can_meet(world: World) -> bool:
@@ -72,7 +72,7 @@
     places = {f"m:{number}": number for number in world.members}
     knows: dict[int, set[int]] = {number: set() for number in world.members}
     for number, member in world.members.items():
-        known = {record.place for record in member.members.values()} | set(world.seeds)
+        known = {record.address for record in member.members.values()} | set(world.seeds)
         for other in (places[place] for place in known if place in places):
             knows[number].add(other)
             knows[other].add(number)
@@ -84,9 +84,9 @@
     return len(met) == len(world.members)
 
 
-def _rank(record: Record) -> tuple[int, int, int]:
+def _rank(record: MemberRecord) -> tuple[int, int, int]:
     """Written out once more: what is searched for must not follow what is searched."""
-    return record.incarnation, record.standing, record.life
+    return record.incarnation, record.standing, record.boot_id
 
 
 def heal(world: World) -> None:
@@ -140,7 +140,7 @@
     if not watch.found and watch.world.members and seed % 10 == 0:
         watch.run(PLACES_MS)
         if not watch.world.are_placed():
-            told = {number: ranks.told for number, ranks in watch.world.ranks.items()}
+            told = {number: ranks.current for number, ranks in watch.world.ranks.items()}
             watch.found.append(f"not placed: {told}")
     return Finding(f"seed {seed}", watch.found[0]) if watch.found else None
 
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -13,13 +13,13 @@
 from larkcrank.config.sidecar import Config, RecoveryConfig
 from larkcrank.core.interface import Endpoint, FleetSize, State
 from larkcrank.fleet import snapshot
-from larkcrank.fleet.asking import Asking
-from larkcrank.fleet.lists import Lists, Told
-from larkcrank.fleet.membership import Membership, Out
-from larkcrank.fleet.ranks import Doubt
-from larkcrank.fleet.restart import Restart, which
-from larkcrank.fleet.speaker import Speaker
-from larkcrank.fleet.wire import Line
+from larkcrank.fleet.asking import DiscoveryCallGate
+from larkcrank.fleet.lists import ListUpdate, SharedServerList
+from larkcrank.fleet.membership import Membership, OutgoingMessage
+from larkcrank.fleet.ranks import DistrustReason
+from larkcrank.fleet.restart import RestartKind, classify_restart
+from larkcrank.fleet.speaker import FleetProtocol
+from larkcrank.fleet.wire import ServerEntry
 from larkcrank.protocol.discovery import Listing, Names, host_port
 from larkcrank.routing.discovery import Discovery
 from larkcrank.routing.driver import Driver, Journal
@@ -46,7 +46,7 @@
         self._zone = zones[zone] if zone < len(zones) else str(zone)
         self._config, self._clock, self._log, self._driver = config, clock, log, driver
         configured = FleetSize(decisions.instances, decisions.ordinal, decisions.instances)
-        self._speaker = Speaker(
+        self._speaker = FleetProtocol(
             config.fleet,
             config.name,
             self._zone,
@@ -79,7 +79,7 @@
 
     async def _start(self) -> None:
         if self._recovery is not None:
-            self._speaker.more_seeds(self._recovery.fellows)
+            self._speaker.set_extra_seeds(self._recovery.fellows)
         try:
             await self._speaker.start()
         except OSError as error:  # it serves all the same
@@ -109,7 +109,7 @@
         if self._recovery is not None:
             self._recovery.joined(membership, self._speaker, self._zone, now)
 
-    def _step(self, now: float) -> list[Out]:
+    def _step(self, now: float) -> list[OutgoingMessage]:
         return [] if self._recovery is None else self._recovery.step(now)
 
 
@@ -132,14 +132,16 @@
         self._config, self._fleet, self._recovery = config, config.fleet.name, recovery
         self._names, self._clock, self._log, self._driver, self._rng = names, clock, log, driver, rng
         self._began = clock()
-        self._asking = Asking(config.name, decisions.instances, decisions.ordinal, self._began, rng.random())
-        self._lists: Lists | None = None
+        self._asking = DiscoveryCallGate(
+            config.name, decisions.instances, decisions.ordinal, self._began, rng.random()
+        )
+        self._lists: SharedServerList | None = None
         self._membership: Membership | None = None
-        self._speaker: Speaker | None = None
+        self._speaker: FleetProtocol | None = None
         self._zone = ""
-        self._restart = Restart.UNKNOWN
-        self._heard: list[tuple[float, list[Line], int, bool]] = []  # before it joined
-        self._listed: tuple[list[Line], int, float] = [], -1, -1.0  # the list begun with, and its age
+        self._restart = RestartKind.UNKNOWN
+        self._heard: list[tuple[float, list[ServerEntry], int, bool]] = []  # before it joined
+        self._listed: tuple[list[ServerEntry], int, float] = [], -1, -1.0  # the list begun with, and its age
         self._gone: dict[str, tuple[float, State, float]] = {}
         self._told: Callable[[Listing], None] = driver.told
         self._failed: Callable[[str], None] = lambda reason: None
@@ -162,79 +164,81 @@
         """There are no fellows: everything goes as without them."""
         self._is_off = True
 
-    def joined(self, membership: Membership, speaker: Speaker, zone: str, now: float) -> None:
+    def joined(self, membership: Membership, speaker: FleetProtocol, zone: str, now: float) -> None:
         self._membership, self._speaker, self._zone = membership, speaker, zone
         rng = Random(self._rng.getrandbits(64))
-        lists = self._lists = Lists(membership, self._recovery.same_places, rng, now)
-        lists.remember_gone(self._gone)
+        lists = self._lists = SharedServerList(membership, self._recovery.same_places, rng, now)
+        lists.load_departed(self._gone)
         lines, generation, age = self._listed
         if generation >= 0:
-            lists.begin(lines, generation, age if age >= 0.0 else float("inf"))
+            lists.load_saved(lines, generation, age if age >= 0.0 else float("inf"))
         for at, heard, told, whole in self._heard:
-            lists.heard(at, heard, told, whole)
+            lists.on_discovery_list(at, heard, told, whole)
         self._heard.clear()
 
     # Discovery's own word, and leave to ask for it
 
     def _on_list(self, listing: Listing) -> None:
         now = self._clock()
-        self._asking.heard()
+        self._asking.on_success()
         lines = self._lines(listing)
         if self._lists is None:
             if not self._is_off:
                 self._heard = [*self._heard, (now, lines, listing.generation, listing.whole)][-64:]
             self._told(listing)
             return
-        kept = self._lists.heard(now, lines, listing.generation, listing.whole)
+        kept = self._lists.on_discovery_list(now, lines, listing.generation, listing.whole)
         self._told(listing if kept == lines else self._listing(listing.generation, listing.whole, kept))
 
     def _on_failure(self, reason: str) -> None:
-        self._asking.failed(self._clock())
+        self._asking.on_failure(self._clock())
         self._failed(reason)
 
     def _may_ask(self) -> bool:
         if self._is_off or (self._membership is not None and self._membership.is_duplicate):
             return True
-        live = [] if self._membership is None else list(self._membership.lives)
-        told_at = -float("inf") if self._lists is None else self._lists.told_at
-        lonely = self._membership is not None and self._membership.doubt > 0
-        return self._asking.may(self._clock(), live, told_at, lonely)
+        live = [] if self._membership is None else list(self._membership.live_members)
+        told_at = -float("inf") if self._lists is None else self._lists.reported_at
+        lonely = self._membership is not None and self._membership.local_health_score > 0
+        return self._asking.may_call(self._clock(), live, told_at, lonely)
 
     # What fellows hold
 
-    def step(self, now: float) -> list[Out]:
+    def step(self, now: float) -> list[OutgoingMessage]:
         assert self._lists is not None
         out = self._lists.tick(now)
-        told = self._lists.result(now)
+        told = self._lists.take_update(now)
         if told is not None:
             self._go_by(told)
-        if self._restart is Restart.UNKNOWN and now < self._began + GUESS_MS:
+        if self._restart is RestartKind.UNKNOWN and now < self._began + GUESS_MS:
             self._guess(now)
         if now >= self._save_at:
             self._save(now)
         return out
 
-    def _go_by(self, told: Told) -> None:
-        listing = self._listing(told.generation, True, told.lines)
-        self._log.event("list_from_fellow", generation=told.generation, by=told.by, servers=len(told.lines))
+    def _go_by(self, told: ListUpdate) -> None:
+        listing = self._listing(told.generation, True, told.entries)
+        self._log.event(
+            "list_from_fellow", generation=told.generation, by=told.source, servers=len(told.entries)
+        )
         self._driver.told(listing, cached=True)
 
     def _guess(self, now: float) -> None:
         assert self._lists is not None and self._membership is not None and self._speaker is not None
-        ranks = self._speaker.ranks
-        if ranks is None or ranks.doubt is Doubt.STARTED:
+        ranks = self._speaker.size_tracker
+        if ranks is None or ranks.distrust_reason is DistrustReason.JUST_STARTED:
             return
-        ages = {name: now - began for name, began in self._lists.up.items()}
-        zones = {name: record.zone for name, record in self._membership.lives.items()}
-        self._restart = which(now - self._began, ages, zones, self._zone)
-        if self._restart is not Restart.UNKNOWN:
+        ages = {name: now - began for name, began in self._lists.peer_started_at.items()}
+        zones = {name: record.zone for name, record in self._membership.live_members.items()}
+        self._restart = classify_restart(now - self._began, ages, zones, self._zone)
+        if self._restart is not RestartKind.UNKNOWN:
             self._log.event("fleet_restart", restart=self._restart.value, asked=len(ages))
 
     def counters(self) -> dict[str, Any]:
         lists = self._lists
         return {
-            "lists_taken": 0 if lists is None else lists.taken,
-            "refused": {} if lists is None else dict(lists.refused),
+            "lists_taken": 0 if lists is None else lists.adopted_count,
+            "refused": {} if lists is None else dict(lists.rejected_counts),
             "restart": self._restart.value,
             "saves": self._saves,
             "save_failures": self._save_failures,
@@ -247,10 +251,11 @@
         found = self._read()
         if found is not None:
             since = max(self._clock() - found.saved_at_ms, 0.0)
-            self.fellows = found.places[: snapshot.FELLOWS_MOST]
+            self.fellows = found.places[: snapshot.MAX_PEER_ADDRESSES]
             now = self._clock()
             self._gone = {
-                one.name: (one.started_ms, State(one.state), now - one.age_ms - since) for one in found.gone
+                one.name: (one.started_at_ms, State(one.state), now - one.age_ms - since)
+                for one in found.gone
             }
             if found.generation >= 0 and (listing is None or found.generation > listing.generation):
                 age = found.list_age_ms + since if found.list_age_ms >= 0.0 else -1.0
@@ -268,7 +273,7 @@
         try:
             found = snapshot.read(path, self._fleet, self._config.name, self._clock())
         except snapshot.SnapshotError as error:
-            self._log.event("snapshot_unusable", why=error.why, message=str(error))
+            self._log.event("snapshot_unusable", why=error.reason, message=str(error))
             return None
         self._log.event("snapshot_taken", generation=found.generation, servers=len(found.lines))
         return found
@@ -301,23 +306,27 @@
     def _snapshot(self, now: float) -> tuple[bytes | None, object]:
         """The file's bytes, and what has to change before it is worth another write."""
         lists, membership = self._lists, self._membership
-        if lists is None or membership is None or self._speaker is None or self._speaker.ranks is None:
+        if lists is None or membership is None or self._speaker is None or self._speaker.size_tracker is None:
             return None, None
-        others = (one.place for one in membership.lives.values() if one.name != membership.me.name)
-        places = sorted(others)[: snapshot.FELLOWS_MOST]
+        others = (
+            one.address
+            for one in membership.live_members.values()
+            if one.name != membership.local_record.name
+        )
+        places = sorted(others)[: snapshot.MAX_PEER_ADDRESSES]
         gone = [
-            snapshot.Gone(name, started, int(state), now - at)
-            for name, (started, state, at) in lists.gone().items()
+            snapshot.DepartedServer(name, started, int(state), now - at)
+            for name, (started, state, at) in lists.departed().items()
         ]
-        lines = [lists.lines[name] for name in sorted(lists.lines)]
-        age = now - lists.told_at if lists.is_told else -1.0
-        size = self._speaker.ranks.told.count
+        lines = [lists.entries[name] for name in sorted(lists.entries)]
+        age = now - lists.reported_at if lists.is_reported else -1.0
+        size = self._speaker.size_tracker.current.count
         found = snapshot.Snapshot(
             self._fleet, self._config.name, now, lists.generation, age, lines, gone, places, size
         )
         data = snapshot.encode(found)
         marks = lists.generation, tuple(lines), tuple(one.name for one in gone), tuple(places), size
-        return (data if len(data) <= snapshot.MOST_BYTES else None), marks
+        return (data if len(data) <= snapshot.MAX_FILE_BYTES else None), marks
 
     def close(self) -> None:
         if self._saving is not None:
@@ -325,12 +334,12 @@
 
     # Listings and lines
 
-    def _lines(self, listing: Listing) -> list[Line]:
+    def _lines(self, listing: Listing) -> list[ServerEntry]:
         return [self._line(endpoint, listing) for endpoint in listing.endpoints]
 
-    def _line(self, endpoint: Endpoint, listing: Listing) -> Line:
+    def _line(self, endpoint: Endpoint, listing: Listing) -> ServerEntry:
         place = listing.places.get(endpoint.address)
-        return Line(
+        return ServerEntry(
             endpoint.address.decode(),
             int(endpoint.state),
             self._names.zones[endpoint.zone],
@@ -341,15 +350,17 @@
             "" if place is None else f"{place[0]}:{place[1]}",
         )
 
-    def _listing(self, generation: int, whole: bool, lines: "list[Line] | tuple[Line, ...]") -> Listing:
+    def _listing(
+        self, generation: int, whole: bool, lines: "list[ServerEntry] | tuple[ServerEntry, ...]"
+    ) -> Listing:
         endpoints, places = [], {}
         for line in lines:
             state, address = State(line.state), line.name.encode()
             try:
-                places[address] = host_port(line.place)
+                places[address] = host_port(line.host_port)
             except ValueError:  # as discovery's own: such a server gets nothing new
                 state = State.GONE if state is State.GONE else State.DRAINING
             zone = Names.number(self._names.zones, line.zone)
             kind = Names.number(self._names.kinds, line.kind)
-            endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_ms))
+            endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_at_ms))
         return Listing(generation, whole, tuple(endpoints), places)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -246,7 +246,7 @@
 def test_one_member_holds_those_silent_for_dead_and_no_others() -> None:
     one = view.LoneMember(1000, 1)
     one.run(5000.0)
-    assert len(one.member.lives) == 1000
+    assert len(one.member.live_members) == 1000
     one.lose(30)
     one.run(60_000.0)
     dead = {name for name, record in one.member.members.items() if record.standing is Standing.DEAD}
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -22,7 +22,7 @@
 from larkcrank.config import sidecar as config
 from larkcrank.core import interface as api
 from larkcrank.fleet import speaker
-from larkcrank.fleet.asking import ALONE_TURNS, TURN_MS, Asking
+from larkcrank.fleet.asking import ALONE_RETRY_TURNS, TURN_MS, DiscoveryCallGate
 from larkcrank.program import handover
 from larkcrank.program.log import Log
 from larkcrank.program.sidecar import Sidecar
@@ -512,36 +512,36 @@
 def test_turns_are_the_same_for_all_whenever_each_ones_call_failed() -> None:
     """Counted from each one's own failure there were turns of several and, in between, of nobody."""
     live = [f"n{number}" for number in range(SIDECARS)]
-    some = [Asking(name, SIDECARS, number, 0.0, 0.5) for number, name in enumerate(live)]
+    some = [DiscoveryCallGate(name, SIDECARS, number, 0.0, 0.5) for number, name in enumerate(live)]
     for number, one in enumerate(some):
-        one.heard()
-        one.failed(50_000.0 + 370.0 * number)
+        one.on_success()
+        one.on_failure(50_000.0 + 370.0 * number)
     for turn in range(100, 200):
         at = 1000.0 + TURN_MS * turn
-        assert sum(one.may(at, live, -math.inf) for one in some) == 1
+        assert sum(one.may_call(at, live, -math.inf) for one in some) == 1
 
 
 def test_one_whose_fellows_do_not_answer_asks_alone_and_one_alone_at_once() -> None:
     for live, lonely in ((["a", "b", "c"], True), (["a"], False)):
-        one = Asking("a", 20, 7, 0.0, 0.5)
-        one.heard()
-        one.failed(100_000.0)
-        allowed = [one.may(100_000.0 + 100.0 * step, live, -math.inf, lonely) for step in range(50)]
-        assert allowed.index(True) * 100.0 <= ALONE_TURNS * TURN_MS == 2000.0
+        one = DiscoveryCallGate("a", 20, 7, 0.0, 0.5)
+        one.on_success()
+        one.on_failure(100_000.0)
+        allowed = [one.may_call(100_000.0 + 100.0 * step, live, -math.inf, lonely) for step in range(50)]
+        assert allowed.index(True) * 100.0 <= ALONE_RETRY_TURNS * TURN_MS == 2000.0
 
 
 def test_a_list_told_before_a_failure_keeps_nobody_from_asking() -> None:
     """Within 20 s of a list those beyond the first two left it to them, who may be dead or cut off."""
     live = [f"n{number}" for number in range(SIDECARS)]
-    some = [Asking(name, SIDECARS, number, 0.0, 0.5) for number, name in enumerate(live)]
+    some = [DiscoveryCallGate(name, SIDECARS, number, 0.0, 0.5) for number, name in enumerate(live)]
     for one in some:
-        one.heard()
-        one.failed(50_000.0)
+        one.on_success()
+        one.on_failure(50_000.0)
     asked = {
         one._name
         for one in some
         for turn in range(1, 21)
-        if one.may(50_000.0 + TURN_MS * turn, live, 49_000.0)
+        if one.may_call(50_000.0 + TURN_MS * turn, live, 49_000.0)
     }
     assert len(asked) == SIDECARS
-    assert sum(one.may(75_000.0, live, 70_000.0) for one in some) == 2  # told since: two watch
+    assert sum(one.may_call(75_000.0, live, 70_000.0) for one in some) == 2  # told since: two watch
