--- a/tests/test_fleet_ranks.py
+++ b/tests/test_fleet_ranks.py
@@ -10,7 +10,15 @@
 from larkcrank.core.balancer import Balancer
 from larkcrank.core.interface import Endpoint, FleetSize, ServerList, Settings
 from larkcrank.fleet import ranks as module
-from larkcrank.fleet.ranks import CUT_MS, HOLD_MOST_MS, HOLD_MS, RECKON_MS, Doubt, Ranks, rank_of
+from larkcrank.fleet.ranks import (
+    HOLD_MS,
+    MAX_HOLD_MS,
+    MAX_INSTANCES_HOLD_MS,
+    PARTITION_HOLD_MS,
+    DistrustReason,
+    FleetSizeTracker,
+    ordinal_of,
+)
 from larkcrank.lab.virtual import World
 from tests.test_balancer import CLASSES
 
@@ -19,14 +27,16 @@
 
 @given(names)
 def test_places_are_distinct_and_the_same_in_any_order(live: set[str]) -> None:
-    assert sorted(rank_of(name, live) for name in live) == list(range(len(live)))
-    assert all(rank_of(name, sorted(live)) == rank_of(name, sorted(live, reverse=True)) for name in live)
+    assert sorted(ordinal_of(name, live) for name in live) == list(range(len(live)))
+    assert all(
+        ordinal_of(name, sorted(live)) == ordinal_of(name, sorted(live, reverse=True)) for name in live
+    )
 
 
 @given(names, st.text(max_size=6))
 def test_one_more_moves_nobody_by_more_than_one(live: set[str], name: str) -> None:
     more = live | {name}
-    assert all(rank_of(one, more) - rank_of(one, live) in (0, 1) for one in live)
+    assert all(ordinal_of(one, more) - ordinal_of(one, live) in (0, 1) for one in live)
 
 
 class Watched:
@@ -34,7 +44,7 @@
 
     def __init__(self, live: int, configured: int = 10, name: str = "n0") -> None:
         self.now, self.live = 0.0, {f"n{index}" for index in range(live)}
-        self.ranks = Ranks(name, configured, 3, 0.0)
+        self.ranks = FleetSizeTracker(name, configured, 3, 0.0)
         self.told: list[FleetSize] = []
         self.differed_at = -math.inf
         self.slow = False
@@ -54,9 +64,9 @@
 def test_it_goes_by_the_configuration_until_the_view_is_trusted() -> None:
     one = Watched(12)
     assert one.run(2000) == [FleetSize(10, 3, 12)]  # more live than is configured: at once the safer number
-    assert one.ranks.doubt is Doubt.STARTED
+    assert one.ranks.distrust_reason is DistrustReason.JUST_STARTED
     one.run(10_000)
-    assert one.ranks.told == FleetSize(12, rank_of("n0", one.live), 12)
+    assert one.ranks.current == FleetSize(12, ordinal_of("n0", one.live), 12)
 
 
 def test_who_meets_nobody_is_alone_after_a_while() -> None:
@@ -64,25 +74,25 @@
     one.run(4000)
     assert one.told == []  # ten are configured: it may just not have heard them yet
     one.run(4000)
-    assert one.ranks.told == FleetSize(1, 0, 1)
+    assert one.ranks.current == FleetSize(1, 0, 1)
 
 
 def test_a_restart_moves_nobody_and_a_death_only_after_its_hold() -> None:
     one = Watched(20)
     one.run(10_000)
-    place = one.ranks.told
+    place = one.ranks.current
     one.live.discard("n7")
     one.run(HOLD_MS - 2000)
     one.live.add("n7")
     one.run(60_000)
-    assert one.ranks.told == place and one.ranks.moves == 1  # the first, from the configuration
+    assert one.ranks.current == place and one.ranks.move_count == 1  # the first, from the configuration
     one.live.discard("n7")
     assert one.run(HOLD_MS - 2000) == []
     one.run(60_000)
-    assert one.ranks.told.count == 19
-    assert one.ranks.told.max_instances == 20  # it may live on where we can't see it
-    one.run(RECKON_MS)
-    assert one.ranks.told.max_instances == 19
+    assert one.ranks.current.count == 19
+    assert one.ranks.current.max_instances == 20  # it may live on where we can't see it
+    one.run(MAX_INSTANCES_HOLD_MS)
+    assert one.ranks.current.max_instances == 19
 
 
 def test_a_member_that_flaps_shifts_the_others_ever_more_seldom() -> None:
@@ -94,36 +104,39 @@
         one.run(20_000)
         one.live.add("n7")
         one.run(20_000)
-    assert one.ranks.moves <= 6
-    one.run(HOLD_MOST_MS)
-    assert one.ranks.told.count == 20
+    assert one.ranks.move_count <= 6
+    one.run(MAX_HOLD_MS)
+    assert one.ranks.current.count == 20
 
 
 def test_many_lost_at_one_moment_move_nobody_until_it_is_plain() -> None:
     """Cut off, or a third killed: parts stand first, and the larger number is reckoned with for longer."""
     one = Watched(21)
     one.run(10_000)
-    place = one.ranks.told
+    place = one.ranks.current
     one.live -= {f"n{index}" for index in range(14, 21)}
-    one.run(CUT_MS - 2000)
-    assert one.ranks.doubt is Doubt.CUT and one.ranks.told == place
+    one.run(PARTITION_HOLD_MS - 2000)
+    assert one.ranks.distrust_reason is DistrustReason.POSSIBLE_PARTITION and one.ranks.current == place
     one.run(20_000)
-    assert one.ranks.told == FleetSize(14, rank_of("n0", one.live), 21)
+    assert one.ranks.current == FleetSize(14, ordinal_of("n0", one.live), 21)
 
 
-@pytest.mark.parametrize("why", [Doubt.SLOW, Doubt.MOVING])
-def test_a_view_on_the_move_and_a_slow_self_move_nobody(why: Doubt) -> None:
+@pytest.mark.parametrize("why", [DistrustReason.SLOW_PROCESS, DistrustReason.UNSETTLED])
+def test_a_view_on_the_move_and_a_slow_self_move_nobody(why: DistrustReason) -> None:
     one = Watched(20)
     one.run(10_000)
-    place = one.ranks.told
-    one.slow, one.differed_at = why is Doubt.SLOW, math.inf if why is Doubt.MOVING else -math.inf
+    place = one.ranks.current
+    one.slow, one.differed_at = (
+        why is DistrustReason.SLOW_PROCESS,
+        math.inf if why is DistrustReason.UNSETTLED else -math.inf,
+    )
     one.live |= {"x", "y"}
     one.run(8000)
-    assert one.ranks.doubt is why
-    assert one.ranks.told == FleetSize(place.count, place.ordinal, 22)
+    assert one.ranks.distrust_reason is why
+    assert one.ranks.current == FleetSize(place.count, place.ordinal, 22)
     one.slow = False  # a view that never comes to rest is taken as it is
     one.run(20_000)
-    assert one.ranks.told.count == 22
+    assert one.ranks.current.count == 22
 
 
 def test_what_is_remembered_is_bounded_by_the_fleet_not_by_its_history() -> None:
@@ -132,7 +145,7 @@
         one.live = {"n0", f"x{index}"}
         one.run(10_000)
     ranks = one.ranks
-    assert max(len(ranks._lost), len(ranks._deaths)) <= 2 * RECKON_MS / 10_000
+    assert max(len(ranks._lost_members), len(ranks._death_weights)) <= 2 * MAX_INSTANCES_HOLD_MS / 10_000
 
 
 @pytest.mark.parametrize("seed", range(6))
@@ -146,7 +159,7 @@
     assert world.are_placed()
     world.cut = lambda a, b: a % 2 != b % 2
     world.run(120_000)
-    told = [world.ranks[number].told for number in world.members]
+    told = [world.ranks[number].current for number in world.members]
     assert all(
         one.count < 10 <= one.max_instances for one in told
     )  # each side keeps to all servers by itself
@@ -164,7 +177,7 @@
     assert len(world.deaths) > 30
     world.cut = lambda a, b: False
     world.run(60_000)
-    assert all(ranks.moves <= 1 for ranks in world.ranks.values()) and world.are_placed()
+    assert all(ranks.move_count <= 1 for ranks in world.ranks.values()) and world.are_placed()
     assert {told.count for _, _, told in world.sizes[before:]} <= {12}
 
 
@@ -209,7 +222,7 @@
 
 def test_the_search_finds_places_that_are_not_held(monkeypatch: pytest.MonkeyPatch) -> None:
     """Without the doubt of a cut, everybody's servers shift in a cut of half a minute."""
-    monkeypatch.setattr(module, "CUT_SHARE", 1.0)
+    monkeypatch.setattr(module, "PARTITION_LOSS_SHARE", 1.0)
     monkeypatch.setattr(module, "HOLD_MS", 0.0)
     with pytest.raises(AssertionError):
         test_in_a_fleet_that_is_cut_for_half_a_minute_nobody_moves()
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-from larkcrank.fleet.asking import turn_of
+from larkcrank.fleet.asking import turn_order_key
 from larkcrank.lab import bench
 from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
 
@@ -55,7 +55,7 @@
 
 def test_another_asks_when_the_one_whose_turn_it_is_dies() -> None:
     """Everybody starts with nothing; the first to ask is killed as discovery comes back."""
-    first = min(range(4), key=lambda index: turn_of(f"n{index}"))
+    first = min(range(4), key=lambda index: turn_order_key(f"n{index}"))
     others = [f"sidecars:{index}" for index in range(4) if index != first]
     found = played(
         4,
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -13,8 +13,8 @@
 
 from larkcrank.config.sidecar import ConfigError, parse
 from larkcrank.fleet import snapshot
-from larkcrank.fleet.snapshot import FUTURE_MS, LIST_MS, Gone, Snapshot, SnapshotError
-from larkcrank.fleet.wire import Line
+from larkcrank.fleet.snapshot import MAX_AGE_MS, MAX_CLOCK_SETBACK_MS, DepartedServer, Snapshot, SnapshotError
+from larkcrank.fleet.wire import ServerEntry
 from larkcrank.lab import bench
 from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
 from tests.frames import CONFIG
@@ -25,14 +25,14 @@
 
 
 def some(generation: int = 7) -> Snapshot:
-    line = Line("a", 1, "z", "k", 0, 1.0, 5.0, "h:1")
-    return Snapshot("f", "n", NOW, generation, 10.0, [line], [Gone("b", 1.0, 0, 2.0)], ["h:2"], 3)
+    line = ServerEntry("a", 1, "z", "k", 0, 1.0, 5.0, "h:1")
+    return Snapshot("f", "n", NOW, generation, 10.0, [line], [DepartedServer("b", 1.0, 0, 2.0)], ["h:2"], 3)
 
 
 def why(data: bytes, fleet: str = "f", member: str = "n", now: float = NOW) -> str:
     with pytest.raises(SnapshotError) as caught:
         snapshot.decode(data, fleet, member, now)
-    return caught.value.why
+    return caught.value.reason
 
 
 def test_what_is_written_is_read() -> None:
@@ -46,20 +46,22 @@
     assert why(b"{}\n" + body) == why(b"no snapshot\n") == "foreign"
     assert why(head.replace(b'"version":1', b'"version":2') + b"\n" + body) == "version"
     assert why(data, fleet="g") == why(data, member="m") == "other"
-    assert why(data, now=NOW - FUTURE_MS - 1.0) == "future"
-    assert why(data, now=NOW + LIST_MS + 1.0) == "old"
-    assert snapshot.decode(data, "f", "n", NOW - FUTURE_MS / 2) == some()  # a clock set back by a little
+    assert why(data, now=NOW - MAX_CLOCK_SETBACK_MS - 1.0) == "future"
+    assert why(data, now=NOW + MAX_AGE_MS + 1.0) == "old"
+    assert (
+        snapshot.decode(data, "f", "n", NOW - MAX_CLOCK_SETBACK_MS / 2) == some()
+    )  # a clock set back by a little
     for name, made, expected in (
         ("none", lambda path: None, "missing"),
         ("folder", lambda path: path.mkdir(), "unreadable"),
-        ("large", lambda path: path.write_bytes(bytes(snapshot.MOST_BYTES + 1)), "large"),
+        ("large", lambda path: path.write_bytes(bytes(snapshot.MAX_FILE_BYTES + 1)), "large"),
     ):
         path = tmp_path / name
         make: Callable[[Path], Any] = made
         make(path)
         with pytest.raises(SnapshotError) as caught:
             snapshot.read(path, "f", "n", NOW)
-        assert caught.value.why == expected
+        assert caught.value.reason == expected
 
 
 @given(st.binary(max_size=300))
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -12,8 +12,17 @@
 from larkcrank.config.sidecar import ConfigError, parse
 from larkcrank.fleet import membership, wire
 from larkcrank.fleet.membership import Membership
-from larkcrank.fleet.records import BUCKETS, Digest, Record, Standing
-from larkcrank.fleet.wire import Ack, Codec, DatagramError, Message, Once, Page, Ping, size_of
+from larkcrank.fleet.records import BUCKET_COUNT, MemberRecord, Standing, ViewDigest
+from larkcrank.fleet.wire import (
+    Ack,
+    BucketPage,
+    Codec,
+    DatagramError,
+    Message,
+    Ping,
+    ReplayFilter,
+    encoded_size,
+)
 from larkcrank.lab import worlds
 from larkcrank.lab.virtual import World
 from tests.frames import CONFIG
@@ -21,8 +30,10 @@
 QUIET_MS = 300_000.0
 
 
-def record(name: str, incarnation: int = 1, standing: Standing = Standing.ALIVE, life: int = 7) -> Record:
-    return Record(name, "m:1", "z", life, incarnation, standing)
+def record(
+    name: str, incarnation: int = 1, standing: Standing = Standing.ALIVE, life: int = 7
+) -> MemberRecord:
+    return MemberRecord(name, "m:1", "z", life, incarnation, standing)
 
 
 def settled(count: int, seed: int = 1, **more: int) -> World:
@@ -44,22 +55,22 @@
     ]
     for index, one in enumerate(order):
         for other in order[:index]:
-            assert one.outranks(other) and not other.outranks(one)
-        assert not one.outranks(one)
-    assert record("a", life=8).outranks(record("a", life=7))
+            assert one.supersedes(other) and not other.supersedes(one)
+        assert not one.supersedes(one)
+    assert record("a", life=8).supersedes(record("a", life=7))
 
 
 @given(st.lists(st.tuples(st.integers(0, 9), st.integers(1, 3), st.sampled_from(Standing)), max_size=30))
 def test_a_digest_depends_on_the_live_members_alone(told: list[tuple[int, int, Standing]]) -> None:
-    digest, held = Digest(), dict[str, Record]()
+    digest, held = ViewDigest(), dict[str, MemberRecord]()
     for number, incarnation, standing in told:
         new = record(f"n{number}", incarnation, standing)
-        digest.change(held.get(new.name), new)
+        digest.update(held.get(new.name), new)
         held[new.name] = new
-    anew = Digest()
+    anew = ViewDigest()
     for one in reversed(list(held.values())):
-        anew.change(None, one)
-    assert (digest.whole, digest.buckets) == (anew.whole, anew.buckets)
+        anew.update(None, one)
+    assert (digest.total, digest.buckets) == (anew.total, anew.buckets)
 
 
 def test_strange_damaged_and_other_datagrams_are_refused() -> None:
@@ -71,14 +82,14 @@
     def why(text: bytes, by: Codec = codec) -> str:
         with pytest.raises(DatagramError) as caught:
             by.decode(text)
-        return caught.value.why
+        return caught.value.reason
 
     assert why(data, Codec("two", "s")) == why(data, Codec("one", "t")) == "strange"
     assert why(data[:-1]) == why(data[:-1] + bytes([data[-1] ^ 1])) == "strange"
     assert why(bytes([9]) + data[1:]) == "other_version"
     assert why(b"") == why(bytes(2000)) == "damaged"
     with pytest.raises(ValueError, match=r"1[0-9]{3} bytes"):
-        codec.encode(msgspec.structs.replace(ping, room=bytes(1200)))
+        codec.encode(msgspec.structs.replace(ping, padding=bytes(1200)))
 
 
 @given(st.binary(max_size=1300))
@@ -89,9 +100,9 @@
 
 @given(st.lists(st.integers(0, 200), max_size=200))
 def test_each_datagram_is_taken_once(counts: list[int]) -> None:
-    once, taken = Once(), set[int]()
+    once, taken = ReplayFilter(), set[int]()
     for count in counts:
-        took = once.takes(count)
+        took = once.accept(count)
         assert not (took and count in taken)
         if count > max(taken, default=-1):
             assert took
@@ -103,15 +114,17 @@
     me = Membership(record("a", life=1), [], Random(1), 0.0)
     ping = Ping(record("b", life=2), "a", 1, 0, 5, [], bytes(200))
     assert len(me.receive(1.0, "m:2", ping)) == 1
-    assert me.receive(2.0, "m:9", ping) == [] and me.replayed == 1
+    assert me.receive(2.0, "m:9", ping) == [] and me.replayed_count == 1
     # Of an earlier life, replayed after the new one has come.
     assert me.receive(3.0, "m:2", Ping(record("b", 2, life=3), "a", 1, 0, 5, [], bytes(200)))
-    assert me.receive(4.0, "m:2", ping) == [] and me.replayed == 2
+    assert me.receive(4.0, "m:2", ping) == [] and me.replayed_count == 2
     # Not met before, of a life that another one outranks: it is told so, and changes nothing.
-    (told,) = me.receive(4.0, "m:2", msgspec.structs.replace(ping, count=2))
-    assert isinstance(told.message, Ack) and told.message.news[0].life == 3
-    assert me.members["b"].life == 3
-    assert me.receive(5.0, "m:2", msgspec.structs.replace(ping, to="c", count=3)) == []  # for another
+    (told,) = me.receive(4.0, "m:2", msgspec.structs.replace(ping, sequence=2))
+    assert isinstance(told.message, Ack) and told.message.updates[0].boot_id == 3
+    assert me.members["b"].boot_id == 3
+    assert (
+        me.receive(5.0, "m:2", msgspec.structs.replace(ping, recipient="c", sequence=3)) == []
+    )  # for another
 
 
 def test_no_answer_is_longer_than_its_question(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -119,14 +132,16 @@
     watched = [0]
     receive = Membership.receive
 
-    def watch(self: Membership, now: float, place: str, message: Message) -> list[membership.Out]:
+    def watch(self: Membership, now: float, place: str, message: Message) -> list[membership.OutgoingMessage]:
         outs = receive(self, now, place, message)
         for out in outs:
-            answers = isinstance(out.message, (Ack, wire.Nack, wire.Differ, wire.Reply, Ping))
+            answers = isinstance(out.message, (Ack, wire.Nack, wire.DifferingBuckets, wire.BucketReply, Ping))
             if answers:
                 watched[0] += 1
-                limit = size_of(message) + (membership.ROOM_BYTES if isinstance(out.message, Ping) else 0)
-                assert size_of(out.message) <= limit, (message, out.message)
+                limit = encoded_size(message) + (
+                    membership.HEADER_BYTES if isinstance(out.message, Ping) else 0
+                )
+                assert encoded_size(out.message) <= limit, (message, out.message)
         return outs
 
     monkeypatch.setattr(Membership, "receive", watch)
@@ -144,25 +159,27 @@
     one = Membership(record("a", life=1), [], Random(1), 0.0)
     two = Membership(record("b", life=2), ["m:1"], Random(2), 0.0)
     for index, name in enumerate(names):
-        (one if index % 2 else two)._merge(Record(name, "m:9", "z", 5, 1))
-    one._news.clear()
-    two._news.clear()
+        (one if index % 2 else two)._merge(MemberRecord(name, "m:9", "z", 5, 1))
+    one._updates.clear()
+    two._updates.clear()
     now, box = 0.0, list[tuple[Membership, str, Message]]()
-    one._round, two._round = ["b"], ["a"]
-    one._merge(two.me)
-    two._merge(one.me)
+    one._probe_queue, two._probe_queue = ["b"], ["a"]
+    one._merge(two.local_record)
+    two._merge(one.local_record)
     for _ in range(40):
         now += 100.0
         for me, other, place in ((one, two, "m:1"), (two, one, "m:2")):
-            box += [(other, place, out.message) for out in me.tick(now) if out.message.to in ("a", "b")]
+            box += [
+                (other, place, out.message) for out in me.tick(now) if out.message.recipient in ("a", "b")
+            ]
         while box:
             to, place, message = box.pop(0)
             back = "m:2" if to is two else "m:1"
             answers = to.receive(now, place, message)
             box += [(one if to is two else two, back, out.message) for out in answers]
-        if one.digest.whole == two.digest.whole:
+        if one.digest.total == two.digest.total:
             break
-    assert {r.name for r in one.live()} == {r.name for r in two.live()} == {"a", "b", *names}
+    assert {r.name for r in one.live_records()} == {r.name for r in two.live_records()} == {"a", "b", *names}
 
 
 # Whole fleets
@@ -187,7 +204,7 @@
     world.cut = lambda a, b: (a >= 12 - side) != (b >= 12 - side)
     world.run(length)
     if length > 100_000:
-        views = [len(member.live()) for member in world.members.values()]
+        views = [len(member.live_records()) for member in world.members.values()]
         assert views == [12 - side] * (12 - side) + [side] * side  # both go on, each with its own
     world.cut = lambda a, b: False
     assert world.settle(QUIET_MS) is not None
@@ -236,7 +253,7 @@
     world = settled(8)
     world.cut = lambda a, b: a == 5
     world.run(120_000)
-    assert all("n5" not in {r.name for r in m.live()} for n, m in world.members.items() if n != 5)
+    assert all("n5" not in {r.name for r in m.live_records()} for n, m in world.members.items() if n != 5)
     others = [death for death in world.deaths if death[1] != 5]
     world.run(300_000)
     assert [death for death in world.deaths if death[1] != 5] == others
@@ -309,20 +326,24 @@
     both = world.members[4], world.members[9]
     for _ in range(120):
         world.run(500)
-        told += [change.why for member in both for change in member.changes]
+        told += [change.reason for member in both for change in member.changes]
     silent = [member.is_duplicate for member in both]
     assert sorted(silent) == [False, True]
     right = both[silent.index(False)]
-    assert right.me.incarnation < 100  # no war
+    assert right.local_record.incarnation < 100  # no war
     known = {
-        (r.life, r.incarnation) for n, m in world.members.items() if n < 4 for r in m.live() if r.name == "n4"
+        (r.boot_id, r.incarnation)
+        for n, m in world.members.items()
+        if n < 4
+        for r in m.live_records()
+        if r.name == "n4"
     }
-    assert known == {(right.me.life, right.me.incarnation)}
+    assert known == {(right.local_record.boot_id, right.local_record.incarnation)}
 
 
 def test_a_member_on_another_version_of_the_protocol_is_left_alone() -> None:
     world = settled(6)
-    data = bytes([wire.VERSION + 1]) + bytes(100)
+    data = bytes([wire.PROTOCOL_VERSION + 1]) + bytes(100)
     world._arrive(2, "m:5", data)
     assert world.refused == {"other_version": 1} and world.is_settled()
 
@@ -378,10 +399,10 @@
     return math.inf
 
 
-def _falls_back(self: Membership, me: Record) -> None:
-    me = msgspec.structs.replace(me, incarnation=2 if self.me.incarnation < 2 else 1)
-    self._hold(self.me, me)
-    self.me = me
+def _falls_back(self: Membership, me: MemberRecord) -> None:
+    me = msgspec.structs.replace(me, incarnation=2 if self.local_record.incarnation < 2 else 1)
+    self._store(self.local_record, me)
+    self.local_record = me
 
 
 @pytest.mark.parametrize(
@@ -398,22 +419,22 @@
     """A live member that stays dead, a dead one that stays, a record or an incarnation that goes back."""
     match planted:
         case "no refutation":
-            monkeypatch.setattr(Membership, "_about_me", lambda self, record: None)
+            monkeypatch.setattr(Membership, "_handle_own_name", lambda self, record: None)
         case "the dead are not looked for":
-            monkeypatch.setattr(Membership, "_look_for_lost", lambda self: [])
+            monkeypatch.setattr(Membership, "_ping_lost_member", lambda self: [])
         case "the silent are never dead":
-            monkeypatch.setattr(membership._Suspicion, "ends_at", _never)
+            monkeypatch.setattr(membership._Suspicion, "expires_at", _never)
         case "no rank":
-            monkeypatch.setattr(Record, "outranks", lambda self, other: True)
+            monkeypatch.setattr(MemberRecord, "supersedes", lambda self, other: True)
         case "a refutation goes back":
-            monkeypatch.setattr(Membership, "_become", _falls_back)
+            monkeypatch.setattr(Membership, "_set_local_record", _falls_back)
     monkeypatch.setattr(worlds, "QUIET_MS", 60_000.0)
     found = (worlds.play_steps(steps) for steps in worlds.every(1))
     assert any(one is not None and what in one.what for one in found)
 
 
 def test_the_search_finds_what_news_and_pages_are_for(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Membership, "_compare", lambda self: [])
+    monkeypatch.setattr(Membership, "_start_sync", lambda self: [])
     monkeypatch.setattr(worlds, "QUIET_MS", 60_000.0)
     assert any(worlds.play_seed(seed) is not None for seed in range(200, 240))
 
@@ -431,11 +452,15 @@
     me = Membership(record("a", life=1), [], Random(seed), 0.0)
     best = 1
     for step in range(60):
-        about = Record("a", "m:1", "z", rng.choice([1, 2]), rng.randint(1, 6), rng.choice(list(Standing)))
+        about = MemberRecord(
+            "a", "m:1", "z", rng.choice([1, 2]), rng.randint(1, 6), rng.choice(list(Standing))
+        )
         me._merge(about)
-        assert me.me.incarnation >= best
-        best = me.me.incarnation
-        assert me.members["a"] is me.me and (me.is_duplicate or me.me.standing is Standing.ALIVE), step
+        assert me.local_record.incarnation >= best
+        best = me.local_record.incarnation
+        assert me.members["a"] is me.local_record and (
+            me.is_duplicate or me.local_record.standing is Standing.ALIVE
+        ), step
 
 
 # Configuration
@@ -460,15 +485,15 @@
 def test_pages_are_within_their_bound() -> None:
     me = Membership(record("a", life=1), [], Random(1), 0.0)
     for index in range(3000):
-        me._merge(Record(f"member-{index}", "127.0.0.1:65535", "zone", 2**61, 1))
-    me._compared = "b"
+        me._merge(MemberRecord(f"member-{index}", "127.0.0.1:65535", "zone", 2**61, 1))
+    me._sync_peer = "b"
     sender = record("b", life=9)
-    outs = me.receive(1.0, "m:2", wire.Differ(sender, "a", 1, 0, list(range(BUCKETS))))
-    assert len(outs) == membership.PAGES_AT_ONCE
+    outs = me.receive(1.0, "m:2", wire.DifferingBuckets(sender, "a", 1, 0, list(range(BUCKET_COUNT))))
+    assert len(outs) == membership.MAX_PAGES_IN_FLIGHT
     codec = Codec("f")
     for out in outs:
-        assert isinstance(out.message, Page)
-        assert len(codec.encode(out.message)) <= wire.MOST_BYTES
+        assert isinstance(out.message, BucketPage)
+        assert len(codec.encode(out.message)) <= wire.MAX_DATAGRAM_BYTES
 
 
 @pytest.mark.parametrize("seed", [103, 153, 266])
