--- a/larkcrank/fleet/snapshot.py
+++ b/larkcrank/fleet/snapshot.py
@@ -68,7 +68,7 @@
 
 
 def decode(data: bytes, fleet: str, member: str, now_ms: float) -> Snapshot:
-    """Raise SnapshotError if the data cannot be used."""
+    """Decode and check a snapshot. Raises SnapshotError if it cannot be used."""
     first_line, newline, body = data.partition(b"\n")
     try:
         head = msgspec.json.decode(first_line, type=_Head)
@@ -95,7 +95,7 @@
 
 
 def read(path: Path, fleet: str, member: str, now_ms: float) -> Snapshot:
-    """Raise SnapshotError if the file cannot be used."""
+    """Read and check a snapshot file. Raises SnapshotError if it cannot be used."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
@@ -109,7 +109,7 @@
 
 
 def write(path: Path, data: bytes, on_step: Callable[[str], None] = lambda step: None) -> None:
-    """Replace the file atomically. It blocks, so call it in a thread. Raise OSError on failure.
+    """Replace the file atomically. It blocks, so call it in a thread. Raises OSError on failure.
 
     `on_step` is called after each step, with its name; tests end the process there.
     """
--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -79,7 +79,7 @@
         self._extra_seeds = addresses
 
     async def start(self) -> None:
-        """Raise OSError if the socket cannot be bound."""
+        """Bind the socket and join the fleet. Raises OSError if the socket cannot be bound."""
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=self._config.listen)
         assert self._transport is not None
--- a/larkcrank/fleet/wire.py
+++ b/larkcrank/fleet/wire.py
@@ -167,7 +167,7 @@
         self._key = blake2b(f"{fleet}\0{secret}".encode(), digest_size=32).digest()
 
     def encode(self, message: Message) -> bytes:
-        """Raise ValueError if the datagram exceeds MAX_DATAGRAM_BYTES; the caller must limit the contents."""
+        """Return the datagram. Raises ValueError if it is too long; the caller must limit its contents."""
         body = _encoder.encode(message)
         if len(body) + MAC_BYTES + 1 > MAX_DATAGRAM_BYTES:
             raise ValueError(
@@ -177,7 +177,7 @@
         return header + self._mac(header + body) + body
 
     def decode(self, data: bytes) -> Message:
-        """Raise `DatagramError` for an invalid datagram."""
+        """Return the message in a datagram. Raises DatagramError if it is invalid."""
         if len(data) > MAX_DATAGRAM_BYTES or len(data) <= MAC_BYTES + 1:
             raise DatagramError("damaged")
         if data[0] != PROTOCOL_VERSION:
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -1,4 +1,4 @@
-"""The view of the fleet in the program itself: real processes, killed and cut, and the operators' call."""
+"""Fleet membership with real processes that are killed and partitioned, and the operators' VIEW call."""
 
 import json
 from pathlib import Path
@@ -13,7 +13,7 @@
 from tests.frames import CONFIG
 from tests.test_program import event, started
 
-FLEET = {
+FLEET_CONFIG = {
     "name": "t",
     "listen": "{own}",
     "public": "{public}",
@@ -21,14 +21,17 @@
 }
 
 
-def test_views_settle_after_a_death_and_a_cut() -> None:
-    """Five processes: one is killed and comes back with nothing, then two are cut off and found again."""
+def test_views_converge_after_a_death_and_a_partition() -> None:
+    """Of five processes, one is killed and restarts without state; two others are cut off for a while."""
     settle: dict[str, Any] = {"call": "VIEW", "alike": 5, "within": 60.0}
-    one = Scenario(
+    scenario = Scenario(
         name="view",
         seconds=50.0,
         fleet=Fleet(
-            processes=5, datagrams=True, config={"fleet": FLEET}, settings={"bounds": {"peers": True}}
+            processes=5,
+            datagrams=True,
+            config={"fleet": FLEET_CONFIG},
+            settings={"bounds": {"peers": True}},
         ),
         endpoints=Endpoints(count=2, service_ms=5.0),
         load=Load(rate=2.0, classes={"look": 1.0}),
@@ -37,7 +40,7 @@
             FaultLine(at=10.0, what="cut", between=[["sidecars:0-1"], ["sidecars:2-3"]], last=40.0),
         ],
         settles=[
-            # Both sides go on, each with its own view; all five know each other before and after.
+            # Each side of the partition has its own view; before and after, all five know each other.
             Settle(at=0.0, answer="200 live 5 ", **settle),
             Settle(at=10.0, who=["sidecars:0-1"], answer="200 live 2 ", **settle),
             Settle(at=10.0, who=["sidecars:2-3"], answer="200 live 2 ", **settle),
@@ -45,22 +48,22 @@
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.play(scenario, lambda text: None)
     assert len(played.settled) == 4
     assert all(settled.took < 60.0 for settled in played.settled)
     assert played.breaches == [] and played.ledger.datagrams > 100
 
 
-def test_two_with_one_name_and_a_later_version_disturb_nobody() -> None:
-    """Three members, a fourth process with the third's name, one that speaks what nobody here can read."""
+def test_a_duplicate_name_and_a_later_protocol_version_disturb_no_member() -> None:
+    """Three members run, a fourth process with the third's name, and one of an unknown protocol version."""
     settle: dict[str, Any] = {"call": "VIEW", "alike": 5, "within": 60.0, "who": ["sidecars:0-1"]}
-    one = Scenario(
+    scenario = Scenario(
         name="names",
         seconds=25.0,
         fleet=Fleet(
             processes=5,
             datagrams=True,
-            config={"fleet": FLEET | {"secret": "s"}},
+            config={"fleet": FLEET_CONFIG | {"secret": "s"}},
             settings={"bounds": {"peers": True}},
             own=[
                 Own(who=["sidecars:3"], config={"name": "n2"}),
@@ -75,21 +78,21 @@
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.play(scenario, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled)
     assert played.counters["fleet.deaths"] == 0 and played.breaches == []
 
 
-def test_parts_follow_a_scale_out() -> None:
-    """Two are configured and run; four more come: each is told six, and a place of its own."""
-    one = Scenario(
+def test_size_and_ordinals_follow_a_scale_out() -> None:
+    """Two members are configured and run, and four more start: each counts six and has its own ordinal."""
+    scenario = Scenario(
         name="more",
         seconds=20.0,
         fleet=Fleet(
             processes=6,
             at_first=2,
             datagrams=True,
-            config={"fleet": FLEET, "settings": {"n-instances": 2}},
+            config={"fleet": FLEET_CONFIG, "settings": {"n-instances": 2}},
             settings={"bounds": {"peers": True}},
         ),
         endpoints=Endpoints(count=8, service_ms=5.0),
@@ -101,20 +104,21 @@
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.play(scenario, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled) and played.breaches == []
+    # Sums over all members: six times a size of 6, and the ordinals 0 to 5.
     assert played.counters["fleet.size"] == 36 and played.counters["fleet.place"] == 15
     assert max(share for _, share in played.settled[0].course) <= 1.0
 
 
-def test_off_where_sidecars_may_not_talk_and_where_it_is_not_configured(tmp_path: Path) -> None:
-    async def play() -> None:
+def test_the_fleet_is_off_where_peers_are_forbidden_or_not_configured(tmp_path: Path) -> None:
+    async def check_without_fleet() -> None:
         endpoint = b.Endpoint("e")
         async with b.bed(endpoint, ops="127.0.0.1:0") as bed:
             assert await bed.operator(b"VIEW\n") == b"400 no view of the fleet is kept\n"
             assert "fleet_off" not in bed.events()
 
-    b.run(play())
+    b.run(check_without_fleet())
     config = {
         "name": "n",
         "listen": "127.0.0.1:0",
@@ -129,7 +133,7 @@
         event(process, "ready")
 
 
-def test_a_plain_start_loads_nothing_of_it() -> None:
+def test_a_start_without_a_fleet_loads_no_optional_modules() -> None:
     code = (
         "import sys; import larkcrank.__main__, larkcrank.program.start;"
         "print([m for m in sys.modules if m.split('.')[0] in ('click', 'uvloop', 'structlog', 'psutil')"
@@ -140,7 +144,7 @@
         assert process.stdout.read().strip() == "[]"
 
 
-def test_view_on_the_command_line(tmp_path: Path) -> None:
+def test_the_command_line_shows_the_view(tmp_path: Path) -> None:
     config = {
         "name": "n",
         "listen": "127.0.0.1:0",
--- a/tests/test_fleet_ranks.py
+++ b/tests/test_fleet_ranks.py
@@ -1,4 +1,4 @@
-"""How many there are and which place is one's own: the same everywhere, damped, safe in doubt."""
+"""Fleet size and ordinals: members agree on them, changes are damped, doubtful views change nothing."""
 
 import math
 from random import Random
@@ -22,134 +22,144 @@
 from larkcrank.lab.virtual import World
 from tests.test_balancer import CLASSES
 
-names = st.sets(st.text(max_size=6), min_size=1, max_size=30)
+name_sets = st.sets(st.text(max_size=6), min_size=1, max_size=30)
 
 
-@given(names)
-def test_places_are_distinct_and_the_same_in_any_order(live: set[str]) -> None:
-    assert sorted(ordinal_of(name, live) for name in live) == list(range(len(live)))
+@given(name_sets)
+def test_ordinals_are_distinct_and_independent_of_the_order_of_names(names: set[str]) -> None:
+    assert sorted(ordinal_of(name, names) for name in names) == list(range(len(names)))
     assert all(
-        ordinal_of(name, sorted(live)) == ordinal_of(name, sorted(live, reverse=True)) for name in live
+        ordinal_of(name, sorted(names)) == ordinal_of(name, sorted(names, reverse=True)) for name in names
     )
 
 
-@given(names, st.text(max_size=6))
-def test_one_more_moves_nobody_by_more_than_one(live: set[str], name: str) -> None:
-    more = live | {name}
-    assert all(ordinal_of(one, more) - ordinal_of(one, live) in (0, 1) for one in live)
+@given(name_sets, st.text(max_size=6))
+def test_one_more_member_shifts_each_ordinal_by_at_most_one(names: set[str], new_name: str) -> None:
+    more_names = names | {new_name}
+    assert all(ordinal_of(name, more_names) - ordinal_of(name, names) in (0, 1) for name in names)
 
 
-class Watched:
-    """One member's ranks, and the view that it is shown."""
+class TrackerHarness:
+    """A tracker, and the view that it observes."""
 
-    def __init__(self, live: int, configured: int = 10, name: str = "n0") -> None:
-        self.now, self.live = 0.0, {f"n{index}" for index in range(live)}
-        self.ranks = FleetSizeTracker(name, configured, 3, 0.0)
-        self.told: list[FleetSize] = []
-        self.differed_at = -math.inf
-        self.slow = False
+    def __init__(self, live_count: int, configured_count: int = 10, name: str = "n0") -> None:
+        self.now, self.live_names = 0.0, {f"n{index}" for index in range(live_count)}
+        self.tracker = FleetSizeTracker(name, configured_count, 3, 0.0)
+        self.sizes: list[FleetSize] = []
+        self.digest_mismatch_at = -math.inf
+        self.is_slow = False
 
     def run(self, ms: float) -> list[FleetSize]:
-        """What it was told in that time."""
-        before = len(self.told)
+        """Return the sizes that were reported in that time."""
+        before = len(self.sizes)
         until = self.now + ms
         while self.now < until:
             self.now += 1000.0
-            met_at = 500.0 if len(self.live) > 1 else math.inf
-            told = self.ranks.observe(self.now, self.live, met_at, self.differed_at, self.slow)
-            self.told += [told] if told is not None else []
-        return self.told[before:]
-
-
-def test_it_goes_by_the_configuration_until_the_view_is_trusted() -> None:
-    one = Watched(12)
-    assert one.run(2000) == [FleetSize(10, 3, 12)]  # more live than is configured: at once the safer number
-    assert one.ranks.distrust_reason is DistrustReason.JUST_STARTED
-    one.run(10_000)
-    assert one.ranks.current == FleetSize(12, ordinal_of("n0", one.live), 12)
-
-
-def test_who_meets_nobody_is_alone_after_a_while() -> None:
-    one = Watched(1)
-    one.run(4000)
-    assert one.told == []  # ten are configured: it may just not have heard them yet
-    one.run(4000)
-    assert one.ranks.current == FleetSize(1, 0, 1)
-
-
-def test_a_restart_moves_nobody_and_a_death_only_after_its_hold() -> None:
-    one = Watched(20)
-    one.run(10_000)
-    place = one.ranks.current
-    one.live.discard("n7")
-    one.run(HOLD_MS - 2000)
-    one.live.add("n7")
-    one.run(60_000)
-    assert one.ranks.current == place and one.ranks.move_count == 1  # the first, from the configuration
-    one.live.discard("n7")
-    assert one.run(HOLD_MS - 2000) == []
-    one.run(60_000)
-    assert one.ranks.current.count == 19
-    assert one.ranks.current.max_instances == 20  # it may live on where we can't see it
-    one.run(MAX_INSTANCES_HOLD_MS)
-    assert one.ranks.current.max_instances == 19
-
-
-def test_a_member_that_flaps_shifts_the_others_ever_more_seldom() -> None:
-    """Away for 20 s, back for 20 s, over an hour: undamped that were 180 moves."""
-    one = Watched(20)
-    one.run(10_000)
+            first_contact_at = 500.0 if len(self.live_names) > 1 else math.inf
+            size = self.tracker.observe(
+                self.now, self.live_names, first_contact_at, self.digest_mismatch_at, self.is_slow
+            )
+            self.sizes += [size] if size is not None else []
+        return self.sizes[before:]
+
+
+def test_the_configuration_applies_until_the_view_is_trusted() -> None:
+    harness = TrackerHarness(12)
+    # More members live than are configured, so the higher number counts as the maximum at once.
+    assert harness.run(2000) == [FleetSize(10, 3, 12)]
+    assert harness.tracker.distrust_reason is DistrustReason.JUST_STARTED
+    harness.run(10_000)
+    assert harness.tracker.current == FleetSize(12, ordinal_of("n0", harness.live_names), 12)
+
+
+def test_a_member_without_contact_counts_itself_as_alone_after_a_while() -> None:
+    harness = TrackerHarness(1)
+    harness.run(4000)
+    assert harness.sizes == []  # ten are configured, and may not have been heard yet
+    harness.run(4000)
+    assert harness.tracker.current == FleetSize(1, 0, 1)
+
+
+def test_a_restart_changes_no_ordinal_and_a_death_only_after_the_hold_time() -> None:
+    harness = TrackerHarness(20)
+    harness.run(10_000)
+    size_before = harness.tracker.current
+    harness.live_names.discard("n7")
+    harness.run(HOLD_MS - 2000)
+    harness.live_names.add("n7")
+    harness.run(60_000)
+    # The only move is the first one, away from the configuration.
+    assert harness.tracker.current == size_before and harness.tracker.move_count == 1
+    harness.live_names.discard("n7")
+    assert harness.run(HOLD_MS - 2000) == []
+    harness.run(60_000)
+    assert harness.tracker.current.count == 19
+    assert harness.tracker.current.max_instances == 20  # it may be alive, but unreachable from here
+    harness.run(MAX_INSTANCES_HOLD_MS)
+    assert harness.tracker.current.max_instances == 19
+
+
+def test_a_flapping_member_shifts_the_others_less_and_less_often() -> None:
+    """A member is away for 20 s and back for 20 s, for an hour. Without damping, that makes 180 moves."""
+    harness = TrackerHarness(20)
+    harness.run(10_000)
     for _ in range(90):
-        one.live.discard("n7")
-        one.run(20_000)
-        one.live.add("n7")
-        one.run(20_000)
-    assert one.ranks.move_count <= 6
-    one.run(MAX_HOLD_MS)
-    assert one.ranks.current.count == 20
-
-
-def test_many_lost_at_one_moment_move_nobody_until_it_is_plain() -> None:
-    """Cut off, or a third killed: parts stand first, and the larger number is reckoned with for longer."""
-    one = Watched(21)
-    one.run(10_000)
-    place = one.ranks.current
-    one.live -= {f"n{index}" for index in range(14, 21)}
-    one.run(PARTITION_HOLD_MS - 2000)
-    assert one.ranks.distrust_reason is DistrustReason.POSSIBLE_PARTITION and one.ranks.current == place
-    one.run(20_000)
-    assert one.ranks.current == FleetSize(14, ordinal_of("n0", one.live), 21)
-
-
-@pytest.mark.parametrize("why", [DistrustReason.SLOW_PROCESS, DistrustReason.UNSETTLED])
-def test_a_view_on_the_move_and_a_slow_self_move_nobody(why: DistrustReason) -> None:
-    one = Watched(20)
-    one.run(10_000)
-    place = one.ranks.current
-    one.slow, one.differed_at = (
-        why is DistrustReason.SLOW_PROCESS,
-        math.inf if why is DistrustReason.UNSETTLED else -math.inf,
+        harness.live_names.discard("n7")
+        harness.run(20_000)
+        harness.live_names.add("n7")
+        harness.run(20_000)
+    assert harness.tracker.move_count <= 6
+    harness.run(MAX_HOLD_MS)
+    assert harness.tracker.current.count == 20
+
+
+def test_the_loss_of_many_members_at_once_changes_ordinals_only_after_a_hold_time() -> None:
+    """A third of the fleet is lost, by a partition or because it died.
+
+    The ordinals are kept at first, and the maximum number of instances is kept for longer.
+    """
+    harness = TrackerHarness(21)
+    harness.run(10_000)
+    size_before = harness.tracker.current
+    harness.live_names -= {f"n{index}" for index in range(14, 21)}
+    harness.run(PARTITION_HOLD_MS - 2000)
+    assert (
+        harness.tracker.distrust_reason is DistrustReason.POSSIBLE_PARTITION
+        and harness.tracker.current == size_before
     )
-    one.live |= {"x", "y"}
-    one.run(8000)
-    assert one.ranks.distrust_reason is why
-    assert one.ranks.current == FleetSize(place.count, place.ordinal, 22)
-    one.slow = False  # a view that never comes to rest is taken as it is
-    one.run(20_000)
-    assert one.ranks.current.count == 22
+    harness.run(20_000)
+    assert harness.tracker.current == FleetSize(14, ordinal_of("n0", harness.live_names), 21)
+
+
+@pytest.mark.parametrize("reason", [DistrustReason.SLOW_PROCESS, DistrustReason.UNSETTLED])
+def test_an_unsettled_view_and_a_slow_process_change_no_ordinal(reason: DistrustReason) -> None:
+    harness = TrackerHarness(20)
+    harness.run(10_000)
+    size_before = harness.tracker.current
+    harness.is_slow, harness.digest_mismatch_at = (
+        reason is DistrustReason.SLOW_PROCESS,
+        math.inf if reason is DistrustReason.UNSETTLED else -math.inf,
+    )
+    harness.live_names |= {"x", "y"}
+    harness.run(8000)
+    assert harness.tracker.distrust_reason is reason
+    assert harness.tracker.current == FleetSize(size_before.count, size_before.ordinal, 22)
+    harness.is_slow = False  # a view that never settles is used after a while
+    harness.run(20_000)
+    assert harness.tracker.current.count == 22
 
 
-def test_what_is_remembered_is_bounded_by_the_fleet_not_by_its_history() -> None:
-    one = Watched(5)
+def test_memory_is_bounded_by_the_fleet_and_not_by_its_history() -> None:
+    harness = TrackerHarness(5)
     for index in range(500):
-        one.live = {"n0", f"x{index}"}
-        one.run(10_000)
-    ranks = one.ranks
-    assert max(len(ranks._lost_members), len(ranks._death_weights)) <= 2 * MAX_INSTANCES_HOLD_MS / 10_000
+        harness.live_names = {"n0", f"x{index}"}
+        harness.run(10_000)
+    tracker = harness.tracker
+    assert max(len(tracker._lost_members), len(tracker._death_weights)) <= 2 * MAX_INSTANCES_HOLD_MS / 10_000
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_a_fleet_places_itself_after_joins_deaths_and_splits(seed: int) -> None:
+def test_a_fleet_agrees_on_ordinals_after_joins_deaths_and_partitions(seed: int) -> None:
     rng = Random(seed)
     world = World(14, seed)
     world.run(30_000)
@@ -159,16 +169,16 @@
     assert world.are_placed()
     world.cut = lambda a, b: a % 2 != b % 2
     world.run(120_000)
-    told = [world.ranks[number].current for number in world.members]
+    sizes = [world.ranks[number].current for number in world.members]
     assert all(
-        one.count < 10 <= one.max_instances for one in told
-    )  # each side keeps to all servers by itself
+        size.count < 10 <= size.max_instances for size in sizes
+    )  # the members of each side cover all servers by themselves
     world.cut = lambda a, b: False
     world.run(120_000)
     assert world.is_settled() and world.are_placed()
 
 
-def test_in_a_fleet_that_is_cut_for_half_a_minute_nobody_moves() -> None:
+def test_a_partition_of_half_a_minute_changes_no_ordinal() -> None:
     world = World(12, 1)
     world.run(30_000)
     before = len(world.sizes)
@@ -177,52 +187,57 @@
     assert len(world.deaths) > 30
     world.cut = lambda a, b: False
     world.run(60_000)
-    assert all(ranks.move_count <= 1 for ranks in world.ranks.values()) and world.are_placed()
-    assert {told.count for _, _, told in world.sizes[before:]} <= {12}
+    assert all(tracker.move_count <= 1 for tracker in world.ranks.values()) and world.are_placed()
+    assert {size.count for _, _, size in world.sizes[before:]} <= {12}
 
 
-# What the balancer makes of it
+# How the balancer uses the size
 
 
-def rings(count: int, told: list[FleetSize], servers: int = 60) -> list[set[bytes]]:
-    endpoints = tuple(Endpoint(b"s%d" % index) for index in range(servers))
-    found = []
+def servers_by_balancer(count: int, sizes: list[FleetSize], server_count: int = 60) -> list[set[bytes]]:
+    """Return, for each of several balancers, the addresses of the servers that it uses."""
+    endpoints = tuple(Endpoint(b"s%d" % index) for index in range(server_count))
+    used_servers = []
     for index in range(count):
         balancer = Balancer(Settings(CLASSES, instances=20, ordinal=index % 20), Random(index), 0.0)
         balancer.handle(0.0, ServerList(endpoints, complete=True))
-        balancer.handle(1.0, told[index])
-        found.append({server.endpoint.address for server in balancer._ring})
-    return found
+        balancer.handle(1.0, sizes[index])
+        used_servers.append({server.endpoint.address for server in balancer._ring})
+    return used_servers
 
 
-def test_parts_follow_the_size_and_cover_every_server() -> None:
-    """Forty where twenty are configured: two of each ordinal, so that shares and parts are wrong."""
-    told = [FleetSize(40, index, 40) for index in range(40)]
-    parts = rings(40, told)
-    covers = [sum(b"s%d" % index in part for part in parts) for index in range(60)]
-    assert min(covers) >= 4 and max(covers) <= 7
-    assert len({frozenset(part) for part in parts}) == 40
-    alone = rings(1, [FleetSize(1, 0, 1)])[0]
-    assert len(alone) == 60
+def test_server_subsets_follow_the_fleet_size_and_cover_every_server() -> None:
+    """Forty instances run where twenty are configured, so that each configured ordinal occurs twice."""
+    sizes = [FleetSize(40, index, 40) for index in range(40)]
+    subsets = servers_by_balancer(40, sizes)
+    users_per_server = [sum(b"s%d" % index in subset for subset in subsets) for index in range(60)]
+    assert min(users_per_server) >= 4 and max(users_per_server) <= 7
+    assert len({frozenset(subset) for subset in subsets}) == 40
+    all_servers = servers_by_balancer(1, [FleetSize(1, 0, 1)])[0]
+    assert len(all_servers) == 60
 
 
-def test_what_is_owed_goes_by_the_larger_number() -> None:
-    """Half may be cut off from us and send to the same servers: our shared places stay those of all."""
+def test_the_limit_of_requests_in_flight_depends_on_the_maximum_number_of_instances() -> None:
+    """Instances beyond a partition may still send to the same servers, so they count for the limit."""
     endpoints = tuple(Endpoint(b"s%d" % index) for index in range(10))
 
-    def owed(size: FleetSize) -> float:
+    def max_in_flight(size: FleetSize) -> float:
         balancer = Balancer(Settings(CLASSES, instances=2), Random(1), 0.0)
         balancer.handle(0.0, ServerList(endpoints, complete=True))
         balancer.handle(1.0, size)
         balancer.handle(2.0, size)
         return balancer._max_in_flight
 
-    assert owed(FleetSize(2, 0, 20)) == owed(FleetSize(20, 0, 20)) < owed(FleetSize(2, 0, 2))
+    assert (
+        max_in_flight(FleetSize(2, 0, 20))
+        == max_in_flight(FleetSize(20, 0, 20))
+        < max_in_flight(FleetSize(2, 0, 2))
+    )
 
 
-def test_the_search_finds_places_that_are_not_held(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the doubt of a cut, everybody's servers shift in a cut of half a minute."""
+def test_without_hold_times_a_partition_changes_ordinals(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Checks that the test of a short partition fails if partitions are not detected and nothing is held."""
     monkeypatch.setattr(module, "PARTITION_LOSS_SHARE", 1.0)
     monkeypatch.setattr(module, "HOLD_MS", 0.0)
     with pytest.raises(AssertionError):
-        test_in_a_fleet_that_is_cut_for_half_a_minute_nobody_moves()
+        test_a_partition_of_half_a_minute_changes_no_ordinal()
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery on real processes: who can't hear discovery, or whose asker dies, has the list from fellows."""
+"""Recovery with real processes: members that cannot reach discovery get the server list from peers."""
 
 from typing import Any
 
@@ -6,7 +6,7 @@
 from larkcrank.lab import bench
 from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
 
-FLEET: dict[str, Any] = {
+FLEET_CONFIG: dict[str, Any] = {
     "name": "t",
     "listen": "{own}",
     "public": "{public}",
@@ -15,14 +15,14 @@
 }
 
 
-def played(processes: int, seconds: float, **more: Any) -> bench.Played:
-    one = Scenario(
+def play_fleet(processes: int, seconds: float, **more: Any) -> bench.Played:
+    scenario = Scenario(
         name="recovery",
         seconds=seconds,
         fleet=Fleet(
             processes=processes,
             datagrams=True,
-            config={"fleet": FLEET},
+            config={"fleet": FLEET_CONFIG},
             settings={"bounds": {"peers": True}},
         ),
         endpoints=Endpoints(count=4, service_ms=5.0, shared=True),
@@ -30,50 +30,51 @@
         slack_ms=15000.0,
         **more,
     )
-    found = bench.play(one, lambda text: None)
-    assert all(settled.took < 60.0 for settled in found.settled), found.settled
-    assert found.breaches == []
-    return found
+    played = bench.play(scenario, lambda text: None)
+    assert all(settled.took < 60.0 for settled in played.settled), played.settled
+    assert played.breaches == []
+    return played
 
 
-def test_the_deaf_go_by_what_their_fellows_hear() -> None:
-    """Half hear nothing of discovery while three of four servers are replaced by others elsewhere."""
-    deaf = ["sidecars:2-3"]
-    played(
+def test_members_cut_off_from_discovery_use_the_list_of_their_peers() -> None:
+    """Half of the members cannot reach discovery while three of four servers move to other addresses."""
+    cut_off = ["sidecars:2-3"]
+    play_fleet(
         4,
         16.0,
         faults=[
-            FaultLine(at=6.0, what="cut", between=[deaf, ["discovery"]]),
+            FaultLine(at=6.0, what="cut", between=[cut_off, ["discovery"]]),
             FaultLine(at=7.0, what="replace", who=["endpoints:1-3"], address="new"),
         ],
         settles=[
             Settle(at=0.0, call="VIEW", answer="200 live 4 ", alike=5),
-            Settle(at=7.0, counter="recovery.lists_taken", who=deaf),
+            Settle(at=7.0, counter="recovery.lists_taken", who=cut_off),
         ],
     )
 
 
-def test_another_asks_when_the_one_whose_turn_it_is_dies() -> None:
-    """Everybody starts with nothing; the first to ask is killed as discovery comes back."""
-    first = min(range(4), key=lambda index: turn_order_key(f"n{index}"))
-    others = [f"sidecars:{index}" for index in range(4) if index != first]
-    found = played(
+def test_another_member_calls_discovery_if_the_first_one_in_turn_dies() -> None:
+    """All members start without a list, and the first one to call is killed when discovery comes back."""
+    first_caller = min(range(4), key=lambda index: turn_order_key(f"n{index}"))
+    others = [f"sidecars:{index}" for index in range(4) if index != first_caller]
+    played = play_fleet(
         4,
         20.0,
         discovery=DiscoveryPart(known=False),
         faults=[
             FaultLine(at=2.0, what="kill", who=["discovery"]),
             FaultLine(at=3.0, what="kill", who=["sidecars"], last=1.0, keeps="nothing"),
-            FaultLine(at=8.0, what="kill", who=[f"sidecars:{first}"]),
+            FaultLine(at=8.0, what="kill", who=[f"sidecars:{first_caller}"]),
             FaultLine(at=8.0, what="restart", who=["discovery"]),
         ],
         settles=[Settle(at=8.0, counter="served", least=3, who=others)],
     )
-    assert len(found.ledger.list_calls) < 40  # four by themselves, with waits of their own, make as many
+    # Four members that call independently, each with its own backoff, make about as many calls.
+    assert len(played.ledger.list_calls) < 40
 
 
-def test_without_recovery_nothing_of_it_is_counted() -> None:
-    one = Scenario(
+def test_without_a_fleet_there_are_no_fleet_or_recovery_counters() -> None:
+    scenario = Scenario(
         name="plain",
         seconds=2.0,
         fleet=Fleet(processes=1),
@@ -81,5 +82,5 @@
         load=Load(rate=5.0, classes={"look": 1.0}),
         slack_ms=15000.0,
     )
-    found = bench.play(one, lambda text: None)
-    assert not [name for name in found.counters if name.startswith(("fleet.", "recovery."))]
+    played = bench.play(scenario, lambda text: None)
+    assert not [name for name in played.counters if name.startswith(("fleet.", "recovery."))]
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -1,4 +1,4 @@
-"""What a member knew, in a file: whole or not at all, each way of being unusable told apart."""
+"""The snapshot file: it is valid as a whole or rejected, and each cause of rejection is told apart."""
 
 import subprocess
 import sys
@@ -13,121 +13,135 @@
 
 from larkcrank.config.sidecar import ConfigError, parse
 from larkcrank.fleet import snapshot
-from larkcrank.fleet.snapshot import MAX_AGE_MS, MAX_CLOCK_SETBACK_MS, DepartedServer, Snapshot, SnapshotError
+from larkcrank.fleet.snapshot import (
+    MAX_AGE_MS,
+    MAX_CLOCK_SETBACK_MS,
+    DepartedServer,
+    Snapshot,
+    SnapshotError,
+)
 from larkcrank.fleet.wire import ServerEntry
 from larkcrank.lab import bench
 from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
 from tests.frames import CONFIG
 from tests.test_program import ROOT
 
-NOW = 1_000_000_000.0
-STEPS = ("opened", "half written", "written", "synced", "replaced")
+NOW_MS = 1_000_000_000.0
+WRITE_STEPS = ("opened", "half written", "written", "synced", "replaced")
 
 
-def some(generation: int = 7) -> Snapshot:
-    line = ServerEntry("a", 1, "z", "k", 0, 1.0, 5.0, "h:1")
-    return Snapshot("f", "n", NOW, generation, 10.0, [line], [DepartedServer("b", 1.0, 0, 2.0)], ["h:2"], 3)
+def make_snapshot(generation: int = 7) -> Snapshot:
+    entry = ServerEntry("a", 1, "z", "k", 0, 1.0, 5.0, "h:1")
+    return Snapshot(
+        "f", "n", NOW_MS, generation, 10.0, [entry], [DepartedServer("b", 1.0, 0, 2.0)], ["h:2"], 3
+    )
 
 
-def why(data: bytes, fleet: str = "f", member: str = "n", now: float = NOW) -> str:
+def rejection_reason(data: bytes, fleet: str = "f", member: str = "n", now_ms: float = NOW_MS) -> str:
     with pytest.raises(SnapshotError) as caught:
-        snapshot.decode(data, fleet, member, now)
+        snapshot.decode(data, fleet, member, now_ms)
     return caught.value.reason
 
 
-def test_what_is_written_is_read() -> None:
-    assert snapshot.decode(snapshot.encode(some()), "f", "n", NOW + 1.0) == some()
+def test_a_decoded_snapshot_equals_the_encoded_one() -> None:
+    assert snapshot.decode(snapshot.encode(make_snapshot()), "f", "n", NOW_MS + 1.0) == make_snapshot()
 
 
-def test_each_way_of_being_unusable_has_a_name(tmp_path: Path) -> None:
-    data = snapshot.encode(some())
+def test_each_cause_of_rejection_has_its_own_reason(tmp_path: Path) -> None:
+    data = snapshot.encode(make_snapshot())
     head, _, body = data.partition(b"\n")
-    assert why(data[:-3]) == why(data[:10]) == why(data[:-1] + b"x") == why(b"") == "torn"
-    assert why(b"{}\n" + body) == why(b"no snapshot\n") == "foreign"
-    assert why(head.replace(b'"version":1', b'"version":2') + b"\n" + body) == "version"
-    assert why(data, fleet="g") == why(data, member="m") == "other"
-    assert why(data, now=NOW - MAX_CLOCK_SETBACK_MS - 1.0) == "future"
-    assert why(data, now=NOW + MAX_AGE_MS + 1.0) == "old"
     assert (
-        snapshot.decode(data, "f", "n", NOW - MAX_CLOCK_SETBACK_MS / 2) == some()
-    )  # a clock set back by a little
-    for name, made, expected in (
+        rejection_reason(data[:-3])
+        == rejection_reason(data[:10])
+        == rejection_reason(data[:-1] + b"x")
+        == rejection_reason(b"")
+        == "torn"
+    )
+    assert rejection_reason(b"{}\n" + body) == rejection_reason(b"no snapshot\n") == "foreign"
+    assert rejection_reason(head.replace(b'"version":1', b'"version":2') + b"\n" + body) == "version"
+    assert rejection_reason(data, fleet="g") == rejection_reason(data, member="m") == "other"
+    assert rejection_reason(data, now_ms=NOW_MS - MAX_CLOCK_SETBACK_MS - 1.0) == "future"
+    assert rejection_reason(data, now_ms=NOW_MS + MAX_AGE_MS + 1.0) == "old"
+    # The clock was set back a little.
+    assert snapshot.decode(data, "f", "n", NOW_MS - MAX_CLOCK_SETBACK_MS / 2) == make_snapshot()
+    for name, create, expected_reason in (
         ("none", lambda path: None, "missing"),
         ("folder", lambda path: path.mkdir(), "unreadable"),
         ("large", lambda path: path.write_bytes(bytes(snapshot.MAX_FILE_BYTES + 1)), "large"),
     ):
         path = tmp_path / name
-        make: Callable[[Path], Any] = made
-        make(path)
+        create_file: Callable[[Path], Any] = create
+        create_file(path)
         with pytest.raises(SnapshotError) as caught:
-            snapshot.read(path, "f", "n", NOW)
-        assert caught.value.reason == expected
+            snapshot.read(path, "f", "n", NOW_MS)
+        assert caught.value.reason == expected_reason
 
 
 @given(st.binary(max_size=300))
-def test_no_bytes_do_more_than_be_refused(data: bytes) -> None:
+def test_arbitrary_bytes_are_rejected(data: bytes) -> None:
     with pytest.raises(SnapshotError):
-        snapshot.decode(data, "f", "n", NOW)
+        snapshot.decode(data, "f", "n", NOW_MS)
 
 
 @given(st.integers(0, 400), st.integers(1, 255))
-def test_a_flipped_byte_is_never_believed(at: int, by: int) -> None:
-    data = bytearray(snapshot.encode(some()))
-    data[at % len(data)] ^= by
+def test_a_changed_byte_is_always_detected(position: int, mask: int) -> None:
+    data = bytearray(snapshot.encode(make_snapshot()))
+    data[position % len(data)] ^= mask
     with pytest.raises(SnapshotError):
-        snapshot.decode(bytes(data), "f", "n", NOW)
+        snapshot.decode(bytes(data), "f", "n", NOW_MS)
 
 
-@pytest.mark.parametrize("step", STEPS)
-def test_killed_at_each_step_of_a_write_it_reads_as_before_or_as_new(tmp_path: Path, step: str) -> None:
+@pytest.mark.parametrize("step", WRITE_STEPS)
+def test_a_process_killed_while_writing_leaves_the_old_or_the_new_snapshot(tmp_path: Path, step: str) -> None:
     path = tmp_path / "s"
-    snapshot.write(path, snapshot.encode(some(7)))
+    snapshot.write(path, snapshot.encode(make_snapshot(7)))
     code = (
         "import os, sys; from pathlib import Path; from larkcrank.fleet import snapshot\n"
-        "from tests.test_fleet_snapshot import some\n"
-        "def at(name):\n    if name == sys.argv[2]: os.kill(os.getpid(), 9)\n"
-        "snapshot.write(Path(sys.argv[1]), snapshot.encode(some(8)), at)"
+        "from tests.test_fleet_snapshot import make_snapshot\n"
+        "def on_step(step):\n    if step == sys.argv[2]: os.kill(os.getpid(), 9)\n"
+        "snapshot.write(Path(sys.argv[1]), snapshot.encode(make_snapshot(8)), on_step)"
     )
-    ended = subprocess.run([sys.executable, "-c", code, str(path), step], cwd=ROOT)
-    assert ended.returncode == -9
-    found = snapshot.read(path, "f", "n", NOW)
-    assert found == some(8 if step == "replaced" else 7)
-    snapshot.write(path, snapshot.encode(some(9)))  # what the dead one left is in nobody's way
-    assert snapshot.read(path, "f", "n", NOW) == some(9)
+    process = subprocess.run([sys.executable, "-c", code, str(path), step], cwd=ROOT)
+    assert process.returncode == -9
+    found = snapshot.read(path, "f", "n", NOW_MS)
+    assert found == make_snapshot(8 if step == "replaced" else 7)
+    # A temporary file that the killed process left does not disturb the next write.
+    snapshot.write(path, snapshot.encode(make_snapshot(9)))
+    assert snapshot.read(path, "f", "n", NOW_MS) == make_snapshot(9)
 
 
-def test_configuration() -> None:
+def test_the_recovery_configuration_is_parsed_and_checked() -> None:
     base = {"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": CONFIG}
     fleet = {"name": "f", "listen": "127.0.0.1:0", "seeds": "127.0.0.1:5, 127.0.0.1:6"}
-    found = parse(
+    parsed = parse(
         msgspec.json.encode(base | {"fleet": fleet | {"recovery": {"same_places": True}}}), {}
     ).fleet
-    assert found is not None and found.recovery is not None and found.recovery.same_places
-    assert found.seeds == ("127.0.0.1:5", "127.0.0.1:6")
-    plain = parse(msgspec.json.encode(base | {"fleet": fleet}), {}).fleet
-    assert plain is not None and plain.recovery is None
+    assert parsed is not None and parsed.recovery is not None and parsed.recovery.same_places
+    assert parsed.seeds == ("127.0.0.1:5", "127.0.0.1:6")
+    without_recovery = parse(msgspec.json.encode(base | {"fleet": fleet}), {}).fleet
+    assert without_recovery is not None and without_recovery.recovery is None
     with pytest.raises(ConfigError, match="recovery"):
         parse(msgspec.json.encode(base | {"fleet": fleet | {"recovery": {"same_places": 3}}}), {})
 
 
-# The program, with its fellows
+# The program with its peers
 
 
-def fleet(**recovery: object) -> dict[str, Any]:
+def fleet_config(**recovery: object) -> dict[str, Any]:
     seeds = "{seed0},{seed1},{seed2}"
     fleet = {"name": "t", "listen": "{own}", "public": "{public}", "seeds": seeds}
     return {"fleet": fleet | {"recovery": {"same_places": True} | recovery}}
 
 
-def test_a_fleet_that_lost_everything_goes_on_by_what_it_kept() -> None:
-    """No list in the configuration, and discovery stays away: all serve by the list of the file."""
-    one = Scenario(
+def test_a_fleet_that_restarts_without_discovery_serves_from_its_snapshots() -> None:
+    """The configuration has no server list and discovery stays down, so all use the list of their files."""
+    scenario = Scenario(
         name="kept",
         seconds=12.0,
         fleet=Fleet(
             processes=4,
             datagrams=True,
-            config=fleet(snapshot="{files}.fleet"),
+            config=fleet_config(snapshot="{files}.fleet"),
             settings={"bounds": {"peers": True}},
         ),
         endpoints=Endpoints(count=4, service_ms=5.0, shared=True),
@@ -145,20 +159,20 @@
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.play(scenario, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled) and played.breaches == []
-    assert played.counters["lists"] == 0  # of those that live now, none has heard discovery
+    assert played.counters["lists"] == 0  # no running process has received a list from discovery
 
 
-def test_a_disk_that_takes_nothing_stops_nobody() -> None:
-    """No file can be made where the snapshot should be."""
-    one = Scenario(
+def test_an_unwritable_snapshot_does_not_disturb_the_service() -> None:
+    """No file can be created at the configured path of the snapshot."""
+    scenario = Scenario(
         name="full",
         seconds=8.0,
         fleet=Fleet(
             processes=3,
             datagrams=True,
-            config=fleet(snapshot="/proc/self/none/{i}"),
+            config=fleet_config(snapshot="/proc/self/none/{i}"),
             settings={"bounds": {"peers": True}},
         ),
         endpoints=Endpoints(count=2, service_ms=5.0, shared=True),
@@ -166,15 +180,15 @@
         settles=[Settle(at=0.0, counter="recovery.save_failures", within=60.0)],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.play(scenario, lambda text: None)
     assert played.settled[0].took < 60.0 and played.breaches == []
     assert played.counters["recovery.saves"] == 0 and played.counters["crashed"] == 0
 
 
-def test_a_full_disk_leaves_the_file_of_before(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_disk_leaves_the_previous_snapshot(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     path = tmp_path / "s"
-    snapshot.write(path, snapshot.encode(some(7)))
+    snapshot.write(path, snapshot.encode(make_snapshot(7)))
     (tmp_path / "s.part").symlink_to("/dev/full")
     with pytest.raises(OSError, match="No space"):
-        snapshot.write(path, snapshot.encode(some(8)))
-    assert snapshot.read(path, "f", "n", NOW) == some(7)
+        snapshot.write(path, snapshot.encode(make_snapshot(8)))
+    assert snapshot.read(path, "f", "n", NOW_MS) == make_snapshot(7)
