--- a/larkcrank/fleet/lists.py
+++ b/larkcrank/fleet/lists.py
@@ -1,4 +1,4 @@
-"""The server list as shared between the sidecars: whoever holds a newer one passes it on. No I/O.
+"""The server list as shared between the sidecars: a member with a newer list passes it on. No I/O.
 
 Lists are ordered as follows: a list that discovery reported to some member is newer than one from before a
 restart; then a higher epoch is newer (discovery restarted its generation count); then a higher generation.
@@ -112,7 +112,11 @@
         """`same_addresses`: all members reach a server at the same host:port."""
         self.entries: dict[str, ServerEntry] = {}  # the servers in use, by name
         self.adopted_count = 0  # lists adopted from peers
-        self.rejected_counts: dict[str, int] = {}  # what was not accepted from peers, by reason
+        # What was not accepted from peers, by reason: an "empty" list; an unconfirmed "epoch"; an "old" list;
+        # removals by one peer "alone"; a "gone" server that is listed as ready; an unknown server address
+        # ("place"); a wrong list hash ("mark"); a request that fails, since an entry does not fit
+        # into a datagram ("untellable").
+        self.rejected_counts: dict[str, int] = {}
         self.peer_started_at: dict[str, float] = {}  # when each peer's process started
         self._membership, self._same_addresses, self._rng = membership, same_addresses, rng
         self._started_at = self._now = now
@@ -122,22 +126,19 @@
         self._hash = 0
         self._direct_generation = -1  # last generation that discovery itself reported here, ...
         self._direct_at = -math.inf  # ... and when
-        self._lower_since: float | None = None  # since when discovery reports lower generations than ours
-        self._lower_list: tuple[int, dict[str, ServerEntry]] | None = (
-            None  # the generation and list it reports
-        )
+        self._lower_since: float | None = None  # since when discovery reports lower generations than held
+        # The generation and the entries that discovery reports meanwhile.
+        self._lower_list: tuple[int, dict[str, ServerEntry]] | None = None
         # Servers that drain or are gone, by name: start time, state, and when this became known.
         self._departed: dict[str, tuple[float, State, float]] = {}
         # By list ID (epoch, generation, hash): the peers that got it from discovery, and when they said so.
         self._confirmations: dict[tuple[int, int, int], dict[str, float]] = {}
         # For each peer: the generation that discovery last reported to it, and when.
         self._peer_reports: dict[str, tuple[int, float]] = {}
-        # The ID and content of a list that was adopted without its removals, which need confirmation, ...
+        # The ID and content of a list that was adopted without its removals, which need confirmation.
         self._unconfirmed: tuple[tuple[int, int, int], ListUpdate] | None = None
-        self._confirmed_version = (
-            self._version,
-            self._hash,
-        )  # ... and the list before, offered to peers meanwhile
+        # Version and hash of the list before it, which is offered to peers meanwhile.
+        self._confirmed_version = self._version, self._hash
         self._pending_update: ListUpdate | None = None
         self._announce_soon = False
         self._transfer: _Transfer | None = None
--- a/larkcrank/fleet/membership.py
+++ b/larkcrank/fleet/membership.py
@@ -62,7 +62,7 @@
 FORGET_DEAD_MS = 24 * 3600 * 1000.0  # dead members are contacted again until then
 MAX_REPLAY_FILTERS = 4  # processes of one name for which replayed datagrams are detected
 MAX_OUTBID_BOOT_IDS = 64  # other processes with this member's name that are remembered
-DUPLICATE_RAISES = 4  # another process that has raised its incarnation above ours this often is alive
+DUPLICATE_RAISES = 4  # another process that has outbid our incarnation this often is alive
 MAX_PAGES_IN_FLIGHT = 4
 MAX_PAGE_BYTES = 1000  # of records in a page
 LEAVE_PING_COUNT = 4
@@ -173,9 +173,8 @@
         self._pending_pages: deque[tuple[str, str, int, str]] = deque()
         self._pages_in_flight = 0
         self._next_sync_at = now
-        self._sync_candidate: tuple[str, str] | None = (
-            None  # name and address of a member whose digest differs
-        )
+        # Name and address of a member whose digest differs.
+        self._sync_candidate: tuple[str, str] | None = None
         self._sync_peer = ""  # the member that was sent our bucket digests
         self._last_probe_id = 0
         self._last_sequence = 0
--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -200,10 +200,10 @@
     def _send(self, outgoing: list[OutgoingMessage]) -> None:
         if self._transport is None:
             return
-        for message in outgoing:
-            host, _, port = message.address.rpartition(":")
+        for datagram in outgoing:
+            host, _, port = datagram.address.rpartition(":")
             try:
-                data = self._codec.encode(message.message)
+                data = self._codec.encode(datagram.message)
                 self._transport.sendto(data, (host, int(port)))
             except (ValueError, OSError):  # a record of another member contained an invalid address
                 self.counters.unsendable += 1
--- a/larkcrank/fleet/wire.py
+++ b/larkcrank/fleet/wire.py
@@ -149,7 +149,10 @@
 
 
 class DatagramError(Exception):
-    """A datagram was rejected. `reason` is the name of a counter."""
+    """A datagram was rejected. `reason` is the name of a counter.
+
+    "damaged": invalid size or contents; "other_version": unknown protocol version; "strange": wrong MAC.
+    """
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
