--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -13,13 +13,13 @@
 from larkcrank.config.sidecar import Config, RecoveryConfig
 from larkcrank.core.interface import Endpoint, FleetSize, State
 from larkcrank.fleet import snapshot
-from larkcrank.fleet.asking import Asking
-from larkcrank.fleet.lists import Lists, Told
-from larkcrank.fleet.membership import Membership, Out
-from larkcrank.fleet.ranks import Doubt
-from larkcrank.fleet.restart import Restart, which
-from larkcrank.fleet.speaker import Speaker
-from larkcrank.fleet.wire import Line
+from larkcrank.fleet.asking import DiscoveryCallGate
+from larkcrank.fleet.lists import SharedListUpdate, SharedServerList
+from larkcrank.fleet.membership import Membership, OutgoingMessage
+from larkcrank.fleet.ranks import DistrustReason
+from larkcrank.fleet.restart import RestartKind, classify_restart
+from larkcrank.fleet.speaker import FleetProtocol
+from larkcrank.fleet.wire import ServerEntry
 from larkcrank.protocol.discovery import Listing, Names, host_port
 from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.driver import Driver, EventLog
@@ -47,7 +47,7 @@
         self._zone = zones[zone_number] if zone_number < len(zones) else str(zone_number)
         self._config, self._clock, self._log, self._driver = config, clock, log, driver
         configured_size = FleetSize(decisions.instances, decisions.ordinal, decisions.instances)
-        self._speaker = Speaker(
+        self._speaker = FleetProtocol(
             config.fleet,
             config.name,
             self._zone,
@@ -80,7 +80,7 @@
 
     async def _start(self) -> None:
         if self._recovery is not None:
-            self._speaker.more_seeds(self._recovery.previous_members)
+            self._speaker.set_extra_seeds(self._recovery.previous_members)
         try:
             await self._speaker.start()
         except OSError as error:  # the sidecar serves without a fleet
@@ -110,7 +110,7 @@
         if self._recovery is not None:
             self._recovery.on_joined(membership, self._speaker, self._zone, now)
 
-    def _step_recovery(self, now: float) -> list[Out]:
+    def _step_recovery(self, now: float) -> list[OutgoingMessage]:
         return [] if self._recovery is None else self._recovery.step(now)
 
 
@@ -136,18 +136,18 @@
         self._config, self._fleet_name, self._recovery_config = config, config.fleet.name, recovery
         self._names, self._clock, self._log, self._driver, self._rng = names, clock, log, driver, rng
         self._started_at = clock()
-        self._asking = Asking(
+        self._asking = DiscoveryCallGate(
             config.name, decisions.instances, decisions.ordinal, self._started_at, rng.random()
         )
-        self._lists: Lists | None = None  # None until the fleet is joined
+        self._lists: SharedServerList | None = None  # None until the fleet is joined
         self._membership: Membership | None = None
-        self._speaker: Speaker | None = None
+        self._speaker: FleetProtocol | None = None
         self._zone = ""
-        self._restart = Restart.UNKNOWN
+        self._restart = RestartKind.UNKNOWN
         # Lists that discovery sent before the fleet was joined: received at, lines, generation, is complete.
-        self._early_lists: list[tuple[float, list[Line], int, bool]] = []
+        self._early_lists: list[tuple[float, list[ServerEntry], int, bool]] = []
         # Lines and generation of the list at the start (-1: none), and its age in ms (-1: unknown).
-        self._initial_list: tuple[list[Line], int, float] = [], -1, -1.0
+        self._initial_list: tuple[list[ServerEntry], int, float] = [], -1, -1.0
         # Draining and removed servers of the snapshot, by name: start time, state, since when this was known.
         self._gone: dict[str, tuple[float, State, float]] = {}
         self._forward_list: Callable[[Listing], None] = driver.receive_list
@@ -171,23 +171,23 @@
         """Behave as without a fleet: forward discovery's lists unchanged and allow every call."""
         self._is_disabled = True
 
-    def on_joined(self, membership: Membership, speaker: Speaker, zone: str, now: float) -> None:
+    def on_joined(self, membership: Membership, speaker: FleetProtocol, zone: str, now: float) -> None:
         self._membership, self._speaker, self._zone = membership, speaker, zone
         rng = Random(self._rng.getrandbits(64))
-        lists = self._lists = Lists(membership, self._recovery_config.same_places, rng, now)
-        lists.remember_gone(self._gone)
+        lists = self._lists = SharedServerList(membership, self._recovery_config.same_places, rng, now)
+        lists.load_departed(self._gone)
         initial_lines, initial_generation, age_ms = self._initial_list
         if initial_generation >= 0:
-            lists.begin(initial_lines, initial_generation, age_ms if age_ms >= 0.0 else float("inf"))
+            lists.load_saved(initial_lines, initial_generation, age_ms if age_ms >= 0.0 else float("inf"))
         for received_at, lines, generation, is_complete in self._early_lists:
-            lists.heard(received_at, lines, generation, is_complete)
+            lists.on_discovery_list(received_at, lines, generation, is_complete)
         self._early_lists.clear()
 
     # Lists from discovery, and permission to call it
 
     def _on_list(self, listing: Listing) -> None:
         now = self._clock()
-        self._asking.heard()
+        self._asking.on_success()
         lines = self._lines_of(listing)
         if self._lists is None:
             if not self._is_disabled:
@@ -197,66 +197,66 @@
                 ][-MAX_EARLY_LISTS:]
             self._forward_list(listing)
             return
-        accepted = self._lists.heard(now, lines, listing.generation, listing.whole)
+        accepted = self._lists.on_discovery_list(now, lines, listing.generation, listing.whole)
         self._forward_list(
             listing if accepted == lines else self._listing_of(listing.generation, listing.whole, accepted)
         )
 
     def _on_failure(self, reason: str) -> None:
-        self._asking.failed(self._clock())
+        self._asking.on_failure(self._clock())
         self._forward_failure(reason)
 
     def _may_call_discovery(self) -> bool:
         if self._is_disabled or (self._membership is not None and self._membership.is_duplicate):
             return True
-        live_members = [] if self._membership is None else list(self._membership.lives)
-        told_at = -float("inf") if self._lists is None else self._lists.told_at
+        live_members = [] if self._membership is None else list(self._membership.live_members)
+        told_at = -float("inf") if self._lists is None else self._lists.reported_at
         # While members do not answer, they may be unreachable: their turns must not be waited for.
-        is_isolated = self._membership is not None and self._membership.doubt > 0
-        return self._asking.may(self._clock(), live_members, told_at, is_isolated)
+        is_isolated = self._membership is not None and self._membership.local_health_score > 0
+        return self._asking.may_call(self._clock(), live_members, told_at, is_isolated)
 
     # Lists from other members
 
-    def step(self, now: float) -> list[Out]:
+    def step(self, now: float) -> list[OutgoingMessage]:
         """Run periodic work. Return the messages to send."""
         assert self._lists is not None
         messages = self._lists.tick(now)
-        shared_list = self._lists.result(now)
+        shared_list = self._lists.take_update(now)
         if shared_list is not None:
             self._apply_shared_list(shared_list)
-        if self._restart is Restart.UNKNOWN and now < self._started_at + RESTART_DETECTION_MS:
+        if self._restart is RestartKind.UNKNOWN and now < self._started_at + RESTART_DETECTION_MS:
             self._detect_restart(now)
         if now >= self._next_save_at:
             self._save(now)
         return messages
 
-    def _apply_shared_list(self, shared_list: Told) -> None:
-        listing = self._listing_of(shared_list.generation, True, shared_list.lines)
+    def _apply_shared_list(self, shared_list: SharedListUpdate) -> None:
+        listing = self._listing_of(shared_list.generation, True, shared_list.entries)
         self._log.event(
             "list_from_fellow",
             generation=shared_list.generation,
-            by=shared_list.by,
-            servers=len(shared_list.lines),
+            by=shared_list.source,
+            servers=len(shared_list.entries),
         )
         self._driver.receive_list(listing, cached=True)
 
     def _detect_restart(self, now: float) -> None:
         """Infer from the ages of the other processes whether one member, a zone or the fleet restarted."""
         assert self._lists is not None and self._membership is not None and self._speaker is not None
-        ranks = self._speaker.ranks
-        if ranks is None or ranks.doubt is Doubt.STARTED:
+        ranks = self._speaker.size_tracker
+        if ranks is None or ranks.distrust_reason is DistrustReason.JUST_STARTED:
             return
-        ages_ms = {name: now - started_at for name, started_at in self._lists.up.items()}
-        zones = {name: record.zone for name, record in self._membership.lives.items()}
-        self._restart = which(now - self._started_at, ages_ms, zones, self._zone)
-        if self._restart is not Restart.UNKNOWN:
+        ages_ms = {name: now - started_at for name, started_at in self._lists.peer_started_at.items()}
+        zones = {name: record.zone for name, record in self._membership.live_members.items()}
+        self._restart = classify_restart(now - self._started_at, ages_ms, zones, self._zone)
+        if self._restart is not RestartKind.UNKNOWN:
             self._log.event("fleet_restart", restart=self._restart.value, asked=len(ages_ms))
 
     def counters(self) -> dict[str, Any]:
         lists = self._lists
         return {
-            "lists_taken": 0 if lists is None else lists.taken,
-            "refused": {} if lists is None else dict(lists.refused),
+            "lists_taken": 0 if lists is None else lists.adopted_count,
+            "refused": {} if lists is None else dict(lists.rejected_counts),
             "restart": self._restart.value,
             "saves": self._saves,
             "save_failures": self._save_failures,
@@ -272,11 +272,11 @@
         loaded = self._read_snapshot()
         if loaded is not None:
             since_save_ms = max(self._clock() - loaded.saved_at_ms, 0.0)
-            self.previous_members = loaded.places[: snapshot.FELLOWS_MOST]
+            self.previous_members = loaded.places[: snapshot.MAX_PEER_ADDRESSES]
             now = self._clock()
             self._gone = {
                 server.name: (
-                    server.started_ms,
+                    server.started_at_ms,
                     State(server.state),
                     now - server.age_ms - since_save_ms,
                 )
@@ -298,7 +298,7 @@
         try:
             loaded = snapshot.read(path, self._fleet_name, self._config.name, self._clock())
         except snapshot.SnapshotError as error:
-            self._log.event("snapshot_unusable", why=error.why, message=str(error))
+            self._log.event("snapshot_unusable", why=error.reason, message=str(error))
             return None
         self._log.event("snapshot_taken", generation=loaded.generation, servers=len(loaded.lines))
         return loaded
@@ -339,19 +339,21 @@
         The value leaves out ages, which change all the time and need no new write.
         """
         lists, membership = self._lists, self._membership
-        if lists is None or membership is None or self._speaker is None or self._speaker.ranks is None:
+        if lists is None or membership is None or self._speaker is None or self._speaker.size_tracker is None:
             return None, None
         other_members = (
-            record.place for record in membership.lives.values() if record.name != membership.me.name
+            record.address
+            for record in membership.live_members.values()
+            if record.name != membership.local_record.name
         )
-        places = sorted(other_members)[: snapshot.FELLOWS_MOST]
+        places = sorted(other_members)[: snapshot.MAX_PEER_ADDRESSES]
         gone = [
-            snapshot.Gone(name, started_ms, int(state), now - known_since)
-            for name, (started_ms, state, known_since) in lists.gone().items()
+            snapshot.DepartedServer(name, started_ms, int(state), now - known_since)
+            for name, (started_ms, state, known_since) in lists.departed().items()
         ]
-        lines = [lists.lines[name] for name in sorted(lists.lines)]
-        list_age_ms = now - lists.told_at if lists.is_told else -1.0
-        size = self._speaker.ranks.told.count
+        lines = [lists.entries[name] for name in sorted(lists.entries)]
+        list_age_ms = now - lists.reported_at if lists.is_reported else -1.0
+        size = self._speaker.size_tracker.current.count
         snapshot_now = snapshot.Snapshot(
             self._fleet_name,
             self._config.name,
@@ -365,7 +367,7 @@
         )
         data = snapshot.encode(snapshot_now)
         content = lists.generation, tuple(lines), tuple(server.name for server in gone), tuple(places), size
-        return (data if len(data) <= snapshot.MOST_BYTES else None), content
+        return (data if len(data) <= snapshot.MAX_FILE_BYTES else None), content
 
     def close(self) -> None:
         if self._save_future is not None:
@@ -373,12 +375,12 @@
 
     # Conversion between discovery's listings and the fleet's lines
 
-    def _lines_of(self, listing: Listing) -> list[Line]:
+    def _lines_of(self, listing: Listing) -> list[ServerEntry]:
         return [self._line_of(endpoint, listing) for endpoint in listing.endpoints]
 
-    def _line_of(self, endpoint: Endpoint, listing: Listing) -> Line:
+    def _line_of(self, endpoint: Endpoint, listing: Listing) -> ServerEntry:
         host_and_port = listing.places.get(endpoint.address)
-        return Line(
+        return ServerEntry(
             endpoint.address.decode(),
             int(endpoint.state),
             self._names.zones[endpoint.zone],
@@ -390,16 +392,16 @@
         )
 
     def _listing_of(
-        self, generation: int, is_complete: bool, lines: "list[Line] | tuple[Line, ...]"
+        self, generation: int, is_complete: bool, lines: "list[ServerEntry] | tuple[ServerEntry, ...]"
     ) -> Listing:
         endpoints, places = [], {}
         for line in lines:
             state, address = State(line.state), line.name.encode()
             try:
-                places[address] = host_port(line.place)
+                places[address] = host_port(line.host_port)
             except ValueError:  # as for such a line from discovery: the server gets no new requests
                 state = State.GONE if state is State.GONE else State.DRAINING
             zone = Names.number(self._names.zones, line.zone)
             kind = Names.number(self._names.kinds, line.kind)
-            endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_ms))
+            endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_at_ms))
         return Listing(generation, is_complete, tuple(endpoints), places)
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -54,11 +54,15 @@
     assert lifecycle.drain() and lifecycle.phase.value == "draining"
     assert lifecycle.rejoin() and lifecycle.rejoin() and lifecycle.is_ready
     lifecycle.drain()
-    lifecycle.end(5.0)
-    assert (lifecycle.phase, lifecycle.sends_away, lifecycle.latest) == (Phase.ENDING, True, 5.0)
+    lifecycle.begin_shutdown(5.0)
+    assert (lifecycle.phase, lifecycle.closes_connections, lifecycle.latest_deadline) == (
+        Phase.ENDING,
+        True,
+        5.0,
+    )
     assert not lifecycle.rejoin()  # a shutdown cannot be revoked
     assert lifecycle.drain()
-    assert (lifecycle.phase, lifecycle.sends_away) == (Phase.ENDING, True)
+    assert (lifecycle.phase, lifecycle.closes_connections) == (Phase.ENDING, True)
 
 
 def test_operators_have_reserved_descriptors() -> None:
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -24,7 +24,7 @@
 from larkcrank.config import sidecar as config
 from larkcrank.core import interface as api
 from larkcrank.fleet import speaker
-from larkcrank.fleet.asking import ALONE_TURNS, TURN_MS, Asking
+from larkcrank.fleet.asking import ALONE_RETRY_TURNS, TURN_MS, DiscoveryCallGate
 from larkcrank.program import handover
 from larkcrank.program.log import Log
 from larkcrank.program.sidecar import Sidecar
@@ -581,24 +581,27 @@
 def test_turns_do_not_depend_on_when_calls_failed() -> None:
     """Counted from each sidecar's own failure, some turns belonged to several sidecars and others to none."""
     live_members = [f"n{index}" for index in range(SIDECAR_COUNT)]
-    askers = [Asking(name, SIDECAR_COUNT, index, 0.0, 0.5) for index, name in enumerate(live_members)]
+    askers = [
+        DiscoveryCallGate(name, SIDECAR_COUNT, index, 0.0, 0.5) for index, name in enumerate(live_members)
+    ]
     for index, asker in enumerate(askers):
-        asker.heard()
-        asker.failed(50_000.0 + 370.0 * index)
+        asker.on_success()
+        asker.on_failure(50_000.0 + 370.0 * index)
     for turn in range(100, 200):
         now_ms = 1000.0 + TURN_MS * turn
-        assert sum(asker.may(now_ms, live_members, -math.inf) for asker in askers) == 1
+        assert sum(asker.may_call(now_ms, live_members, -math.inf) for asker in askers) == 1
 
 
 def test_isolated_sidecar_asks_after_a_delay_and_single_sidecar_at_once() -> None:
     for live_members, is_isolated in ((["a", "b", "c"], True), (["a"], False)):
-        asker = Asking("a", 20, 7, 0.0, 0.5)
-        asker.heard()
-        asker.failed(100_000.0)
+        asker = DiscoveryCallGate("a", 20, 7, 0.0, 0.5)
+        asker.on_success()
+        asker.on_failure(100_000.0)
         allowed = [
-            asker.may(100_000.0 + 100.0 * step, live_members, -math.inf, is_isolated) for step in range(50)
+            asker.may_call(100_000.0 + 100.0 * step, live_members, -math.inf, is_isolated)
+            for step in range(50)
         ]
-        assert allowed.index(True) * 100.0 <= ALONE_TURNS * TURN_MS == 2000.0
+        assert allowed.index(True) * 100.0 <= ALONE_RETRY_TURNS * TURN_MS == 2000.0
 
 
 def test_list_received_before_a_failure_does_not_stop_others_from_asking() -> None:
@@ -606,16 +609,18 @@
     cut off.
     """
     live_members = [f"n{index}" for index in range(SIDECAR_COUNT)]
-    askers = [Asking(name, SIDECAR_COUNT, index, 0.0, 0.5) for index, name in enumerate(live_members)]
+    askers = [
+        DiscoveryCallGate(name, SIDECAR_COUNT, index, 0.0, 0.5) for index, name in enumerate(live_members)
+    ]
     for asker in askers:
-        asker.heard()
-        asker.failed(50_000.0)
+        asker.on_success()
+        asker.on_failure(50_000.0)
     names_that_asked = {
         asker._name
         for asker in askers
         for turn in range(1, 21)
-        if asker.may(50_000.0 + TURN_MS * turn, live_members, 49_000.0)
+        if asker.may_call(50_000.0 + TURN_MS * turn, live_members, 49_000.0)
     }
     assert len(names_that_asked) == SIDECAR_COUNT
     # Received a list since: two sidecars watch.
-    assert sum(asker.may(75_000.0, live_members, 70_000.0) for asker in askers) == 2
+    assert sum(asker.may_call(75_000.0, live_members, 70_000.0) for asker in askers) == 2
