--- a/larkcrank/protocol/discovery.py
+++ b/larkcrank/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""The server list as discovery tells it."""
+"""The format of the server list that the discovery service sends."""
 
 import math
 from dataclasses import dataclass, field
@@ -11,11 +11,11 @@
 _STATES = {"Ready": State.READY, "Terminating": State.DRAINING, "Gone": State.GONE}
 
 
-class ListError(Exception):
-    """The text is no server list."""
+class ServerListError(Exception):
+    """The text is not a valid server list."""
 
 
-class _Line(msgspec.Struct, rename="camel"):
+class _Instance(msgspec.Struct, rename="camel"):
     instance_id: str
     lifecycle: str
     host_port: str = ""
@@ -26,71 +26,77 @@
     started_at_ms: float = 0.0
 
 
-class _Text(msgspec.Struct):
+class _ListBody(msgspec.Struct):
     generation: int
-    instances: list[_Line]
-    reset: bool = False
+    instances: list[_Instance]
+    reset: bool = False  # true: a full list; false: only the instances that changed
 
 
 @dataclass(slots=True)
-class Names:
-    """The numbers that zones and machine types go by. What the settings do not list is numbered as met."""
+class NameTable:
+    """Maps the names of zones and machine types to numbers, which are positions in these lists.
+
+    Names that are not in the settings are appended in the order in which they are first seen.
+    """
 
     zones: list[str]
     kinds: list[str]
 
     @staticmethod
-    def number(names: list[str], name: str) -> int:
+    def number_of(names: list[str], name: str) -> int:
         if name not in names:
             names.append(name)
         return names.index(name)
 
 
 @dataclass(slots=True, frozen=True)
-class Listing:
+class ListUpdate:
+    """A full server list, or the servers that changed since an earlier generation."""
+
     generation: int
-    whole: bool
+    is_full: bool
     endpoints: tuple[Endpoint, ...]
-    places: dict[Address, tuple[str, int]] = field(default_factory=dict)  # where each one listens
+    host_ports: dict[Address, tuple[str, int]] = field(default_factory=dict)  # where each endpoint listens
 
 
-_decoder = msgspec.json.Decoder(_Text)
+_decoder = msgspec.json.Decoder(_ListBody)
 
 
-def parse(text: bytes, names: Names) -> Listing:
+def parse_list(text: bytes, names: NameTable) -> ListUpdate:
     try:
-        told = _decoder.decode(text)
+        body = _decoder.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
-        raise ListError(f"server list: {error}") from None
-    endpoints, places = [], {}
-    for line in told.instances:
-        # One line that makes no sense must not hide the others: such a server gets nothing new.
-        state = _STATES.get(line.lifecycle, State.DRAINING)
-        address = line.instance_id.encode()
+        raise ServerListError(f"server list: {error}") from None
+    endpoints, host_ports = [], {}
+    for instance in body.instances:
+        # One invalid instance must not hide the others. It counts as draining, so it gets no new requests.
+        state = _STATES.get(instance.lifecycle, State.DRAINING)
+        address = instance.instance_id.encode()
         try:
-            places[address] = host_port(line.host_port)
+            host_ports[address] = parse_host_port(instance.host_port)
         except ValueError:
             state = State.GONE if state is State.GONE else State.DRAINING
         endpoints.append(
             Endpoint(
                 address=address,
                 state=state,
-                zone=names.number(names.zones, line.zone),
-                cell=line.cell,
-                kind=names.number(names.kinds, line.machine_type),
-                size=line.weight if 0.0 < line.weight < math.inf else 1.0,
-                started_at=line.started_at_ms,
+                zone=names.number_of(names.zones, instance.zone),
+                cell=instance.cell,
+                kind=names.number_of(names.kinds, instance.machine_type),
+                size=instance.weight if 0.0 < instance.weight < math.inf else 1.0,
+                started_at=instance.started_at_ms,
             )
         )
-    return Listing(told.generation, told.reset, tuple(endpoints), places)
+    return ListUpdate(body.generation, body.reset, tuple(endpoints), host_ports)
 
 
-def host_port(text: str, lowest: int = 1) -> tuple[str, int]:
+def parse_host_port(text: str, min_port: int = 1) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
-    if not colon or not host or not port.isdecimal() or not lowest <= int(port) < 65536:
+    if not colon or not host or not port.isdecimal() or not min_port <= int(port) < 65536:
         raise ValueError(f"{text!r} is no host:port")
     return host, int(port)
 
 
 def watch_target(generation: int, wait_ms: int) -> bytes:
+    """Return the target of a long poll for changes after `generation`."""
     return b"%s?after=%d&wait_ms=%d" % (LIST_TARGET, generation, wait_ms)
--- a/larkcrank/protocol/http1.py
+++ b/larkcrank/protocol/http1.py
@@ -1,27 +1,27 @@
-"""HTTP/1.1 messages from bytes and back, without I/O.
+"""Parses and encodes HTTP/1.1 messages, without I/O.
 
-A parser is fed whatever came and gives the same messages however the bytes were split. It is strict
-where two readers could see two different messages: a proxy must not pass such a thing on.
+A parser is fed bytes as they arrive and returns the same messages however the bytes were split. It rejects
+whatever two implementations could read as two different messages, because a proxy must not forward that.
 """
 
 import re
 from collections.abc import Iterable
 from dataclasses import dataclass, replace
 
-MAX_HEAD = 16 * 1024
-HELD = 64 * 1024  # a body up to here is held whole; what is longer passes through in parts
-MAX_BODY = 40 << 20
-_MAX_CHUNK_LINE = 256
+MAX_HEAD_BYTES = 16 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a request body up to this size is buffered, a longer one is streamed
+MAX_BODY_BYTES = 40 << 20
+_MAX_CHUNK_LINE_BYTES = 256
 
-_TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
-_TARGET = re.compile(rb"[!-~]+")
+_TOKEN_PATTERN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
+_TARGET_PATTERN = re.compile(rb"[!-~]+")
 _REQUEST_LINE = re.compile(rb"([!#$%&'*+\-.^_`|~0-9A-Za-z]+) ([!-~]+) HTTP/(\d)\.(\d)")
 _STATUS_LINE = re.compile(rb"HTTP/(\d)\.(\d) (\d{3})(?: ([\t -~\x80-\xff]*))?")
-_BAD_IN_VALUE = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
-_CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t -~\x80-\xff]*)?")
-_DIGITS = re.compile(rb"\d{1,15}")
+_CONTROL_CHARACTER = re.compile(rb"[\x00-\x08\x0a-\x1f\x7f]")
+_CHUNK_SIZE_LINE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(?:;[\t -~\x80-\xff]*)?")
+_CONTENT_LENGTH_PATTERN = re.compile(rb"\d{1,15}")
 
-# Belong to one connection, so they end here; the framing is written anew.
+# These headers concern one connection only, so they are not forwarded. The framing is written anew.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -38,7 +38,7 @@
     )
 )
 
-REASONS = {
+REASON_PHRASES = {
     100: b"Continue",
     200: b"OK",
     400: b"Bad Request",
@@ -59,7 +59,7 @@
 
 
 class MessageError(Exception):
-    """The bytes are no message that may be passed on. `status` is the answer that says so."""
+    """The message is invalid and must not be forwarded. `status` is the status of the error response."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -70,36 +70,41 @@
 class Field:
     name: bytes  # in lower case
     value: bytes
-    line: bytes  # as it came
+    raw_line: bytes  # as received
 
 
 class Fields(tuple[Field, ...]):
-    """The header fields of one message in their order."""
+    """The header fields of one message in their original order."""
 
     __slots__ = ()
 
-    def all(self, name: bytes) -> list[bytes]:
+    def get_all(self, name: bytes) -> list[bytes]:
         return [field.value for field in self if field.name == name]
 
-    def one(self, name: bytes) -> bytes | None:
-        """The field's value, None where it is absent; a field that stands twice is ambiguous."""
-        found = self.all(name)
-        if len(found) > 1:
-            raise MessageError(400, f"header {name.decode('latin-1')} stands {len(found)} times")
-        return found[0] if found else None
+    def get_single(self, name: bytes) -> bytes | None:
+        """Return the value of a field, or None if it is absent.
 
-    def list(self, name: bytes) -> list[bytes]:
-        """The members of a comma-separated field in lower case."""
-        members = (part.strip(b" \t").lower() for value in self.all(name) for part in value.split(b","))
+        A repeated field is ambiguous, so it raises `MessageError`.
+        """
+        values = self.get_all(name)
+        if len(values) > 1:
+            raise MessageError(400, f"header {name.decode('latin-1')} stands {len(values)} times")
+        return values[0] if values else None
+
+    def get_list(self, name: bytes) -> list[bytes]:
+        """Return the members of a comma-separated field in lower case."""
+        members = (part.strip(b" \t").lower() for value in self.get_all(name) for part in value.split(b","))
         return [member for member in members if member]
 
-    def passed_on(self, but: frozenset[bytes] = frozenset()) -> Iterable[bytes]:
-        """The lines that go on to the next hop, as they came."""
-        named = set(self.list(b"connection"))
+    def forwarded_lines(self, excluded: frozenset[bytes] = frozenset()) -> Iterable[bytes]:
+        """Return the header lines to forward to the next hop, unchanged."""
+        connection_options = set(self.get_list(b"connection"))
         return [
-            field.line
+            field.raw_line
             for field in self
-            if field.name not in HOP_BY_HOP and field.name not in named and field.name not in but
+            if field.name not in HOP_BY_HOP
+            and field.name not in connection_options
+            and field.name not in excluded
         ]
 
 
@@ -108,11 +113,11 @@
     method: bytes
     target: bytes
     fields: Fields
-    body: bytes  # where it is not whole: its beginning
+    body: bytes  # only its beginning, unless the request is complete
     keep_alive: bool
-    length: int | None = 0  # of the body as told; None: in chunks
-    whole: bool = True  # else the rest of the body is taken from the parser
-    is_old: bool = False  # HTTP/1.0: knows no chunks
+    content_length: int | None = 0  # as announced in the head; None: the body is chunked
+    is_complete: bool = True  # if false, the rest of the body is to be taken from the parser
+    is_http10: bool = False  # HTTP/1.0 has no chunked bodies
 
 
 @dataclass(slots=True, frozen=True)
@@ -120,7 +125,7 @@
     status: int
     fields: Fields
     keep_alive: bool
-    length: int | None = 0  # of the body; None: only its end will tell
+    content_length: int | None = 0  # None: the length is known only at the end of the body
 
 
 @dataclass(slots=True, frozen=True)
@@ -131,103 +136,118 @@
     keep_alive: bool
 
 
-def _fields(lines: list[bytes]) -> Fields:
+def _parse_fields(lines: list[bytes]) -> Fields:
     fields = []
     for line in lines:
         name, colon, value = line.partition(b":")
-        if not colon or not _TOKEN.fullmatch(name):  # a folded line fails here too
+        if not colon or not _TOKEN_PATTERN.fullmatch(name):  # this rejects folded lines too
             raise MessageError(400, "malformed header line")
         value = value.strip(b" \t")
-        if _BAD_IN_VALUE.search(value):
+        if _CONTROL_CHARACTER.search(value):
             raise MessageError(400, "control character in a header")
         fields.append(Field(name.lower(), value, line))
     return Fields(fields)
 
 
-def _keep_alive(major: bytes, minor: bytes, fields: Fields) -> bool:
+def _is_keep_alive(major: bytes, minor: bytes, fields: Fields) -> bool:
     if major != b"1":
         raise MessageError(505, "not HTTP/1")
-    options = fields.list(b"connection")
+    options = fields.get_list(b"connection")
     return b"close" not in options and (minor != b"0" or b"keep-alive" in options)
 
 
-class _Body:
-    """Takes a body out of the buffer as its framing tells. `too_large` is what a longer one is."""
+class _BodyDecoder:
+    """Decodes a body from a buffer according to its framing.
 
-    __slots__ = ("_chunked", "_left", "_room", "_state", "_too_large", "_trailer", "done", "to_end")
+    A body that is longer than `limit` raises `MessageError` with the status `too_large_status`.
+    """
 
-    def __init__(self, length: int | None, limit: float, too_large: int, to_end: bool = False) -> None:
+    __slots__ = (
+        "_bytes_allowed",
+        "_bytes_left",
+        "_chunked",
+        "_state",
+        "_too_large_status",
+        "_trailer_bytes",
+        "done",
+        "until_close",
+    )
+
+    def __init__(
+        self, length: int | None, limit: float, too_large_status: int, until_close: bool = False
+    ) -> None:
         if length is not None and length > limit:
-            raise MessageError(too_large, "body too large")
-        self._room, self._too_large = limit, too_large
+            raise MessageError(too_large_status, "body too large")
+        self._bytes_allowed, self._too_large_status = limit, too_large_status
         self._chunked = length is None
-        self._left = length or 0  # of the body, or of the chunk under way
-        self._state = "size"  # of a chunked body: size, data, end, trailer
-        self._trailer = 0
-        self.to_end = to_end  # until the connection ends
+        self._bytes_left = length or 0  # in the body, or in the current chunk
+        self._state = "size"  # the part of a chunked body that comes next: size, data, end or trailer
+        self._trailer_bytes = 0
+        self.until_close = until_close  # the body ends where the connection ends
         self.done = length == 0
 
-    def take(self, buffer: bytearray, body: bytearray) -> None:
-        if self.to_end:
-            self._room -= len(buffer)
-            if self._room < 0:
-                raise MessageError(self._too_large, "body too large")
+    def decode(self, buffer: bytearray, body: bytearray) -> None:
+        """Move the bytes of the body from `buffer` to `body`, without the chunk framing."""
+        if self.until_close:
+            self._bytes_allowed -= len(buffer)
+            if self._bytes_allowed < 0:
+                raise MessageError(self._too_large_status, "body too large")
             body += buffer
             buffer.clear()
         elif not self._chunked:
-            self._move(buffer, body)
-            self.done = not self._left
+            self._move_data(buffer, body)
+            self.done = not self._bytes_left
         else:
-            while not self.done and self._step(buffer, body):
+            while not self.done and self._decode_chunked_step(buffer, body):
                 pass
 
-    def _move(self, buffer: bytearray, body: bytearray) -> None:
-        count = min(self._left, len(buffer))
+    def _move_data(self, buffer: bytearray, body: bytearray) -> None:
+        count = min(self._bytes_left, len(buffer))
         body += buffer[:count]
         del buffer[:count]
-        self._left -= count
+        self._bytes_left -= count
 
-    def _step(self, buffer: bytearray, body: bytearray) -> bool:
-        """One step of a chunked body; False where more bytes are needed."""
+    def _decode_chunked_step(self, buffer: bytearray, body: bytearray) -> bool:
+        """Decode the next data or line of a chunked body. Returns False if more bytes are needed."""
         if self._state == "data":
-            self._move(buffer, body)
-            if self._left:
+            self._move_data(buffer, body)
+            if self._bytes_left:
                 return False
             self._state = "end"
             return True
         end = buffer.find(b"\r\n")
-        if end > _MAX_CHUNK_LINE or (end < 0 and len(buffer) > _MAX_CHUNK_LINE + 1):
+        if end > _MAX_CHUNK_LINE_BYTES or (end < 0 and len(buffer) > _MAX_CHUNK_LINE_BYTES + 1):
             raise MessageError(400, "overlong line in a chunked body")
         if end < 0:
             return False
         line = bytes(buffer[:end])
         del buffer[: end + 2]
         if self._state == "size":
-            match = _CHUNK_SIZE.fullmatch(line)
+            match = _CHUNK_SIZE_LINE.fullmatch(line)
             if match is None:
                 raise MessageError(400, "malformed chunk size")
-            self._left = int(match[1], 16)
-            self._room -= self._left
-            if self._room < 0:
-                raise MessageError(self._too_large, "body too large")
-            self._state = "data" if self._left else "trailer"
+            self._bytes_left = int(match[1], 16)
+            self._bytes_allowed -= self._bytes_left
+            if self._bytes_allowed < 0:
+                raise MessageError(self._too_large_status, "body too large")
+            self._state = "data" if self._bytes_left else "trailer"
         elif self._state == "end":
             if line:
                 raise MessageError(400, "chunk longer than its size")
             self._state = "size"
-        elif line:  # trailers are read over
-            self._trailer += len(line)
-            if self._trailer > MAX_HEAD:
+        elif line:  # trailers are ignored
+            self._trailer_bytes += len(line)
+            if self._trailer_bytes > MAX_HEAD_BYTES:
                 raise MessageError(431, "trailers too large")
         else:
             self.done = True
         return True
 
 
-def _split_head(buffer: bytearray) -> list[bytes] | None:
-    """The lines of the head, taken out of the buffer once it is whole."""
+def _take_head_lines(buffer: bytearray) -> list[bytes] | None:
+    """Remove the head from the buffer and return its lines, or None as long as it is incomplete."""
     end = buffer.find(b"\r\n\r\n")
-    if end > MAX_HEAD or (end < 0 and len(buffer) > MAX_HEAD + 3):
+    if end > MAX_HEAD_BYTES or (end < 0 and len(buffer) > MAX_HEAD_BYTES + 3):
         raise MessageError(431, "head too large")
     if end < 0:
         return None
@@ -236,226 +256,252 @@
     return lines
 
 
-def _length(fields: Fields) -> int | None:
-    """Content-Length; None where it is absent."""
-    values = set(fields.all(b"content-length"))
+def _content_length(fields: Fields) -> int | None:
+    """Return the value of Content-Length, or None if it is absent."""
+    values = set(fields.get_all(b"content-length"))
     if not values:
         return None
-    if len(values) > 1 or not _DIGITS.fullmatch(value := values.pop()):
+    if len(values) > 1 or not _CONTENT_LENGTH_PATTERN.fullmatch(value := values.pop()):
         raise MessageError(400, "malformed or contradictory Content-Length")
     return int(value)
 
 
 def _is_chunked(fields: Fields) -> bool:
-    codings = fields.list(b"transfer-encoding")
+    codings = fields.get_list(b"transfer-encoding")
     if not codings:
         return False
     if codings != [b"chunked"]:
         raise MessageError(400, "unknown transfer coding")
-    if fields.all(b"content-length"):
+    if fields.get_all(b"content-length"):
         raise MessageError(400, "both Content-Length and Transfer-Encoding")
     return True
 
 
 class RequestParser:
-    """Requests out of the bytes of one connection."""
+    """Parses the requests of one connection."""
 
-    def __init__(self, max_body: int = MAX_BODY) -> None:
-        self._max_body = max_body
+    def __init__(self, max_body_bytes: int = MAX_BODY_BYTES) -> None:
+        self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
         self._head: Request | None = None
-        self._framing = _Body(0, 0, 0)
+        self._body_decoder = _BodyDecoder(0, 0, 0)
         self._body = bytearray()
-        self.wants_continue = False  # the client waits for word before it sends the body
-        self.passing = False  # the body of the last request is taken in parts
+        self.expects_continue = False  # the client waits for 100 Continue before it sends the body
+        self.is_streaming = False  # the rest of the last request's body is to be taken with `take_part`
 
     @property
-    def begun(self) -> bool:
-        """Part of a request is here."""
-        return bool(self._buffer) or self._head is not None or self.passing
+    def has_partial_request(self) -> bool:
+        """Whether a request has arrived in part."""
+        return bool(self._buffer) or self._head is not None or self.is_streaming
 
     @property
-    def has_head(self) -> bool:
-        """The body is awaited."""
+    def awaits_body(self) -> bool:
+        """Whether a head has arrived, and too little of its body for `next` to return the request."""
         return self._head is not None
 
     def feed(self, data: bytes) -> None:
         self._buffer += data
 
     def next(self) -> Request | None:
-        """The next request: whole, or with the beginning of a body over `HELD`, whose rest `part` gives.
+        """Return the next request, or None if more bytes are needed.
 
-        Raises `MessageError`; the connection is of no more use then.
+        Of a body over `MAX_BUFFERED_BODY_BYTES` only the beginning is included; `take_part` returns the rest.
+        Raises `MessageError`, after which the connection can't be used any more.
         """
-        if self.passing:
+        if self.is_streaming:
             return None
         if self._head is None:
-            while self._buffer.startswith(b"\r\n"):  # an empty line before a request is read over
+            while self._buffer.startswith(b"\r\n"):  # empty lines before a request are ignored
                 del self._buffer[:2]
-            lines = _split_head(self._buffer)
+            lines = _take_head_lines(self._buffer)
             if lines is None:
                 return None
-            self._head = self._read_head(lines)
-        self._framing.take(self._buffer, self._body)
+            self._head = self._parse_head(lines)
+        self._body_decoder.decode(self._buffer, self._body)
         head = self._head
-        whole = self._framing.done
-        if not whole and (head.length or 0) <= HELD and len(self._body) <= HELD:
+        is_complete = self._body_decoder.done
+        if (
+            not is_complete
+            and (head.content_length or 0) <= MAX_BUFFERED_BODY_BYTES
+            and len(self._body) <= MAX_BUFFERED_BODY_BYTES
+        ):
             return None
-        request = replace(head, body=bytes(self._body), whole=whole)
-        self._head, self.passing = None, not whole
-        self.wants_continue = self.wants_continue and not whole
+        request = replace(head, body=bytes(self._body), is_complete=is_complete)
+        self._head, self.is_streaming = None, not is_complete
+        self.expects_continue = self.expects_continue and not is_complete
         self._body.clear()
         return request
 
-    def part(self) -> bytes:
-        """What has come since of the body that passes through. After its end `passing` is false."""
-        self._framing.take(self._buffer, self._body)
+    def take_part(self) -> bytes:
+        """Return what has arrived of a streamed body since the last call.
+
+        At the end of the body `is_streaming` becomes false.
+        """
+        self._body_decoder.decode(self._buffer, self._body)
         data = bytes(self._body)
         self._body.clear()
-        if self._framing.done:
-            self.passing = self.wants_continue = False
+        if self._body_decoder.done:
+            self.is_streaming = self.expects_continue = False
         return data
 
-    def _read_head(self, lines: list[bytes]) -> Request:
+    def _parse_head(self, lines: list[bytes]) -> Request:
         match = _REQUEST_LINE.fullmatch(lines[0])
         if match is None:
             raise MessageError(400, "malformed request line")
-        fields = _fields(lines[1:])
-        keep_alive = _keep_alive(match[3], match[4], fields)
-        is_old = match[4] == b"0"
-        if len(fields.all(b"host")) != 1 and not is_old:
+        fields = _parse_fields(lines[1:])
+        keep_alive = _is_keep_alive(match[3], match[4], fields)
+        is_http10 = match[4] == b"0"
+        if len(fields.get_all(b"host")) != 1 and not is_http10:
             raise MessageError(400, "not one Host header")
-        if is_old and fields.all(b"transfer-encoding"):
+        if is_http10 and fields.get_all(b"transfer-encoding"):
             raise MessageError(400, "chunks in HTTP/1.0")
-        length = None if _is_chunked(fields) else _length(fields) or 0
-        self._framing = _Body(length, self._max_body, 413)
-        expected = fields.list(b"expect")
-        if expected not in ([], [b"100-continue"]):
+        content_length = None if _is_chunked(fields) else _content_length(fields) or 0
+        self._body_decoder = _BodyDecoder(content_length, self._max_body_bytes, 413)
+        expectations = fields.get_list(b"expect")
+        if expectations not in ([], [b"100-continue"]):
             raise MessageError(417, "unknown expectation")
-        self.wants_continue = bool(expected) and length != 0 and not is_old
-        return Request(match[1], match[2], fields, b"", keep_alive, length, False, is_old)
+        self.expects_continue = bool(expectations) and content_length != 0 and not is_http10
+        return Request(match[1], match[2], fields, b"", keep_alive, content_length, False, is_http10)
 
 
 class ResponseParser:
-    """One response out of the bytes of a connection.
+    """Parses one response from the bytes of a connection.
 
-    A stream has no largest body: whoever passes it on takes it in parts.
+    The body of a stream may have any length, because the caller takes it in parts with `take_body`.
     """
 
-    def __init__(self, max_body: float = MAX_BODY) -> None:
-        self._max_body = max_body
+    def __init__(self, max_body_bytes: float = MAX_BODY_BYTES) -> None:
+        self._max_body_bytes = max_body_bytes
         self._buffer = bytearray()
-        self._framing = _Body(0, 0, 0)
+        self._body_decoder = _BodyDecoder(0, 0, 0)
         self._body = bytearray()
         self.head: ResponseHead | None = None
 
     @property
     def complete(self) -> bool:
-        return self.head is not None and self._framing.done
+        return self.head is not None and self._body_decoder.done
 
     @property
-    def left_over(self) -> bool:
-        """More came than the response: the connection is of no more use."""
+    def has_extra_bytes(self) -> bool:
+        """Whether bytes follow the response. The connection can't be reused then."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> None:
         self._buffer += data
         while self.head is None:
-            lines = _split_head(self._buffer)
+            lines = _take_head_lines(self._buffer)
             if lines is None:
                 return
-            self._read_head(lines)
-        self._framing.take(self._buffer, self._body)
+            self._parse_head(lines)
+        self._body_decoder.decode(self._buffer, self._body)
 
-    def end(self) -> bool:
-        """The connection has ended in order; True where that is the body's end."""
-        if self.head is not None and self._framing.to_end:
-            self._framing.done = True
+    def handle_clean_close(self) -> bool:
+        """Handle an orderly close of the connection. Returns whether the response is complete."""
+        if self.head is not None and self._body_decoder.until_close:
+            self._body_decoder.done = True
         return self.complete
 
     @property
-    def held(self) -> int:
-        """Bytes of the body that have come and were not taken."""
+    def buffered_bytes(self) -> int:
+        """The number of body bytes that have arrived and were not yet taken."""
         return len(self._body)
 
     def take_body(self) -> bytes:
-        """What has come of the body since the last call."""
+        """Return what has arrived of the body since the last call."""
         body = bytes(self._body)
         self._body.clear()
         return body
 
     def response(self) -> Response:
-        if self.head is None or not self._framing.done:
-            raise MessageError(502, "response not whole")
+        if self.head is None or not self._body_decoder.done:
+            raise MessageError(502, "incomplete response")
         keep_alive = self.head.keep_alive and not self._buffer
         return Response(self.head.status, self.head.fields, self.take_body(), keep_alive)
 
-    def _read_head(self, lines: list[bytes]) -> None:
+    def _parse_head(self, lines: list[bytes]) -> None:
         match = _STATUS_LINE.fullmatch(lines[0])
         if match is None:
             raise MessageError(502, "malformed status line")
-        fields = _fields(lines[1:])
-        keep_alive = _keep_alive(match[1], match[2], fields)
+        fields = _parse_fields(lines[1:])
+        keep_alive = _is_keep_alive(match[1], match[2], fields)
         status = int(match[3])
         if 100 <= status < 200:
             if status == 101:
-                raise MessageError(502, "unasked change of protocol")
+                raise MessageError(502, "unrequested protocol switch")
             return
         if status in (204, 304):
-            length: int | None = 0
+            content_length: int | None = 0
         else:
-            length = None if _is_chunked(fields) else _length(fields)
-        to_end = length is None and not _is_chunked(fields)
-        self._framing = _Body(length, self._max_body, 502, to_end)
-        self.head = ResponseHead(status, fields, keep_alive and not to_end, length)
+            content_length = None if _is_chunked(fields) else _content_length(fields)
+        until_close = content_length is None and not _is_chunked(fields)
+        self._body_decoder = _BodyDecoder(content_length, self._max_body_bytes, 502, until_close)
+        self.head = ResponseHead(status, fields, keep_alive and not until_close, content_length)
 
 
-CHUNKED = b"Transfer-Encoding: chunked"
+CHUNKED_LINE = b"Transfer-Encoding: chunked"
 
 
-def request_bytes(
-    method: bytes, target: bytes, lines: Iterable[bytes], body: bytes = b"", framing: bytes | None = None
+def encode_request(
+    method: bytes,
+    target: bytes,
+    header_lines: Iterable[bytes],
+    body: bytes = b"",
+    framing: bytes | None = None,
 ) -> bytes:
-    """A whole request; with `framing` the head of one whose body follows."""
-    head = [method + b" " + target + b" HTTP/1.1", *lines]
+    """Return a complete request, or with `framing` only the head of a request whose body follows."""
+    head = [method + b" " + target + b" HTTP/1.1", *header_lines]
     if framing is not None:
         head.append(framing)
     elif body or method not in (b"GET", b"HEAD"):
-        head.append(length_line(len(body)))
+        head.append(content_length_line(len(body)))
     return b"\r\n".join(head) + b"\r\n\r\n" + body
 
 
-def length_line(length: int) -> bytes:
+def content_length_line(length: int) -> bytes:
     return b"Content-Length: %d" % length
 
 
 def _status_line(status: int) -> bytes:
-    return b"HTTP/1.1 %d %s" % (status, REASONS.get(status, b"Status"))
+    return b"HTTP/1.1 %d %s" % (status, REASON_PHRASES.get(status, b"Status"))
 
 
-def response_bytes(
-    status: int, lines: Iterable[bytes], body: bytes, close: bool = False, kept: bool = False
+def encode_response(
+    status: int,
+    header_lines: Iterable[bytes],
+    body: bytes,
+    close: bool = False,
+    announce_keep_alive: bool = False,
 ) -> bytes:
-    return stream_head_bytes(status, lines, length_line(len(body)), close, kept) + body
+    return (
+        encode_response_head(status, header_lines, content_length_line(len(body)), close, announce_keep_alive)
+        + body
+    )
 
 
-def stream_head_bytes(
-    status: int, lines: Iterable[bytes], framing: bytes = CHUNKED, close: bool = False, kept: bool = False
+def encode_response_head(
+    status: int,
+    header_lines: Iterable[bytes],
+    framing: bytes = CHUNKED_LINE,
+    close: bool = False,
+    announce_keep_alive: bool = False,
 ) -> bytes:
-    """The head of an answer. `kept` says so to a client of HTTP/1.0, for which that is not the rule."""
-    head = [_status_line(status), *lines]
-    if framing:  # none: the connection's end is the body's
+    """Return the head of a response.
+
+    `announce_keep_alive` adds the header for clients of HTTP/1.0, which expect a close by default.
+    """
+    head = [_status_line(status), *header_lines]
+    if framing:  # empty: the body ends where the connection ends
         head.append(framing)
     if close:
         head.append(b"Connection: close")
-    elif kept:
+    elif announce_keep_alive:
         head.append(b"Connection: keep-alive")
     return b"\r\n".join(head) + b"\r\n\r\n"
 
 
-def chunk_bytes(data: bytes) -> bytes:
-    """One chunk; the empty one ends the body."""
+def encode_chunk(data: bytes) -> bytes:
+    """Return one chunk. An empty chunk ends the body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
--- a/larkcrank/protocol/ops.py
+++ b/larkcrank/protocol/ops.py
@@ -1,8 +1,8 @@
-"""The operators' calls: one line in, one line out, without I/O."""
+"""The operators' protocol without I/O: a call and its answer are one line each."""
 
 from enum import Enum
 
-MAX_LINE = 128  # the longest call is a tenth of it; whatever is longer is none
+MAX_LINE_BYTES = 128  # about ten times the longest call; a longer line can't be a call
 
 
 class Call(Enum):
@@ -13,30 +13,30 @@
 
 
 class CallError(Exception):
-    """The line is no call; the message says why."""
+    """The line is not a valid call. The message tells why."""
 
 
 class CallParser:
-    """The call out of the bytes of one connection, however they were cut. A line ends with LF or CRLF."""
+    """Parses one call from the bytes of a connection, however they are split. A line ends with LF or CRLF."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Call | None:
-        """The call once its line is whole. Raises `CallError`."""
+        """Return the call as soon as its line is complete, and None before. Raises `CallError`."""
         self._buffer += data
-        line, end, _ = self._buffer.partition(b"\n")
-        if len(line) > MAX_LINE:
-            raise CallError(f"a call is a line of at most {MAX_LINE} bytes")
-        if not end:
+        line, newline, _ = self._buffer.partition(b"\n")
+        if len(line) > MAX_LINE_BYTES:
+            raise CallError(f"a call is a line of at most {MAX_LINE_BYTES} bytes")
+        if not newline:
             return None
-        word = bytes(line.removesuffix(b"\r"))
+        name = bytes(line.removesuffix(b"\r"))
         try:
-            return Call(word)
+            return Call(name)
         except ValueError:
             known = ", ".join(call.value.decode() for call in Call)
             raise CallError(f"unknown call; known are {known}") from None
 
 
-def answer(done: bool, text: str) -> bytes:
-    return f"{200 if done else 400} {text}\n".encode()
+def encode_answer(succeeded: bool, text: str) -> bytes:
+    return f"{200 if succeeded else 400} {text}\n".encode()
--- a/larkcrank/protocol/platform.py
+++ b/larkcrank/protocol/platform.py
@@ -11,136 +11,151 @@
 LIVE_PATH = b"/health/live"
 LOAD_PATH = b"/stats"
 
-_ID = b"req-id"
-_KIND = b"req-kind"
-_DEADLINE = b"req-deadline"
-_RETRY = b"req-retry"
-_OWNER = b"req-owner"
-_KEY = b"idempotency-key"
-_EXTRA = b"req-extra"
-_ITEM = "item"  # the simulator's name of the subject
-_DECLINED = b"srv-declined"
-_LOAD = b"srv-load"
-_MAX_WAIT_S = 3600.0
-_SUBJECT = re.compile(r"[0-9]{1,20}", re.ASCII)
-_SECONDS = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{0,15})?|\.[0-9]{1,15}")
-_ABSOLUTE = re.compile(rb"[Hh][Tt][Tt][Pp]://([^/?#]+)((?:[/?].*)?)")
-_REPLACED = frozenset((_DEADLINE,))
+_ID_HEADER = b"req-id"
+_KIND_HEADER = b"req-kind"
+_DEADLINE_HEADER = b"req-deadline"
+_RETRY_HEADER = b"req-retry"
+_OWNER_HEADER = b"req-owner"
+_IDEMPOTENCY_KEY_HEADER = b"idempotency-key"
+_EXTRA_HEADER = b"req-extra"
+_OBJECT_KEY_NAME = "item"  # the name of the object key in Req-Extra, as in the simulator
+_DECLINED_HEADER = b"srv-declined"
+_LOAD_HEADER = b"srv-load"
+_MAX_DEADLINE_S = 3600.0
+_OBJECT_KEY_PATTERN = re.compile(r"[0-9]{1,20}", re.ASCII)
+_SECONDS_PATTERN = re.compile(rb"[0-9]{1,9}(?:\.[0-9]{0,15})?|\.[0-9]{1,15}")
+_ABSOLUTE_FORM = re.compile(rb"[Hh][Tt][Tt][Pp]://([^/?#]+)((?:[/?].*)?)")
+_REPLACED_HEADERS = frozenset((_DEADLINE_HEADER,))
 
 
 @dataclass(slots=True, frozen=True)
-class Call:
-    """What a decision needs of a request."""
+class CallInfo:
+    """The properties of a request that the balancer needs."""
 
-    id: str  # for the log
-    kind: str
-    wait_ms: float | None  # how long the client waits, where it says so
+    id: str  # only for the log
+    kind: str  # the name of its request class
+    client_timeout_ms: float | None  # how long the client waits; None: it doesn't say
     is_retry: bool
-    has_key: bool
-    owner: str
+    has_idempotency_key: bool
+    owner: str  # the name of its tenant
 
 
 def is_ready_check(request: http1.Request) -> bool:
-    return request.method == b"GET" and _place_and_path(request.target)[1].partition(b"?")[0] == READY_PATH
+    return request.method == b"GET" and _split_target(request.target)[1].partition(b"?")[0] == READY_PATH
 
 
-def first_part(target: bytes) -> str:
-    path = _place_and_path(target)[1]
+def first_path_segment(target: bytes) -> str:
+    path = _split_target(target)[1]
     return path.partition(b"?")[0].lstrip(b"/").partition(b"/")[0].decode("latin-1")
 
 
-def _place_and_path(target: bytes) -> tuple[bytes, bytes]:
-    """Host and path with query; the host is empty but in the absolute form, which is for proxies."""
-    match = _ABSOLUTE.fullmatch(target)
+def _split_target(target: bytes) -> tuple[bytes, bytes]:
+    """Return the host and the path with its query.
+
+    The host is empty unless the target is in absolute form, which clients use towards proxies.
+    """
+    match = _ABSOLUTE_FORM.fullmatch(target)
     return (match[1], match[2] or b"/") if match is not None else (b"", target)
 
 
-def read_call(request: http1.Request) -> Call:
-    """Raises `MessageError` where a field is missing or no value of its kind."""
+def read_call_info(request: http1.Request) -> CallInfo:
+    """Raises `MessageError` if Req-Id is missing or a header is repeated or malformed."""
     fields = request.fields
-    number = fields.one(_ID)
-    if not number:
+    request_id = fields.get_single(_ID_HEADER)
+    if not request_id:
         raise http1.MessageError(400, "no Req-Id")
-    kind = fields.one(_KIND)
-    return Call(
-        id=number.decode("latin-1"),
-        kind=first_part(request.target) if kind is None else kind.decode("latin-1"),
-        wait_ms=_wait_ms(fields.one(_DEADLINE)),
-        is_retry=fields.one(_RETRY) == b"1",
-        has_key=bool(fields.one(_KEY)),
-        owner=(fields.one(_OWNER) or b"").decode("latin-1"),
+    kind = fields.get_single(_KIND_HEADER)
+    return CallInfo(
+        id=request_id.decode("latin-1"),
+        kind=first_path_segment(request.target) if kind is None else kind.decode("latin-1"),
+        client_timeout_ms=_parse_deadline_ms(fields.get_single(_DEADLINE_HEADER)),
+        is_retry=fields.get_single(_RETRY_HEADER) == b"1",
+        has_idempotency_key=bool(fields.get_single(_IDEMPOTENCY_KEY_HEADER)),
+        owner=(fields.get_single(_OWNER_HEADER) or b"").decode("latin-1"),
     )
 
 
-def subject_of(request: http1.Request) -> int:
-    """The subject that `Req-Extra` names among a request's further figures; 0: none.
+def read_object_key(request: http1.Request) -> int:
+    """Return the key of the object that the request concerns, from `Req-Extra`; 0 if there is none.
 
-    Raises `MessageError` where it is no whole number below 2**64: what can't be told apart loses its order.
+    Raises `MessageError` if it is not an integer below 2**64, since requests for objects that can't be told
+    apart could not be kept in order.
     """
-    value = _pairs(request.fields.one(_EXTRA) or b"").get(_ITEM)
+    value = _parse_pairs(request.fields.get_single(_EXTRA_HEADER) or b"").get(_OBJECT_KEY_NAME)
     if value is None:
         return 0
-    if not _SUBJECT.fullmatch(value) or int(value) >= 1 << 64:
+    if not _OBJECT_KEY_PATTERN.fullmatch(value) or int(value) >= 1 << 64:
         raise http1.MessageError(400, "item in Req-Extra is no whole number below 2**64")
     return int(value)
 
 
-def _pairs(text: bytes) -> dict[str, str]:
-    """The parts of `name=value,name=value`; of a name that stands twice, the last."""
+def _parse_pairs(text: bytes) -> dict[str, str]:
+    """Parse `name=value,name=value`. If a name is repeated, its last value counts."""
     parts = (part.partition("=") for part in text.decode("latin-1").split(","))
     return {name.strip(): value.strip() for name, _, value in parts}
 
 
-def _wait_ms(value: bytes | None) -> float | None:
+def _parse_deadline_ms(value: bytes | None) -> float | None:
     if value is None:
         return None
-    seconds = float(value) if _SECONDS.fullmatch(value) else math.inf  # float() alone takes 1_0, nan and more
-    if seconds > _MAX_WAIT_S:
+    # float() alone would also accept 1_0, nan and other forms that the header does not allow.
+    seconds = float(value) if _SECONDS_PATTERN.fullmatch(value) else math.inf
+    if seconds > _MAX_DEADLINE_S:
         raise http1.MessageError(400, "Req-Deadline is no number of seconds")
     return seconds * 1000.0
 
 
-def request_to_endpoint(request: http1.Request, wait_ms: float) -> bytes:
-    """The request as it came, with the time that this hop waits; of one that passes through, the head."""
-    host, target = _place_and_path(request.target)
-    but = _REPLACED | {b"host"} if host else _REPLACED
-    lines = [*request.fields.passed_on(but), b"Req-Deadline: %.3f" % (max(wait_ms, 0.0) / 1000.0)]
-    if host:  # the next hop is no proxy: it gets the path, and the host that the target named
+def encode_endpoint_request(request: http1.Request, timeout_ms: float) -> bytes:
+    """Return the client's request with the timeout of this attempt as its deadline.
+
+    Without the complete body, return the head only; the body is sent on separately.
+    """
+    host, target = _split_target(request.target)
+    excluded = _REPLACED_HEADERS | {b"host"} if host else _REPLACED_HEADERS
+    lines = [
+        *request.fields.forwarded_lines(excluded),
+        b"Req-Deadline: %.3f" % (max(timeout_ms, 0.0) / 1000.0),
+    ]
+    if host:  # the endpoint is not a proxy, so it gets the path, and the host from the target as a header
         lines.append(b"Host: " + host)
         target = target if target.startswith(b"/") else b"/" + target
-    elif not request.fields.all(b"host"):  # HTTP/1.0 may leave it out, the next hop's 1.1 may not
+    elif not request.fields.get_all(b"host"):  # optional in HTTP/1.0, but required in the HTTP/1.1 sent here
         lines.append(b"Host:")
-    if request.whole:
-        return http1.request_bytes(request.method, target, lines, request.body)
-    framing = http1.CHUNKED if request.length is None else http1.length_line(request.length)
-    return http1.request_bytes(request.method, target, lines, framing=framing)
+    if request.is_complete:
+        return http1.encode_request(request.method, target, lines, request.body)
+    framing = (
+        http1.CHUNKED_LINE
+        if request.content_length is None
+        else http1.content_length_line(request.content_length)
+    )
+    return http1.encode_request(request.method, target, lines, framing=framing)
 
 
-def result_of(head: http1.Response | http1.ResponseHead) -> Result:
-    if head.status == 200:
+def classify_response(response: http1.Response | http1.ResponseHead) -> Result:
+    if response.status == 200:
         return Result.OK
-    if head.status in (503, 504) and b"1" in head.fields.all(_DECLINED):
+    if response.status in (503, 504) and b"1" in response.fields.get_all(_DECLINED_HEADER):
         return Result.REJECTED
     return Result.ERROR
 
 
-def load_report(text: bytes, names: tuple[str, ...]) -> tuple[float, ...]:
-    """The values of a report `name=value,...` in the settings' order; empty where one is missing."""
-    found: dict[str, float] = {}
-    for name, value in _pairs(text).items():
+def parse_load_report(text: bytes, names: tuple[str, ...]) -> tuple[float, ...]:
+    """Return the values of a report `name=value,...` in the order of `names`; empty if one is missing."""
+    values: dict[str, float] = {}
+    for name, value in _parse_pairs(text).items():
         try:
-            figure = float(value)
+            number = float(value)
         except ValueError:
             continue
-        if math.isfinite(figure):
-            found[name] = figure
-    return tuple(found[name] for name in names) if names and all(name in found for name in names) else ()
+        if math.isfinite(number):
+            values[name] = number
+    return tuple(values[name] for name in names) if names and all(name in values for name in names) else ()
 
 
-def load_of(fields: http1.Fields, names: tuple[str, ...]) -> tuple[float, ...]:
-    found = fields.all(_LOAD) if names else []
-    return load_report(found[0], names) if found else ()
+def read_load_report(fields: http1.Fields, names: tuple[str, ...]) -> tuple[float, ...]:
+    reports = fields.get_all(_LOAD_HEADER) if names else []
+    return parse_load_report(reports[0], names) if reports else ()
 
 
-def retry_after_line(wait_ms: float) -> bytes:
-    return b"Retry-After: %.3f" % (wait_ms / 1000.0)
+def retry_after_line(delay_ms: float) -> bytes:
+    return b"Retry-After: %.3f" % (delay_ms / 1000.0)
--- a/larkcrank/transport/budget.py
+++ b/larkcrank/transport/budget.py
@@ -1,37 +1,38 @@
-"""The bytes of messages that the process holds, and how much may be read in one step."""
+"""Limits how many bytes of message bodies the process buffers, by choosing the size of each read."""
 
-SHARE = 0.25  # of the memory; the interpreter, the sockets' own buffers and short messages take their part
-LARGE, SMALL = 64 * 1024, 8 * 1024
+# The rest of the memory is left for the interpreter, the kernel's socket buffers and short messages.
+MEMORY_SHARE = 0.25
+LARGE_READ_BYTES, SMALL_READ_BYTES = 64 * 1024, 8 * 1024
 
 
-class Budget:
-    """Counts what passes through and is held just now.
+class BufferBudget:
+    """Counts the bytes of message bodies that the process buffers at the moment.
 
-    Nothing ever waits for it, so nothing can wait in a ring: each flow may always take one more step. With
-    much held the steps are small, and what a flow holds is a step or two.
+    Nothing ever waits for the budget, so there can be no deadlock: each stream may always do one more read.
+    When the budget is used up the reads become small, and each stream buffers only one or two of them.
     """
 
-    def __init__(self, total: float) -> None:
-        self._total = total * SHARE
-        self._others = 0
-        self.held = 0
-        self.most = 0
+    def __init__(self, memory_bytes: float) -> None:
+        self._limit_bytes = memory_bytes * MEMORY_SHARE
+        self._other_processes = 0
+        self.held_bytes = 0
+        self.peak_held_bytes = 0
 
-    def hold(self, count: int) -> None:
-        self.held += count
-        self.most = max(self.most, self.held)
+    def reserve(self, byte_count: int) -> None:
+        self.held_bytes += byte_count
+        self.peak_held_bytes = max(self.peak_held_bytes, self.held_bytes)
 
-    def give_back(self, count: int) -> None:
-        self.held -= count
+    def release(self, byte_count: int) -> None:
+        self.held_bytes -= byte_count
 
-    def share_with(self, others: int) -> None:
-        """So many other processes of this sidecar live: the memory is one for all of them."""
-        self._others = others
+    def set_other_processes(self, count: int) -> None:
+        """Divide the limit among this process and `count` other live processes of the same sidecar."""
+        self._other_processes = count
 
     @property
-    def is_short(self) -> bool:
-        return self.held >= self._total / (1 + self._others)
+    def is_used_up(self) -> bool:
+        return self.held_bytes >= self._limit_bytes / (1 + self._other_processes)
 
     @property
-    def step(self) -> int:
-        return SMALL if self.is_short else LARGE
+    def read_size(self) -> int:
+        return SMALL_READ_BYTES if self.is_used_up else LARGE_READ_BYTES
--- a/larkcrank/transport/connection.py
+++ b/larkcrank/transport/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection with its place among the descriptors."""
+"""One TCP connection, whose file descriptor is counted by a `DescriptorBudget`."""
 
 import asyncio
 import errno
@@ -8,102 +8,106 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
-CHUNK = 64 * 1024
-_PEEK = int(
-    socket.MSG_PEEK | socket.MSG_DONTWAIT
-)  # joined here: as enum members they cost more than the call
-RDHUP = int(getattr(select, "POLLRDHUP", 0))  # the other side has closed, whatever is unread; Linux tells it
+READ_CHUNK_BYTES = 64 * 1024
+# The flags are combined once, because combining the enum members costs more than the system call.
+_PEEK_FLAGS = int(socket.MSG_PEEK | socket.MSG_DONTWAIT)
+# Linux only: poll() reports that the peer has closed even if unread bytes come before the end.
+POLLRDHUP = int(getattr(select, "POLLRDHUP", 0))
 
 
 class ConnectionLostError(Exception):
-    """The connection ended, `in_order` or broken."""
+    """The connection has ended. `is_clean_close` tells an orderly close by the peer from a failure."""
 
-    def __init__(self, reason: str, in_order: bool = False) -> None:
+    def __init__(self, reason: str, is_clean_close: bool = False) -> None:
         super().__init__(reason)
-        self.in_order = in_order
+        self.is_clean_close = is_clean_close
 
 
 class Connection:
-    """An IOStream with at most one read pending, which may stand while nobody waits for it.
+    """An IOStream with at most one pending read, which may stay pending while no caller awaits it.
 
-    IOStream notices that the other side has closed only while a read is pending, so an idle
-    connection keeps one: its result is the first bytes of what comes next.
+    IOStream notices that the peer has closed only while a read is pending. An idle connection therefore
+    keeps one pending; its result is the first bytes of the next message.
     """
 
-    def __init__(self, stream: IOStream, descriptors: Descriptors, use: Use) -> None:
+    def __init__(self, stream: IOStream, descriptors: DescriptorBudget, use: SocketUse) -> None:
         self.stream = stream
         self._use = use
         self._descriptors = descriptors
-        self._reading: asyncio.Future[bytes] | None = None
+        self._pending_read: asyncio.Future[bytes] | None = None
         self._closed = False
-        self.place: tuple[str, int] | None = None  # where it leads
+        self.host_port: tuple[str, int] | None = None  # the remote address of an outgoing connection
 
     @property
     def closed(self) -> bool:
         return self._closed or self.stream.closed()
 
-    def start_read(self, most: int = CHUNK) -> "asyncio.Future[bytes]":
-        if self._reading is None:
-            self.stream.read_chunk_size = most
+    def start_read(self, max_bytes: int = READ_CHUNK_BYTES) -> "asyncio.Future[bytes]":
+        """Return the pending read, starting one if there is none."""
+        if self._pending_read is None:
+            self.stream.read_chunk_size = max_bytes
             try:
-                self._reading = asyncio.ensure_future(self.stream.read_bytes(most, partial=True))
+                self._pending_read = asyncio.ensure_future(self.stream.read_bytes(max_bytes, partial=True))
             except StreamClosedError:
-                self._reading = asyncio.get_running_loop().create_future()
-                self._reading.set_exception(StreamClosedError())
-            self._reading.add_done_callback(_seen)
-        return self._reading
-
-    async def read(self, most: int = CHUNK) -> bytes:
-        """Some bytes. Raises `ConnectionLostError` at the end."""
-        pending = self.start_read(most)
+                self._pending_read = asyncio.get_running_loop().create_future()
+                self._pending_read.set_exception(StreamClosedError())
+            self._pending_read.add_done_callback(_retrieve_exception)
+        return self._pending_read
+
+    async def read(self, max_bytes: int = READ_CHUNK_BYTES) -> bytes:
+        """Return at least one byte. Raises `ConnectionLostError` at the end of the stream."""
+        pending = self.start_read(max_bytes)
         if pending.cancelled():
-            raise ConnectionLostError("a reader gave up before")
+            raise ConnectionLostError("an earlier read was cancelled")
         try:
             data = await pending
         except StreamClosedError as error:
-            self._reading = None
-            in_order = error.real_error is None and not self._closed
-            raise ConnectionLostError(str(error.real_error or "closed"), in_order) from None
-        # A reader that gives up leaves its dead read here: the stream can't begin another one. (A shield
-        # would spare it, for one more turn of the loop on every read.)
-        self._reading = None
+            self._pending_read = None
+            is_clean_close = error.real_error is None and not self._closed
+            raise ConnectionLostError(str(error.real_error or "closed"), is_clean_close) from None
+        # A cancelled caller leaves its cancelled read here, because the stream can't start another one.
+        # (asyncio.shield would avoid that, at the cost of one more loop iteration for every read.)
+        self._pending_read = None
         return data
 
     async def write(self, data: bytes) -> None:
-        """Return when the kernel has taken the last byte. Raises `ConnectionLostError` before that."""
+        """Return when the kernel has accepted all bytes. Raises `ConnectionLostError` if it can't."""
         try:
             await self.stream.write(data)
         except StreamClosedError as error:
             raise ConnectionLostError(str(error.real_error or "closed")) from None
 
-    def write_last(self, data: bytes) -> None:
-        """Hand over what the kernel takes at once, and close."""
+    def write_and_close(self, data: bytes) -> None:
+        """Write as much as the kernel accepts at once, drop the rest and close."""
         if not self.closed:
-            _seen_later(self.stream.write(data))
+            _retrieve_exception_when_done(self.stream.write(data))
         self.close()
 
-    def is_quiet(self) -> bool:
-        """Nothing has come that was not read, not even an end."""
-        if self.closed or (self._reading is not None and self._reading.done()):
+    def is_idle(self) -> bool:
+        """Return whether the connection is open and nothing is left to read, neither data nor its end."""
+        if self.closed or (self._pending_read is not None and self._pending_read.done()):
             return False
         try:
-            self.stream.socket.recv(1, _PEEK)
+            self.stream.socket.recv(1, _PEEK_FLAGS)
         except (BlockingIOError, InterruptedError):
             return True
         except OSError:
             pass
         return False
 
-    def has_ended(self) -> bool:
-        """The other side has ended it, whether or not that was read. Unread bytes may stand before the end:
-        these hide it from a read, but not from the kernel. (Where a system has no such call, they do hide it
-        until they are read.) One system call, two where bytes are unread."""
+    def has_peer_closed(self) -> bool:
+        """Return whether the peer has closed the connection, even if its end has not been read yet.
+
+        Unread bytes before the end hide it from a read, but not from poll() with POLLRDHUP. On a system
+        without POLLRDHUP the end stays hidden until they are read. Costs one system call, or two if there
+        are unread bytes.
+        """
         if self.closed:
             return True
         try:
-            if not self.stream.socket.recv(1, _PEEK):
+            if not self.stream.socket.recv(1, _PEEK_FLAGS):
                 return True
         except (BlockingIOError, InterruptedError):
             return False
@@ -111,82 +115,85 @@
             return True
         try:
             poll = select.poll()
-            poll.register(self.stream.socket, RDHUP)
+            poll.register(self.stream.socket, POLLRDHUP)
             return bool(poll.poll(0))
         except (AttributeError, OSError):
             return False
 
     def close(self) -> None:
-        """Close at once; the one place where the descriptor is given back."""
+        """Close at once. The descriptor is released nowhere else."""
         if self._closed:
             return
         self._closed = True
         self.stream.close()
-        self._descriptors.give_back(self._use)
+        self._descriptors.release(self._use)
 
-    def break_off(self) -> None:
-        """Close so that the other side can't take what it has for the whole."""
+    def abort(self) -> None:
+        """Close with a TCP reset, so that the peer can't take a partial message for a complete one."""
         if not self.closed:
             linger = struct.pack("ii", 1, 0)
             self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
         self.close()
 
-    def stop_sending(self) -> None:
-        """Tell the other side that nothing more comes."""
+    def shutdown_write(self) -> None:
+        """Close the sending direction only."""
         try:
             self.stream.socket.shutdown(socket.SHUT_WR)
         except (OSError, AttributeError):
-            return  # it has closed meanwhile
+            return  # the connection has been closed in the meantime
 
 
-def _seen(future: "asyncio.Future[bytes]") -> None:
-    """A read that nobody waits for may end in an error; that is no defect."""
+def _retrieve_exception(future: "asyncio.Future[bytes]") -> None:
+    """Mark the exception of a read that nobody awaits as retrieved, so that asyncio does not log it."""
     if not future.cancelled():
         future.exception()
 
 
-def _seen_later(future: "asyncio.Future[None]") -> None:
+def _retrieve_exception_when_done(future: "asyncio.Future[None]") -> None:
     future.add_done_callback(lambda done: done.cancelled() or done.exception())
 
 
-def wrap(sock: socket.socket, descriptors: Descriptors, use: Use) -> Connection:
-    """A connection on a connected socket whose place was taken already."""
+def wrap_socket(sock: socket.socket, descriptors: DescriptorBudget, use: SocketUse) -> Connection:
+    """Return a connection on a socket whose descriptor the caller has already acquired."""
     sock.setblocking(False)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    return Connection(IOStream(sock, read_chunk_size=CHUNK), descriptors, use)
+    return Connection(IOStream(sock, read_chunk_size=READ_CHUNK_BYTES), descriptors, use)
+
 
+class NoDescriptorError(Exception):
+    """No file descriptor is available for another socket."""
 
-class NoRoomError(Exception):
-    """All descriptors are in use."""
 
+class PendingConnection:
+    """An outgoing connection that is being established.
 
-class Connecting:
-    """A connection on its way up. `close` gives it up; whoever waits gets `ConnectionLostError`."""
+    If the connection is closed before that, `wait` raises `ConnectionLostError`.
+    """
 
-    def __init__(self, place: tuple[str, int], descriptors: Descriptors, use: Use) -> None:
-        if not descriptors.take(use):
-            raise NoRoomError
+    def __init__(self, host_port: tuple[str, int], descriptors: DescriptorBudget, use: SocketUse) -> None:
+        if not descriptors.acquire(use):
+            raise NoDescriptorError
         try:
             sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         except OSError as error:
-            descriptors.give_back(use)
+            descriptors.release(use)
             if error.errno in (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM):
-                raise NoRoomError from None
+                raise NoDescriptorError from None
             raise ConnectionLostError(str(error)) from None
-        self.connection = wrap(sock, descriptors, use)
-        self.connection.place = place
-        self._place = place
+        self.connection = wrap_socket(sock, descriptors, use)
+        self.connection.host_port = host_port
+        self._host_port = host_port
 
     async def wait(self, timeout_ms: float) -> Connection:
         connection = self.connection
         loop = asyncio.get_running_loop()
         timer = loop.call_later(timeout_ms / 1000.0, connection.close)
         try:
-            await connection.stream.connect(self._place)
+            await connection.stream.connect(self._host_port)
         except (StreamClosedError, OSError) as error:
             connection.close()
-            real = error.real_error if isinstance(error, StreamClosedError) else error
-            raise ConnectionLostError(str(real or "not connected")) from None
+            cause = error.real_error if isinstance(error, StreamClosedError) else error
+            raise ConnectionLostError(str(cause or "not connected")) from None
         finally:
             timer.cancel()
         return connection
--- a/larkcrank/transport/descriptors.py
+++ b/larkcrank/transport/descriptors.py
@@ -1,119 +1,148 @@
-"""The count of descriptors: sockets are opened only where there is room for one."""
+"""Limits the number of open sockets, so that the process does not run out of file descriptors."""
 
 from collections.abc import Callable
 from enum import Enum
 
-RESERVE = 32  # for standard streams, the loop's own, and a margin ...
-RESERVE_SHARE = 0.4  # ... but not more than this of few: about a dozen are really in use
-OPERATORS = 12  # places that nothing else can fill, so that a crowd keeps no operator out ...
-OPERATORS_SHARE = 0.1  # ... or this share of few
-KEPT_DISCOVERY = (2, 4)  # a watch, and the whole list beside it; or one in so many places, of few
-KEPT_ATTEMPTS = (3, 5)
-
-
-class Use(Enum):
-    """What a socket is for, with the share of all places that this may fill: no use may starve another."""
+# Descriptors for the standard streams, the event loop and a safety margin. About a dozen are really in use,
+# so with a small descriptor limit only a share of it is set aside.
+RESERVED_DESCRIPTORS = 32
+MAX_RESERVED_SHARE = 0.4
+# Descriptors that only operators can use, so that a flood of clients does not lock operators out. With a
+# small descriptor limit they are at most a share of it.
+OPERATOR_DESCRIPTORS = 12
+MAX_OPERATOR_SHARE = 0.1
+# Descriptors guaranteed to one use, as (count, divisor): with a small descriptor limit the guarantee is one
+# in `divisor` of the available descriptors. Discovery needs one for its watch and one for a full list.
+DISCOVERY_GUARANTEE = (2, 4)
+ATTEMPT_GUARANTEE = (3, 5)
+
+
+class SocketUse(Enum):
+    """What a socket is for. The value is the largest share of the available descriptors that this use may
+    take, so that no use starves another.
+    """
 
     CLIENT = 0.85
     ATTEMPT = 0.5
     DISCOVERY = 1.0
-    OPERATOR = 0.0  # has places of its own
+    OPERATOR = 0.0  # has its own descriptors
 
 
-class Descriptors:
-    """Counts sockets. Each is taken here before it is opened and given back once, when it is closed.
+class DescriptorBudget:
+    """Counts open sockets. Each is acquired here before it is opened and released once, when it is closed.
 
-    Discovery, connections to endpoints and operators have places kept back that nothing else can fill.
+    Some descriptors are set aside for discovery, for connections to endpoints and for operators, and can't be
+    taken by any other use.
     """
 
-    def __init__(self, limit: int, operators: bool = False) -> None:
-        self._operators = min(OPERATORS, int(limit * OPERATORS_SHARE)) if operators else 0
-        self._limit = limit
-        self._room = 0
-        self._kept: dict[Use, int] = {}
-        self.share_with(0)
-        self._used = dict.fromkeys(Use, 0)
-        self._spares: dict[Use, tuple[Callable[[], bool], Callable[[], float]]] = {}
-        self._waiting: set[Callable[[], None]] = set()
-
-    def share_with(self, others: int) -> None:
-        """So many other processes of this sidecar live: its limit is one for all of them.
-
-        Who holds more than its part then gives up idle connections as it needs places, and takes no more
-        than the places that are kept back.
+    def __init__(self, descriptor_limit: int, has_operators: bool = False) -> None:
+        self._operator_limit = (
+            min(OPERATOR_DESCRIPTORS, int(descriptor_limit * MAX_OPERATOR_SHARE)) if has_operators else 0
+        )
+        self._descriptor_limit = descriptor_limit
+        self._available = 0  # for all uses but operators
+        self._guaranteed: dict[SocketUse, int] = {}
+        self.set_other_processes(0)
+        self._used = dict.fromkeys(SocketUse, 0)
+        self._evictors: dict[SocketUse, tuple[Callable[[], bool], Callable[[], float]]] = {}
+        self._release_callbacks: set[Callable[[], None]] = set()
+
+    def set_other_processes(self, count: int) -> None:
+        """Divide the limit among this process and `count` other live processes of the same sidecar.
+
+        A process that uses more than its part then closes idle connections when it needs descriptors, and
+        acquires no new ones beyond the guaranteed ones.
         """
-        limit = self._limit // (1 + others)
-        self._room = limit - min(RESERVE, int(limit * RESERVE_SHARE)) - self._operators
-        for use, (most, one_in) in ((Use.DISCOVERY, KEPT_DISCOVERY), (Use.ATTEMPT, KEPT_ATTEMPTS)):
-            self._kept[use] = max(min(most, self._room // one_in), 1)
+        descriptor_limit = self._descriptor_limit // (1 + count)
+        self._available = (
+            descriptor_limit
+            - min(RESERVED_DESCRIPTORS, int(descriptor_limit * MAX_RESERVED_SHARE))
+            - self._operator_limit
+        )
+        for use, (max_count, divisor) in (
+            (SocketUse.DISCOVERY, DISCOVERY_GUARANTEE),
+            (SocketUse.ATTEMPT, ATTEMPT_GUARANTEE),
+        ):
+            self._guaranteed[use] = max(min(max_count, self._available // divisor), 1)
 
     @property
     def used(self) -> int:
-        """Places taken, but for the operators' own."""
-        return sum(self._used.values()) - self._used[Use.OPERATOR]
+        """The number of acquired descriptors, without those of operators."""
+        return sum(self._used.values()) - self._used[SocketUse.OPERATOR]
 
-    def _most(self, use: Use) -> int:
-        if use is Use.OPERATOR:
-            return self._operators
-        most = int(self._room * use.value)
-        if use is Use.CLIENT:
-            most = min(most, self._room - sum(self._kept.values()))
-        return max(most, 1)
+    def _limit_of(self, use: SocketUse) -> int:
+        if use is SocketUse.OPERATOR:
+            return self._operator_limit
+        limit = int(self._available * use.value)
+        if use is SocketUse.CLIENT:
+            limit = min(limit, self._available - sum(self._guaranteed.values()))
+        return max(limit, 1)
 
-    def share(self, use: Use) -> float:
-        """How much of what this use may fill is filled."""
-        return self._used[use] / max(self._most(use), 1)
+    def used_share(self, use: SocketUse) -> float:
+        """Return which share of its own limit this use has acquired."""
+        return self._used[use] / max(self._limit_of(use), 1)
 
     @property
-    def wanted(self) -> bool:
-        """Somebody waits for a place: connections that can be spared should end."""
-        return bool(self._waiting)
-
-    def add_spare(
-        self, use: Use, close_one: Callable[[], bool], since: Callable[[], float] = lambda: 0.0
+    def has_waiters(self) -> bool:
+        """Whether someone waits for a descriptor, so that dispensable connections should be closed."""
+        return bool(self._release_callbacks)
+
+    def register_evictor(
+        self,
+        use: SocketUse,
+        close_idle: Callable[[], bool],
+        longest_idle_since: Callable[[], float] = lambda: 0.0,
     ) -> None:
-        """Register a way to give up one idle connection; it says whether there was one.
+        """Register a function that closes one idle connection and returns whether there was one.
 
-        `since` tells how long the longest idle one has been so: a time on the loop's clock (s), infinite
-        where there is none. Between uses the longest goes first.
+        `longest_idle_since` returns the time at which the longest idle connection became idle, on the event
+        loop's clock (s), or infinity if none is idle. Across uses, the longest idle is closed first.
         """
-        self._spares[use] = close_one, since
+        self._evictors[use] = close_idle, longest_idle_since
 
-    def has_room(self, use: Use) -> bool:
-        """Whether there is a place without closing anything."""
-        if self._used[use] >= self._most(use):
+    def has_free(self, use: SocketUse) -> bool:
+        """Return whether a descriptor can be acquired without closing a connection."""
+        if self._used[use] >= self._limit_of(use):
             return False
-        kept = sum(max(most - self._used[other], 0) for other, most in self._kept.items() if other is not use)
-        return use is Use.OPERATOR or self.used + kept < self._room
-
-    def take(self, use: Use) -> bool:
-        """A place for one more socket, made by closing idle ones if need be."""
-        while self._used[use] >= self._most(use):
-            if use not in self._spares or not self._spares[use][0]():
+        kept_for_others = sum(
+            max(guaranteed - self._used[other], 0)
+            for other, guaranteed in self._guaranteed.items()
+            if other is not use
+        )
+        return use is SocketUse.OPERATOR or self.used + kept_for_others < self._available
+
+    def acquire(self, use: SocketUse) -> bool:
+        """Acquire a descriptor for one socket, closing idle connections if necessary."""
+        while self._used[use] >= self._limit_of(use):
+            if use not in self._evictors or not self._evictors[use][0]():
                 return False
-        while not self.has_room(use):
-            if not self._close_longest(use):
-                if self._used[use] < self._kept.get(use, 0):
-                    break  # more than the sum only while another process has begun to share it
+        while not self.has_free(use):
+            if not self._close_longest_idle(use):
+                if self._used[use] < self._guaranteed.get(use, 0):
+                    break  # exceeds the total only while another process has begun to share the limit
                 return False
         self._used[use] += 1
         return True
 
-    def _close_longest(self, use: Use) -> bool:
-        """Close what has been idle longest, whoever it is for; those within a part kept back free none."""
-        spares = [
-            spare
-            for other, spare in self._spares.items()
-            if other is use or (other is not Use.OPERATOR and self._used[other] > self._kept.get(other, 0))
+    def _close_longest_idle(self, use: SocketUse) -> bool:
+        """Close the connection that has been idle longest, whatever its use.
+
+        Another use that has no more than its guaranteed descriptors is left alone.
+        """
+        evictors = [
+            evictor
+            for other, evictor in self._evictors.items()
+            if other is use
+            or (other is not SocketUse.OPERATOR and self._used[other] > self._guaranteed.get(other, 0))
         ]
-        return any(close_one() for close_one, _ in sorted(spares, key=lambda spare: spare[1]()))
+        return any(close_idle() for close_idle, _ in sorted(evictors, key=lambda evictor: evictor[1]()))
 
-    def give_back(self, use: Use) -> None:
+    def release(self, use: SocketUse) -> None:
         self._used[use] -= 1
-        waiting, self._waiting = self._waiting, set()
-        for wake in waiting:
-            wake()
+        callbacks, self._release_callbacks = self._release_callbacks, set()
+        for callback in callbacks:
+            callback()
 
-    def when_free(self, wake: Callable[[], None]) -> None:
-        """Call `wake` once, when the next place is given back."""
-        self._waiting.add(wake)
+    def on_next_release(self, callback: Callable[[], None]) -> None:
+        """Call `callback` once, when the next descriptor is released."""
+        self._release_callbacks.add(callback)
--- a/larkcrank/transport/listener.py
+++ b/larkcrank/transport/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket: everything that the kernel has accepted is taken, always."""
+"""A listening socket. Every connection that the kernel has accepted is accepted from it in the end."""
 
 import asyncio
 import math
@@ -6,117 +6,118 @@
 import socket
 from collections.abc import Callable
 
-from larkcrank.transport.connection import Connection, wrap
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.connection import Connection, wrap_socket
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
-BACKLOG = 4096  # a connection waiting here may hold a request that counts as taken
+LISTEN_BACKLOG = 4096  # a connection in the backlog may already hold a request that counts as accepted
 
 
-REST_S = 0.05
-MOST_A_TURN = 64  # connections accepted in one turn of the loop: others wait for their turn too
+ACCEPT_RETRY_S = 0.05
+MAX_ACCEPTS_PER_TURN = 64  # per turn of the event loop, so that other callbacks get to run
 
 
 class PassedSocketError(Exception):
-    """The descriptor is no listening TCP socket; the message says what it is."""
+    """The passed descriptor is not a listening TCP socket. The message tells what is wrong."""
 
 
-def adopt(descriptor: int) -> socket.socket:
-    """The listening socket that the platform holds. Bound and listening already, it stays as it is."""
+def adopt_socket(descriptor: int) -> socket.socket:
+    """Return the listening socket that the platform passed. It is already bound and listening."""
     try:
         sock = socket.socket(fileno=descriptor)
     except OSError as error:
         raise PassedSocketError(f"PROXY_PASSED_SOCKET: descriptor {descriptor}: {error.strerror}") from None
-    tcp = sock.family == socket.AF_INET and sock.type == socket.SOCK_STREAM
-    if not tcp or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-        sock.detach()  # it is not ours to close
+    is_tcp = sock.family == socket.AF_INET and sock.type == socket.SOCK_STREAM
+    if not is_tcp or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
+        sock.detach()  # this process does not own the descriptor and must not close it
         raise PassedSocketError(f"PROXY_PASSED_SOCKET: descriptor {descriptor} is no listening TCP socket")
     return sock
 
 
 class Listener:
-    """Accepts until it is closed; with no descriptor left it waits until one is given back."""
+    """Accepts connections until it is closed. Without a free descriptor it waits until one is released."""
 
     def __init__(
         self,
-        place: tuple[str, int],
-        descriptors: Descriptors,
-        accepted: Callable[[Connection], None],
-        use: Use = Use.CLIENT,
-        passed: socket.socket | None = None,
+        host_port: tuple[str, int],
+        descriptors: DescriptorBudget,
+        on_accept: Callable[[Connection], None],
+        use: SocketUse = SocketUse.CLIENT,
+        passed_socket: socket.socket | None = None,
     ) -> None:
         self._descriptors = descriptors
-        self._accepted = accepted
+        self._on_accept = on_accept
         self._use = use
         self._loop = asyncio.get_running_loop()
-        self.is_passed = passed is not None  # others hold it too: what waits there is theirs as well
-        self._socket = passed or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+        # Other processes hold a passed socket too, and may accept the connections in its backlog.
+        self.uses_passed_socket = passed_socket is not None
+        self._socket = passed_socket or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setblocking(False)
-        if not self.is_passed:
+        if not self.uses_passed_socket:
             self._socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-            self._socket.bind(place)
+            self._socket.bind(host_port)
         host, port = self._socket.getsockname()[:2]
-        self.place = (str(host), int(port))
+        self.host_port = (str(host), int(port))
         self._closed = False
 
     def start(self) -> None:
-        if not self.is_passed:
-            self._socket.listen(BACKLOG)
-        self._watch()
+        if not self.uses_passed_socket:
+            self._socket.listen(LISTEN_BACKLOG)
+        self._resume_accepting()
 
-    def _watch(self) -> None:
+    def _resume_accepting(self) -> None:
         if not self._closed:
-            self._loop.add_reader(self._socket.fileno(), self._accept)
-
-    def _accept(self, most: float = MOST_A_TURN) -> bool:
-        """Take what waits, so many at most; False where places ran out before."""
-        taken = 0
-        while taken < most:
-            taken += 1
-            if not self._descriptors.has_room(self._use) and not self._someone_waits():
-                return True  # nothing is closed to make way for nobody
-            if not self._descriptors.take(self._use):
-                self._descriptors.when_free(self._watch)
-                self._rest()
+            self._loop.add_reader(self._socket.fileno(), self._accept_pending)
+
+    def _accept_pending(self, max_connections: float = MAX_ACCEPTS_PER_TURN) -> bool:
+        """Accept up to `max_connections` waiting connections. Returns False if descriptors ran out first."""
+        accepted = 0
+        while accepted < max_connections:
+            accepted += 1
+            if not self._descriptors.has_free(self._use) and not self._has_waiting_connection():
+                return True  # acquiring a descriptor now would close an idle connection needlessly
+            if not self._descriptors.acquire(self._use):
+                self._descriptors.on_next_release(self._resume_accepting)
+                self._pause_accepting()
                 return False
             try:
                 sock, _ = self._socket.accept()
             except (BlockingIOError, InterruptedError):
-                self._descriptors.give_back(self._use)
+                self._descriptors.release(self._use)
                 return True
-            except ConnectionError:  # it went away while it waited
-                self._descriptors.give_back(self._use)
+            except ConnectionError:  # the client closed the connection while it was in the backlog
+                self._descriptors.release(self._use)
                 continue
-            except OSError:  # no descriptor after all: the count is not the whole truth
-                self._descriptors.give_back(self._use)
-                self._rest()
+            except OSError:  # the system has no descriptor left, although the count allows one
+                self._descriptors.release(self._use)
+                self._pause_accepting()
                 return False
             try:
-                connection = wrap(sock, self._descriptors, self._use)
-            except OSError:  # it went away just now
+                connection = wrap_socket(sock, self._descriptors, self._use)
+            except OSError:  # the client has just closed the connection
                 sock.close()
-                self._descriptors.give_back(self._use)
+                self._descriptors.release(self._use)
                 continue
-            self._accepted(connection)
+            self._on_accept(connection)
         return True
 
-    def _someone_waits(self) -> bool:
+    def _has_waiting_connection(self) -> bool:
         poll = select.poll()
         poll.register(self._socket, select.POLLIN)
         return bool(poll.poll(0))
 
-    def _rest(self) -> None:
-        """A listening socket that can't be served would wake the loop without end."""
+    def _pause_accepting(self) -> None:
+        """Stop watching the socket for a while, since one that can't be served keeps waking the loop."""
         self._loop.remove_reader(self._socket.fileno())
-        self._loop.call_later(REST_S, self._watch)
+        self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
 
-    def finish(self) -> bool:
-        """Take what still waits, then accept nothing more; False where there was no place for all of it.
+    def accept_remaining_and_close(self) -> bool:
+        """Accept the whole backlog, then close. Returns False, still open, if descriptors ran out first.
 
-        What waits at a passed socket is left to who holds it too.
+        The backlog of a passed socket is left to the other processes that hold it.
         """
         if self._closed:
             return True
-        if not self.is_passed and not self._accept(most=math.inf):
+        if not self.uses_passed_socket and not self._accept_pending(max_connections=math.inf):
             return False
         self.close()
         return True
--- a/larkcrank/transport/pool.py
+++ b/larkcrank/transport/pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to endpoints, kept for the next request."""
+"""Idle connections to endpoints, kept for reuse by the next request."""
 
 import asyncio
 import math
@@ -6,19 +6,22 @@
 
 from larkcrank.core.interface import Address
 from larkcrank.transport.connection import Connection
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
-IDLE_SHARE = 0.5  # of the time after which the endpoint closes: a request must not cross that
+# The share of the endpoint's keepalive time for which a connection is kept here. The margin keeps the
+# endpoint from closing a connection just as a request is sent on it.
+MAX_IDLE_SHARE = 0.5
 
 
-class Pool:
-    """Owns connections while they are idle; whoever takes one owns it until it is put back or closed."""
+class ConnectionPool:
+    """Owns idle connections. A caller that takes one owns it until it puts it back or closes it."""
 
-    def __init__(self, descriptors: Descriptors, keepalive_ms: float) -> None:
+    def __init__(self, descriptors: DescriptorBudget, keepalive_ms: float) -> None:
         self._loop = asyncio.get_running_loop()
+        # In the order in which the connections became idle.
         self._idle: OrderedDict[Connection, tuple[Address, asyncio.TimerHandle]] = OrderedDict()
-        self._keep_s = keepalive_ms * IDLE_SHARE / 1000.0
-        descriptors.add_spare(Use.ATTEMPT, self._close_oldest, self._oldest)
+        self._max_idle_s = keepalive_ms * MAX_IDLE_SHARE / 1000.0
+        descriptors.register_evictor(SocketUse.ATTEMPT, self._close_longest_idle, self._longest_idle_since)
 
     def __len__(self) -> int:
         return len(self._idle)
@@ -27,44 +30,48 @@
         if connection.closed:
             connection.close()
             return
-        timer = self._loop.call_later(self._keep_s, self._drop, connection)
+        timer = self._loop.call_later(self._max_idle_s, self._remove_and_close, connection)
         self._idle[connection] = (address, timer)
-        # A pending read sees the endpoint's end; bytes that nobody asked for end it as well.
-        connection.start_read().add_done_callback(lambda _: self._drop(connection))
+        # The pending read completes if the endpoint closes the connection or sends bytes unasked. In both
+        # cases the connection can't be reused.
+        connection.start_read().add_done_callback(lambda _: self._remove_and_close(connection))
 
-    def take(self, address: Address, place: tuple[str, int]) -> Connection | None:
-        """The connection used last: the others may then grow old and close."""
+    def take(self, address: Address, host_port: tuple[str, int]) -> Connection | None:
+        """Return the most recently used connection, so that the others can reach their idle time limit."""
         for connection in reversed(self._idle):
             if self._idle[connection][0] == address:
                 self._idle.pop(connection)[1].cancel()
-                if connection.is_quiet() and connection.place == place:
+                if connection.is_idle() and connection.host_port == host_port:
                     return connection
                 connection.close()
-                return self.take(address, place)
+                return self.take(address, host_port)
         return None
 
-    def close_to(self, address: Address) -> None:
-        for connection in [key for key, (to, _) in self._idle.items() if to == address]:
-            self._drop(connection)
+    def close_address(self, address: Address) -> None:
+        """Close all idle connections to one endpoint."""
+        for connection in [
+            key for key, (pooled_address, _) in self._idle.items() if pooled_address == address
+        ]:
+            self._remove_and_close(connection)
 
     def close(self) -> None:
         for connection in list(self._idle):
-            self._drop(connection)
+            self._remove_and_close(connection)
 
-    def _drop(self, connection: Connection) -> None:
-        found = self._idle.pop(connection, None)
-        if found is not None:
-            found[1].cancel()
+    def _remove_and_close(self, connection: Connection) -> None:
+        entry = self._idle.pop(connection, None)
+        if entry is not None:
+            entry[1].cancel()
             connection.close()
 
-    def _oldest(self) -> float:
-        """Since when the one that has been idle longest is so."""
+    def _longest_idle_since(self) -> float:
+        """Return the loop time at which the longest idle connection became idle, or infinity."""
         for _, timer in self._idle.values():
-            return timer.when() - self._keep_s
+            return timer.when() - self._max_idle_s
         return math.inf
 
-    def _close_oldest(self) -> bool:
+    def _close_longest_idle(self) -> bool:
         if not self._idle:
             return False
-        self._drop(next(iter(self._idle)))
+        self._remove_and_close(next(iter(self._idle)))
         return True
--- a/tests/bed.py
+++ b/tests/bed.py
@@ -62,13 +62,13 @@
             return None
         parser.feed(data)
     body = bytearray(request.body)
-    while parser.passing:
+    while parser.is_streaming:
         data = await reader.read(65536)
         if not data:
             return None
         parser.feed(data)
-        body += parser.part()
-    return replace(request, body=bytes(body), whole=True)
+        body += parser.take_part()
+    return replace(request, body=bytes(body), is_complete=True)
 
 
 Serve: TypeAlias = Callable[["Endpoint", http1.Request, Writer], Awaitable[None]]
@@ -76,16 +76,16 @@
 
 async def say_ok(endpoint: "Endpoint", request: http1.Request, writer: Writer) -> None:
     writer.write(
-        http1.response_bytes(200, (b"X-From: " + endpoint.name.encode(),), b"made by " + request.target)
+        http1.encode_response(200, (b"X-From: " + endpoint.name.encode(),), b"made by " + request.target)
     )
 
 
 async def say_declined(endpoint: "Endpoint", request: http1.Request, writer: Writer) -> None:
-    writer.write(http1.response_bytes(503, (b"Srv-Declined: 1",), b""))
+    writer.write(http1.encode_response(503, (b"Srv-Declined: 1",), b""))
 
 
 async def say_error(endpoint: "Endpoint", request: http1.Request, writer: Writer) -> None:
-    writer.write(http1.response_bytes(500, (), b""))
+    writer.write(http1.encode_response(500, (), b""))
 
 
 async def hang_up(endpoint: "Endpoint", request: http1.Request, writer: Writer) -> None:
@@ -197,7 +197,7 @@
                 body = self.text(self._changes, reset=False)
             else:
                 body = self.text(self.endpoints, reset=True)
-            writer.write(http1.response_bytes(200, (), body))
+            writer.write(http1.encode_response(200, (), body))
         writer.close()
 
 
@@ -222,9 +222,9 @@
             f"Req-Deadline: {wait_s}".encode(),
             *lines,
         )
-        self.writer.write(http1.request_bytes(method.encode(), f"/{kind}/1".encode(), head, body))
+        self.writer.write(http1.encode_request(method.encode(), f"/{kind}/1".encode(), head, body))
 
-    async def answer(self, max_body: int = http1.MAX_BODY) -> http1.Response:
+    async def answer(self, max_body: int = http1.MAX_BODY_BYTES) -> http1.Response:
         """The next answer. Raises ConnectionError where the connection ends before it is whole."""
         parser = http1.ResponseParser(max_body)
         while not parser.complete:
--- a/tests/gone_play.py
+++ b/tests/gone_play.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from larkcrank.core import interface as api
-from larkcrank.transport.connection import Connecting, Connection
+from larkcrank.transport.connection import Connection, PendingConnection
 from tests import bed as b
 
 COUNT = 300
@@ -185,9 +185,9 @@
     processes[0].start()
     server = b.Endpoint("s-1")
     server.port = await loop.run_in_executor(None, ends.recv)
-    come_up, dial, rng = asyncio.Event(), Connecting.wait, random.Random(seed + 1)
+    come_up, dial, rng = asyncio.Event(), PendingConnection.wait, random.Random(seed + 1)
 
-    async def late(connecting: Connecting, timeout_ms: float) -> Connection:
+    async def late(connecting: PendingConnection, timeout_ms: float) -> Connection:
         connection = await dial(connecting, 10_000.0)
         await come_up.wait()
         await asyncio.sleep(rng.random() * SEND_S)
@@ -196,7 +196,7 @@
     async with b.bed(server, sockets=8 * COUNT, grades=IN_TURN, memory_mb=2048.0, discovery_up=False) as bed:
         sidecar = bed.sidecar
         if wait.startswith("connection"):
-            Connecting.wait = late  # type: ignore
+            PendingConnection.wait = late  # type: ignore
         turns = Turns(bed, wait) if wait != "turn" else None
         place = sidecar.place[1]
         processes.append(context.Process(target=be_clients, args=(others, place, wait, seed)))
@@ -223,7 +223,7 @@
         left, served = await ended
         ends.send("end")
         begun = await loop.run_in_executor(None, ends.recv)
-        Connecting.wait = dial  # type: ignore[method-assign]
+        PendingConnection.wait = dial  # type: ignore[method-assign]
         counters = sidecar.counters
     for process in processes:
         process.join()
--- a/tests/test_full_house.py
+++ b/tests/test_full_house.py
@@ -18,8 +18,8 @@
 from larkcrank.core import interface as api
 from larkcrank.program.log import Log
 from larkcrank.program.sidecar import Sidecar
-from larkcrank.transport.connection import Connecting, Connection
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.connection import Connection, PendingConnection
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from larkcrank.transport.listener import Listener
 from tests import bed as b
 from tests import crossing as x
@@ -106,14 +106,14 @@
             away.close()
 
 
-def places(sidecar: Sidecar, use: Use) -> int:
+def places(sidecar: Sidecar, use: SocketUse) -> int:
     return sidecar.descriptors._used[use]
 
 
 async def full(sidecar: Sidecar) -> None:
     """Clients have all that they may have, and others wait at the door."""
     descriptors = sidecar.descriptors
-    await b.until(lambda: descriptors.wanted and descriptors.share(Use.CLIENT) >= 1.0)
+    await b.until(lambda: descriptors.has_waiters and descriptors.used_share(SocketUse.CLIENT) >= 1.0)
 
 
 async def told(bed: b.Bed, sidecar: Sidecar, new: b.Endpoint) -> None:
@@ -146,7 +146,7 @@
             assert (await first.answer()).status == 200  # by a new connection to the endpoint
             await returns(bed, away, old, new)
             await told(bed, sidecar, new)
-            assert places(sidecar, Use.DISCOVERY) == 1
+            assert places(sidecar, SocketUse.DISCOVERY) == 1
             assert await bed.operator(b"PING\n") == b"200 ready\n"
             assert crowd.ended() == [] and sidecar.counters.crashed == 0
 
@@ -172,7 +172,7 @@
             await b.until(lambda: sum(one.opened for one in old) == 3)
             await crowd.come("half")
             await full(sidecar)
-            assert not sidecar.descriptors.has_room(Use.ATTEMPT)
+            assert not sidecar.descriptors.has_free(SocketUse.ATTEMPT)
             assert await bed.operator(b"PING\n") == b"200 ready\n"
             await returns(bed, away, *old, new)
             sidecar._discovery.watch()  # as the decisions do, whose place the test's have taken
@@ -196,7 +196,7 @@
         await new.start()
         async with house(old, sockets=sockets) as (bed, away, crowd):
             sidecar = bed.sidecar
-            most = sidecar.descriptors._most(Use.CLIENT)
+            most = sidecar.descriptors._limit_of(SocketUse.CLIENT)
             for _ in range(most):
                 await crowd.come("asks", 1)
                 assert (await crowd.clients[-1].answer()).status == 200
@@ -263,7 +263,9 @@
             await full(first)
             second = await another(bed, passed)
             await b.until(lambda: first._others == [0, 1])
-            assert first.descriptors.used > first.descriptors._room  # more than its part, none of it idle
+            assert (
+                first.descriptors.used > first.descriptors._available
+            )  # more than its part, none of it idle
             await full(second)
             assert await Bedside(second).operator(b"PING\n") == b"200 ready\n"
             held.writer.write(REST)
@@ -326,64 +328,67 @@
     st.integers(32, 300),
     st.integers(0, 3),
     st.booleans(),
-    st.lists(st.sampled_from([Use.CLIENT, Use.ATTEMPT]), max_size=300),
+    st.lists(st.sampled_from([SocketUse.CLIENT, SocketUse.ATTEMPT]), max_size=300),
 )
 def test_whoever_fills_the_places_discovery_an_endpoint_and_an_operator_have_theirs(
-    limit: int, others: int, operators: bool, takers: list[Use]
+    limit: int, others: int, operators: bool, takers: list[SocketUse]
 ) -> None:
-    count = Descriptors(limit, operators)
-    for use in takers + [Use.CLIENT] * limit:
-        count.take(use)
-    attempts = count._used[Use.ATTEMPT]
+    count = DescriptorBudget(limit, operators)
+    for use in takers + [SocketUse.CLIENT] * limit:
+        count.acquire(use)
+    attempts = count._used[SocketUse.ATTEMPT]
     assert count.used <= limit * (1 - 0.4) + 1 or count.used <= limit - 32
-    count.share_with(others)
-    kept = max(count._kept[Use.ATTEMPT], 1)
-    assert attempts >= kept or all(count.take(Use.ATTEMPT) for _ in range(kept - attempts))
-    assert all(count.take(Use.DISCOVERY) for _ in range(count._kept[Use.DISCOVERY]))
-    assert count.take(Use.OPERATOR) or not operators
+    count.set_other_processes(others)
+    kept = max(count._guaranteed[SocketUse.ATTEMPT], 1)
+    assert attempts >= kept or all(count.acquire(SocketUse.ATTEMPT) for _ in range(kept - attempts))
+    assert all(count.acquire(SocketUse.DISCOVERY) for _ in range(count._guaranteed[SocketUse.DISCOVERY]))
+    assert count.acquire(SocketUse.OPERATOR) or not operators
     if others == 0:
-        assert count.used <= count._room
+        assert count.used <= count._available
 
 
 def test_between_uses_what_has_idled_longest_goes_first() -> None:
-    count = Descriptors(32)
+    count = DescriptorBudget(32)
     ended: list[str] = []
-    idle = {Use.CLIENT: [(5.0, "client 5"), (9.0, "client 9")], Use.ATTEMPT: [(3.0, "s 3"), (7.0, "s 7")]}
+    idle = {
+        SocketUse.CLIENT: [(5.0, "client 5"), (9.0, "client 9")],
+        SocketUse.ATTEMPT: [(3.0, "s 3"), (7.0, "s 7")],
+    }
 
-    def spare(use: Use) -> None:
+    def spare(use: SocketUse) -> None:
         def close_one() -> bool:
             if not idle[use]:
                 return False
             ended.append(idle[use].pop(0)[1])
-            count.give_back(use)
+            count.release(use)
             return True
 
-        count.add_spare(use, close_one, lambda: idle[use][0][0] if idle[use] else float("inf"))
+        count.register_evictor(use, close_one, lambda: idle[use][0][0] if idle[use] else float("inf"))
 
-    spare(Use.ATTEMPT)
-    spare(Use.CLIENT)
-    for _ in range(count._kept[Use.ATTEMPT] + 2):
-        assert count.take(Use.ATTEMPT)
-    for use in (Use.CLIENT, Use.DISCOVERY):
-        while count.has_room(use):
-            assert count.take(use)
+    spare(SocketUse.ATTEMPT)
+    spare(SocketUse.CLIENT)
+    for _ in range(count._guaranteed[SocketUse.ATTEMPT] + 2):
+        assert count.acquire(SocketUse.ATTEMPT)
+    for use in (SocketUse.CLIENT, SocketUse.DISCOVERY):
+        while count.has_free(use):
+            assert count.acquire(use)
     for _ in range(4):
-        assert count.take(Use.DISCOVERY)
+        assert count.acquire(SocketUse.DISCOVERY)
     assert ended == ["s 3", "client 5", "s 7", "client 9"]
-    assert not count.take(Use.DISCOVERY)
+    assert not count.acquire(SocketUse.DISCOVERY)
 
 
 def test_an_idle_connection_within_its_use_s_own_part_is_not_closed_for_others() -> None:
     """It would free no place: what its use gives up there, nothing else may take."""
-    count = Descriptors(32)
-    count.add_spare(Use.ATTEMPT, lambda: pytest.fail("closed for nothing"))
-    for _ in range(count._kept[Use.ATTEMPT]):
-        assert count.take(Use.ATTEMPT)
-    while count.has_room(Use.CLIENT):
-        assert count.take(Use.CLIENT)
-    while count.has_room(Use.DISCOVERY):
-        assert count.take(Use.DISCOVERY)
-    assert not count.take(Use.DISCOVERY)
+    count = DescriptorBudget(32)
+    count.register_evictor(SocketUse.ATTEMPT, lambda: pytest.fail("closed for nothing"))
+    for _ in range(count._guaranteed[SocketUse.ATTEMPT]):
+        assert count.acquire(SocketUse.ATTEMPT)
+    while count.has_free(SocketUse.CLIENT):
+        assert count.acquire(SocketUse.CLIENT)
+    while count.has_free(SocketUse.DISCOVERY):
+        assert count.acquire(SocketUse.DISCOVERY)
+    assert not count.acquire(SocketUse.DISCOVERY)
 
 
 def test_a_client_that_has_idled_longer_than_a_connection_to_an_endpoint_goes_before_it() -> None:
@@ -399,11 +404,11 @@
             await b.until(lambda: len(sidecar.pool) == 1 and len(sidecar.clients._idle) == 3)
             sidecar.pool.close()
             for _ in range(5):
-                connecting = Connecting(("127.0.0.1", one.port), descriptors, Use.ATTEMPT)
+                connecting = PendingConnection(("127.0.0.1", one.port), descriptors, SocketUse.ATTEMPT)
                 sidecar.pool.put(b"s-1", await connecting.wait(5000.0))
-            while descriptors.has_room(Use.DISCOVERY):
-                assert descriptors.take(Use.DISCOVERY)
-            assert descriptors.take(Use.DISCOVERY)  # somebody's idle connection makes way
+            while descriptors.has_free(SocketUse.DISCOVERY):
+                assert descriptors.acquire(SocketUse.DISCOVERY)
+            assert descriptors.acquire(SocketUse.DISCOVERY)  # somebody's idle connection makes way
             assert sidecar.clients.open + len(sidecar.pool) == 8
             await b.until(lambda: resting[0].reader.at_eof())
             assert len(sidecar.pool) == 5 and not resting[1].reader.at_eof()
@@ -415,21 +420,21 @@
     """A listener whose socket somebody else has emptied closes nothing."""
 
     async def work() -> None:
-        count = Descriptors(32)
+        count = DescriptorBudget(32)
         ended: list[int] = []
 
         def close_one() -> bool:
             ended.append(1)
-            count.give_back(Use.CLIENT)
+            count.release(SocketUse.CLIENT)
             return True
 
-        count.add_spare(Use.CLIENT, close_one)
-        while count.has_room(Use.CLIENT):
-            assert count.take(Use.CLIENT)
+        count.register_evictor(SocketUse.CLIENT, close_one)
+        while count.has_free(SocketUse.CLIENT):
+            assert count.acquire(SocketUse.CLIENT)
         came: list[Connection] = []
         listener = Listener(("127.0.0.1", 0), count, came.append)
         listener.start()
-        assert listener._accept() and ended == []
+        assert listener._accept_pending() and ended == []
         listener.close()
 
     b.run(work())
@@ -437,6 +442,6 @@
 
 def test_the_smallest_limit_has_a_place_for_each_use_in_each_of_three_processes() -> None:
     for others in range(3):
-        count = Descriptors(32, operators=True)
-        count.share_with(others)
-        assert all(count.take(use) for use in Use)
+        count = DescriptorBudget(32, has_operators=True)
+        count.set_other_processes(others)
+        assert all(count.acquire(use) for use in SocketUse)
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -24,9 +24,9 @@
 from larkcrank.core import interface as api
 from larkcrank.core.balancer import Balancer
 from larkcrank.protocol import http1
-from larkcrank.transport.closewatch import CloseWatch
+from larkcrank.transport.closewatch import CloseWatcher
 from larkcrank.transport.connection import Connection
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from tests import bed as b
 from tests import crossing as x
 from tests import frames as f
@@ -220,7 +220,7 @@
 ) -> None:
     """A busy loop makes such a turn as long as it likes; a long body's head was once written a turn later."""
     order: list[str] = []
-    look, hand_over = Connection.has_ended, IOStream.write_to_fd
+    look, hand_over = Connection.has_peer_closed, IOStream.write_to_fd
 
     def looked(connection: Connection) -> bool:
         order.append("look")
@@ -239,7 +239,7 @@
                     order.append("bytes")
                 return hand_over(stream, data)
 
-            monkeypatch.setattr(Connection, "has_ended", looked)
+            monkeypatch.setattr(Connection, "has_peer_closed", looked)
             monkeypatch.setattr(IOStream, "write_to_fd", handed_over)
             x.ask(client, shape)
             await b.until(lambda: "bytes" in order)
@@ -271,11 +271,11 @@
     b.run(work())
 
 
-def pair(descriptors: Descriptors) -> tuple[Connection, socket.socket]:
+def pair(descriptors: DescriptorBudget) -> tuple[Connection, socket.socket]:
     ours, theirs = socket.socketpair()
     ours.setblocking(False)
-    assert descriptors.take(Use.CLIENT)
-    return Connection(IOStream(ours), descriptors, Use.CLIENT), theirs
+    assert descriptors.acquire(SocketUse.CLIENT)
+    return Connection(IOStream(ours), descriptors, SocketUse.CLIENT), theirs
 
 
 class Looks:
@@ -283,7 +283,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.polls = self.singly = 0
-        poll, has_ended = select.poll, Connection.has_ended
+        poll, has_ended = select.poll, Connection.has_peer_closed
 
         def polled() -> Any:
             self.polls += 1
@@ -294,7 +294,7 @@
             return has_ended(connection)
 
         monkeypatch.setattr(select, "poll", polled)
-        monkeypatch.setattr(Connection, "has_ended", looked)
+        monkeypatch.setattr(Connection, "has_peer_closed", looked)
 
 
 def test_one_look_is_one_call_for_all_and_one_more_for_each_with_something_to_tell(
@@ -302,7 +302,7 @@
 ) -> None:
     async def work() -> None:
         pairs = [pair(descriptors) for _ in range(200)]
-        watch, told = CloseWatch(), list[int]()
+        watch, told = CloseWatcher(), list[int]()
         for index, (connection, _) in enumerate(pairs):
             within.enter_context(watch.watch(connection, partial(told.append, index)))
         for index in range(10):
@@ -312,18 +312,18 @@
         for index in range(10, 15):
             pairs[index][1].send(b"unread, but it stays")
         looks = Looks(monkeypatch)
-        watch._look()
+        watch._poll()
         assert sorted(told) == list(range(10)) and len(watch) == 190
         assert looks.singly == 15 and looks.polls == 1 + 10  # a second call where bytes are unread
-        watch._look()
+        watch._poll()
         assert len(told) == 10 and looks.singly == 20
         for connection, theirs in pairs:
             connection.close()
             theirs.close()
-        watch._look()
+        watch._poll()
         assert len(told) == 200 and not len(watch)
 
-    descriptors = Descriptors(1024)
+    descriptors = DescriptorBudget(1024)
     with ExitStack() as within:
         b.run(work())
 
@@ -331,22 +331,22 @@
 def test_a_number_that_is_anothers_by_now_is_not_taken_for_the_closed_ones() -> None:
     async def work() -> None:
         old, theirs = pair(descriptors)
-        watch, told = CloseWatch(), list[str]()
+        watch, told = CloseWatcher(), list[str]()
         within.enter_context(watch.watch(old, partial(told.append, "old")))
         number = old.stream.socket.fileno()
         old.close()
         new, others = pair(descriptors)
         assert new.stream.socket.fileno() == number
         with watch.watch(new, partial(told.append, "new")):
-            watch._look()
+            watch._poll()
             assert told == ["old"]
             others.close()
-            watch._look()
+            watch._poll()
             assert told == ["old", "new"]
         theirs.close()
         new.close()
 
-    descriptors = Descriptors(64)
+    descriptors = DescriptorBudget(64)
     with ExitStack() as within:
         b.run(work())
 
@@ -354,20 +354,20 @@
 def test_without_such_a_call_an_end_shows_where_nothing_is_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.delattr(select, "poll")
-        watch, told = CloseWatch(), list[int]()
+        watch, told = CloseWatcher(), list[int]()
         pairs = [pair(descriptors) for _ in range(3)]
         for index, (connection, _) in enumerate(pairs):
             within.enter_context(watch.watch(connection, partial(told.append, index)))
         pairs[1][1].send(b"unread")
         for _, theirs in pairs[:2]:
             theirs.close()
-        watch._look()
+        watch._poll()
         assert told == [0]  # the second one's end stands behind what it sent, as far as can be told
         for connection, theirs in pairs:
             connection.close()
             theirs.close()
 
-    descriptors = Descriptors(64)
+    descriptors = DescriptorBudget(64)
     with ExitStack() as within:
         b.run(work())
 
@@ -469,7 +469,7 @@
         ran: list[bytes | None] = []
 
         async def wait(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            ran.append(request.fields.one(b"req-id"))
+            ran.append(request.fields.get_single(b"req-id"))
             if request.target.startswith(b"/book"):
                 await gate.wait()
             await b.say_ok(endpoint, request, writer)
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -31,7 +31,7 @@
         parser.feed(part)
         while (request := parser.next()) is not None:
             found.append(request)
-    assert not parser.begun
+    assert not parser.has_partial_request
     return found
 
 
@@ -46,7 +46,7 @@
 def test_requests_are_the_same_however_they_are_split(cuts: list[int]) -> None:
     first, second, third = requests(split(FIRST + SECOND + THIRD, cuts))
     assert (first.method, first.target, first.body) == (b"POST", b"/reserve?x=1", b"hello")
-    assert first.fields.one(b"x-odd") == b"a b"
+    assert first.fields.get_single(b"x-odd") == b"a b"
     assert first.keep_alive and second.keep_alive and not third.keep_alive
     assert second.body == b"Wikipedia in c"
     assert (third.method, third.body) == (b"GET", b"")
@@ -61,9 +61,9 @@
 def test_responses_are_the_same_however_they_are_split(body: bytes, cuts: list[int], chunked: bool) -> None:
     if chunked:
         parts = [body[i : i + 50] for i in range(0, len(body), 50)]
-        text = http1.stream_head_bytes(200, ()) + b"".join(map(http1.chunk_bytes, [*parts, b""]))
+        text = http1.encode_response_head(200, ()) + b"".join(map(http1.encode_chunk, [*parts, b""]))
     else:
-        text = http1.response_bytes(200, (), body)
+        text = http1.encode_response(200, (), body)
     found = response(split(text, cuts))
     assert (found.status, found.body, found.keep_alive) == (200, body, True)
 
@@ -140,12 +140,12 @@
 
 
 def test_bytes_after_an_answer_end_its_connection() -> None:
-    found = response([http1.response_bytes(200, (), b"one") + b"HTTP/1.1"])
+    found = response([http1.encode_response(200, (), b"one") + b"HTTP/1.1"])
     assert found.body == b"one" and not found.keep_alive
 
 
 def test_interim_answers_are_read_over() -> None:
-    found = response([http1.CONTINUE + b"HTTP/1.0 503 \r\nContent-Length: 2\r\n\r\nno"])
+    found = response([http1.CONTINUE_RESPONSE + b"HTTP/1.0 503 \r\nContent-Length: 2\r\n\r\nno"])
     assert (found.status, found.body, found.keep_alive) == (503, b"no", False)
 
 
@@ -156,13 +156,13 @@
             b"X-Mine: 1\r\nTE: trailers\r\nREQ-ID: 7\r\n\r\n"
         ]
     )
-    assert list(request.fields.passed_on()) == [b"Host: a", b"X-Odd:\t v", b"REQ-ID: 7"]
+    assert list(request.fields.forwarded_lines()) == [b"Host: a", b"X-Odd:\t v", b"REQ-ID: 7"]
 
 
 def test_a_waiting_body_is_asked_for() -> None:
     parser = http1.RequestParser()
     parser.feed(b"POST / HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-    assert parser.next() is None and parser.wants_continue and parser.begun
+    assert parser.next() is None and parser.expects_continue and parser.has_partial_request
     parser.feed(b"ok")
     request = parser.next()
-    assert request is not None and request.body == b"ok" and not parser.wants_continue
+    assert request is not None and request.body == b"ok" and not parser.expects_continue
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -10,7 +10,7 @@
 
 from larkcrank.protocol import http1
 from larkcrank.routing.exchange import AHEAD, Upload
-from larkcrank.transport.budget import LARGE, SMALL, Budget
+from larkcrank.transport.budget import LARGE_READ_BYTES, SMALL_READ_BYTES, BufferBudget
 from larkcrank.transport.connection import ConnectionLostError
 from tests import bed as b
 
@@ -56,21 +56,21 @@
         parser.feed(part)
         if found is None and (found := parser.next()) is not None:
             got += found.body
-        if parser.passing:
-            got += parser.part()
-    assert found is not None and bytes(got) == body and not parser.passing
-    assert found.whole == (size <= http1.HELD)
+        if parser.is_streaming:
+            got += parser.take_part()
+    assert found is not None and bytes(got) == body and not parser.is_streaming
+    assert found.is_complete == (size <= http1.MAX_BUFFERED_BODY_BYTES)
     following = parser.next()
     assert following is not None and following.target == b"/next"
 
 
 def test_a_body_over_the_most_ends_in_an_error_also_in_chunks() -> None:
-    parser = http1.RequestParser(max_body=100_000)
+    parser = http1.RequestParser(max_body_bytes=100_000)
     parser.feed(head_of("take", b"Transfer-Encoding: chunked") + b"11170\r\n" + bytes(70000))
-    assert (request := parser.next()) is not None and not request.whole
+    assert (request := parser.next()) is not None and not request.is_complete
     parser.feed(b"\r\n11170\r\n")
     with pytest.raises(http1.MessageError) as caught:
-        parser.part()
+        parser.take_part()
     assert caught.value.status == 413
 
 
@@ -79,11 +79,11 @@
     parser.feed(b"HTTP/1.1 200 OK\r\n\r\nall of")
     assert not parser.complete
     parser.feed(b" it")
-    assert parser.end()
+    assert parser.handle_clean_close()
     assert (parser.response().body, parser.response().keep_alive) == (b"all of it", False)
     cut = http1.ResponseParser()
     cut.feed(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nall of")
-    assert not cut.end()
+    assert not cut.handle_clean_close()
 
 
 # Upload
@@ -91,7 +91,7 @@
 
 def test_an_upload_can_be_sent_again_until_more_than_is_held_has_passed() -> None:
     async def work() -> None:
-        budget = Budget(1 << 30)
+        budget = BufferBudget(1 << 30)
         upload = Upload(b"x" * 40000, budget)
         assert await upload.next_part() == b"x" * 40000
         upload.put(b"y" * 20000)
@@ -99,22 +99,22 @@
         upload.begin()
         assert await upload.next_part() == b"x" * 40000
         upload.put(b"z" * 20000)
-        assert not upload.again and budget.held == 40000
+        assert not upload.again and budget.held_bytes == 40000
         assert await upload.next_part() == b"y" * 20000
         assert await upload.next_part() == b"z" * 20000
         upload.finish(whole=True)
         assert await upload.next_part() is None
         upload.end()
-        assert budget.held == 0
+        assert budget.held_bytes == 0
         upload.put(b"late")  # dropped
-        assert budget.held == 0
+        assert budget.held_bytes == 0
 
     b.run(work())
 
 
 def test_an_upload_whose_client_has_gone_says_so() -> None:
     async def work() -> None:
-        upload = Upload(b"x", Budget(1 << 30))
+        upload = Upload(b"x", BufferBudget(1 << 30))
         assert await upload.next_part() == b"x"
         waiting = asyncio.create_task(upload.next_part())
         await asyncio.sleep(0)
@@ -126,20 +126,20 @@
 
 
 def test_with_memory_short_less_is_read_ahead_and_in_smaller_steps() -> None:
-    budget = Budget(4 << 20)
-    upload = Upload(b"x" * http1.HELD, budget)
+    budget = BufferBudget(4 << 20)
+    upload = Upload(b"x" * http1.MAX_BUFFERED_BODY_BYTES, budget)
     upload.put(b"x" * 1000)
-    assert not upload.is_full and budget.step == LARGE
-    budget.hold(1 << 20)
-    assert upload.is_full and budget.step == SMALL
-    budget.give_back(1 << 20)
-    budget.share_with(20)
+    assert not upload.is_full and budget.read_size == LARGE_READ_BYTES
+    budget.reserve(1 << 20)
+    assert upload.is_full and budget.read_size == SMALL_READ_BYTES
+    budget.release(1 << 20)
+    budget.set_other_processes(20)
     assert upload.is_full
-    budget.share_with(0)
+    budget.set_other_processes(0)
     upload.put(b"x" * AHEAD)
     assert upload.is_full
     upload.end()
-    assert (upload.is_full, budget.held) == (False, 0)
+    assert (upload.is_full, budget.held_bytes) == (False, 0)
 
 
 # Through the sidecar
@@ -155,7 +155,7 @@
             lines = [b"Transfer-Encoding: chunked" if in_chunks else b"Content-Length: %d" % len(LONG), KEY]
             client.writer.write(head_of("book", *lines, *([b"Expect: 100-continue"] if continues else [])))
             if continues:
-                assert await client.reader.readuntil(b"\r\n\r\n") == http1.CONTINUE
+                assert await client.reader.readuntil(b"\r\n\r\n") == http1.CONTINUE_RESPONSE
             for part in parts_of(chunked(LONG) if in_chunks else LONG, 5, 90000):
                 client.writer.write(part)
                 await client.writer.drain()
@@ -165,7 +165,7 @@
             (came,) = one.requests
             assert came.body == LONG
             assert (await client.call("view")).status == 200  # the connections are good for more
-            assert one.opened == 1 and bed.sidecar.budget.held == 0
+            assert one.opened == 1 and bed.sidecar.budget.held_bytes == 0
             assert bed.sidecar.counters.overdue == bed.sidecar.counters.crashed == 0
 
     b.run(work())
@@ -219,7 +219,7 @@
             assert one.requests == []
             counters = bed.sidecar.counters
             assert counters.outcomes["reset"] == counters.outcomes["connect failed"] == 0
-            await b.until(lambda: not bed.sidecar._driver._open and not bed.sidecar.budget.held)
+            await b.until(lambda: not bed.sidecar._driver._open and not bed.sidecar.budget.held_bytes)
             assert bed.sidecar.clients.open == 0
 
     b.run(work())
@@ -245,7 +245,7 @@
             assert await client.reader.read() == b""
             assert bed.sidecar.counters.sends == 1
             assert bed.sidecar.counters.outcomes["connect failed"] == 1
-            assert bed.sidecar.budget.held == 0
+            assert bed.sidecar.budget.held_bytes == 0
         server.close()
 
     b.run(work())
@@ -271,7 +271,7 @@
     async def work() -> None:
         async def decline(reader: b.Reader, writer: b.Writer) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(http1.response_bytes(503, (b"Srv-Declined: 1",), b"full"))
+            writer.write(http1.encode_response(503, (b"Srv-Declined: 1",), b"full"))
             while await reader.read(65536):
                 pass
             writer.close()
@@ -297,8 +297,10 @@
 @pytest.mark.parametrize("old", [False, True])
 def test_a_long_answer_passes_through_in_every_form(how: str, old: bool) -> None:
     async def long(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-        framing = {"length": b"Content-Length: %d" % len(LONG), "chunks": http1.CHUNKED, "close": b""}[how]
-        writer.write(http1.stream_head_bytes(200, (b"X-Mine: yes",), framing))
+        framing = {"length": b"Content-Length: %d" % len(LONG), "chunks": http1.CHUNKED_LINE, "close": b""}[
+            how
+        ]
+        writer.write(http1.encode_response_head(200, (b"X-Mine: yes",), framing))
         for part in parts_of(chunked(LONG) if how == "chunks" else LONG, 9, 100_000):
             writer.write(part)
             await asyncio.sleep(0)
@@ -316,16 +318,16 @@
                 parser.feed(data)
                 got += parser.take_body()
                 if not data:
-                    assert parser.end()
+                    assert parser.handle_clean_close()
             assert bytes(got) == LONG
-            assert parser.head is not None and parser.head.fields.one(b"x-mine") == b"yes"
-            told = parser.head.fields.one(b"content-length")
+            assert parser.head is not None and parser.head.fields.get_single(b"x-mine") == b"yes"
+            told = parser.head.fields.get_single(b"content-length")
             assert told == (b"%d" % len(LONG) if how == "length" else None)
             if old:
-                assert not parser.head.fields.all(b"transfer-encoding")
+                assert not parser.head.fields.get_all(b"transfer-encoding")
             kept = [b"keep-alive"] if old and how == "length" else []
-            assert parser.head.fields.list(b"connection") == (kept or ([b"close"] if old else []))
-            assert (bed.sidecar.counters.served, bed.sidecar.budget.held) == (1, 0)
+            assert parser.head.fields.get_list(b"connection") == (kept or ([b"close"] if old else []))
+            assert (bed.sidecar.counters.served, bed.sidecar.budget.held_bytes) == (1, 0)
 
     b.run(work())
 
@@ -335,7 +337,7 @@
         gate = asyncio.Event()
 
         async def slow(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            writer.write(http1.stream_head_bytes(200, (), b"Content-Length: 100000") + LONG[:1000])
+            writer.write(http1.encode_response_head(200, (), b"Content-Length: 100000") + LONG[:1000])
             await gate.wait()
             writer.write(LONG[1000:100_000])
 
@@ -356,7 +358,7 @@
 def test_a_short_answer_that_breaks_is_repeated_a_long_one_shows_its_end() -> None:
     async def half(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         length = 50 if request.target.endswith(b"short") else 100_000
-        writer.write(http1.stream_head_bytes(200, (), b"Content-Length: %d" % length) + b"half")
+        writer.write(http1.encode_response_head(200, (), b"Content-Length: %d" % length) + b"half")
         await writer.drain()
         writer.close()
 
@@ -366,7 +368,7 @@
             for _ in range(4):
                 client.writer.write(head_of("view/short", method=b"GET"))
                 answer = await client.answer()
-                assert (answer.status, answer.fields.one(b"x-from")) == (200, b"s-2")
+                assert (answer.status, answer.fields.get_single(b"x-from")) == (200, b"s-2")
         async with b.bed(b.Endpoint("s-1", half)) as bed:
             client = await bed.client()
             client.writer.write(head_of("view/long", method=b"GET"))
@@ -383,7 +385,7 @@
 
     async def work() -> None:
         async def slow(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            writer.write(http1.stream_head_bytes(200, (), b"Content-Length: %d" % size))
+            writer.write(http1.encode_response_head(200, (), b"Content-Length: %d" % size))
             for _ in range(size // len(LONG)):
                 writer.write(LONG)
                 await writer.drain()
@@ -406,8 +408,8 @@
 
             clients = [await bed.client() for _ in range(40)]
             assert await asyncio.gather(*map(both, clients)) == [size] * 40
-            assert bed.sidecar.budget.most < 16 << 20
-            assert bed.sidecar.budget.held == 0
+            assert bed.sidecar.budget.peak_held_bytes < 16 << 20
+            assert bed.sidecar.budget.held_bytes == 0
             assert bed.sidecar.counters.crashed == 0
 
     b.run(work())
@@ -419,7 +421,7 @@
         one = b.Endpoint("s-1")
 
         async def endless(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            writer.write(http1.stream_head_bytes(200, (), b"Content-Length: %d" % (30 << 20)))
+            writer.write(http1.encode_response_head(200, (), b"Content-Length: %d" % (30 << 20)))
             try:
                 for _ in range(30):
                     writer.write(LONG)
@@ -432,7 +434,7 @@
             client = await bed.client()
             client.send("view")
             await b.until(lambda: one.ended == 1 and bed.sidecar.clients.open == 0)
-            assert bed.sidecar.budget.held == 0
+            assert bed.sidecar.budget.held_bytes == 0
             client.close()
 
     b.run(work())
@@ -456,13 +458,13 @@
                 length = int(head.lower().partition(b"content-length: ")[2].partition(b"\r\n")[0])
                 await client.reader.readexactly(length)
             first, second, third = one.requests
-            assert (first.target, first.fields.all(b"host")) == (b"/view/a?b=/c", [b"Backend.local:80"])
-            assert not second.fields.all(b"x-hop")
+            assert (first.target, first.fields.get_all(b"host")) == (b"/view/a?b=/c", [b"Backend.local:80"])
+            assert not second.fields.get_all(b"x-hop")
             assert third.target == b"/?view"
             old = await bed.client()
             old.writer.write(b"GET /view/3 HTTP/1.0\r\nReq-Id: f4\r\n\r\n")
             answer = await old.answer()
-            assert (answer.status, answer.fields.list(b"connection")) == (200, [b"close"])
+            assert (answer.status, answer.fields.get_list(b"connection")) == (200, [b"close"])
 
     b.run(work())
 
@@ -470,7 +472,7 @@
 def test_a_broken_close_delimited_answer_is_told_by_a_reset() -> None:
     async def work() -> None:
         async def cut(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            writer.write(http1.stream_head_bytes(200, (), b"Content-Length: 200000") + LONG[:100_000])
+            writer.write(http1.encode_response_head(200, (), b"Content-Length: 200000") + LONG[:100_000])
             await writer.drain()
             await asyncio.sleep(0.05)
             writer.close()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 
 def request(*lines: bytes, target: bytes = b"/proof/7?page=2", body: bytes = b"") -> http1.Request:
     parser = http1.RequestParser()
-    parser.feed(http1.request_bytes(b"POST", target, (b"Host: backend.local", *lines), body))
+    parser.feed(http1.encode_request(b"POST", target, (b"Host: backend.local", *lines), body))
     found = parser.next()
     assert found is not None
     return found
@@ -22,12 +22,12 @@
 
 def response(status: int, *lines: bytes) -> http1.Response:
     parser = http1.ResponseParser()
-    parser.feed(http1.response_bytes(status, lines, b"body"))
+    parser.feed(http1.encode_response(status, lines, b"body"))
     return parser.response()
 
 
 def test_a_call_is_read_from_its_headers() -> None:
-    call = platform.read_call(
+    call = platform.read_call_info(
         request(
             b"Req-Id: 9b1f",
             b"Req-Kind: proof",
@@ -36,7 +36,7 @@
             b"Idempotency-Key: 5c",
         )
     )
-    assert (call.id, call.kind, call.wait_ms, call.is_retry, call.has_key) == (
+    assert (call.id, call.kind, call.client_timeout_ms, call.is_retry, call.has_idempotency_key) == (
         "9b1f",
         "proof",
         480.0,
@@ -46,8 +46,13 @@
 
 
 def test_the_class_may_stand_in_the_path_alone() -> None:
-    call = platform.read_call(request(b"Req-Id: 1"))
-    assert (call.kind, call.wait_ms, call.is_retry, call.has_key) == ("proof", None, False, False)
+    call = platform.read_call_info(request(b"Req-Id: 1"))
+    assert (call.kind, call.client_timeout_ms, call.is_retry, call.has_idempotency_key) == (
+        "proof",
+        None,
+        False,
+        False,
+    )
 
 
 @pytest.mark.parametrize(
@@ -67,7 +72,7 @@
 )
 def test_bad_headers_are_the_clients_fault(lines: tuple[bytes, ...]) -> None:
     with pytest.raises(http1.MessageError) as caught:
-        platform.read_call(request(*lines))
+        platform.read_call_info(request(*lines))
     assert caught.value.status == 400
 
 
@@ -75,7 +80,7 @@
     came = request(
         b"Req-Id: 9", b"Req-Deadline: 2.5", b"Idempotency-Key: 5c", b"Connection: close", body=b"ink"
     )
-    text = platform.request_to_endpoint(came, 1234.5)
+    text = platform.encode_endpoint_request(came, 1234.5)
     head, _, body = text.partition(b"\r\n\r\n")
     assert head.split(b"\r\n") == [
         b"POST /proof/7?page=2 HTTP/1.1",
@@ -102,15 +107,15 @@
     ],
 )
 def test_only_a_declined_answer_proves_that_nothing_ran(found: http1.Response, result: Result) -> None:
-    assert platform.result_of(found) is result
+    assert platform.classify_response(found) is result
 
 
 def test_load_reports_come_in_the_order_of_the_settings() -> None:
-    assert platform.load_report(b"util=0.5, queue=3", ("queue", "util")) == (3.0, 0.5)
-    assert platform.load_report(b"util=0.5,queue=x", ("queue", "util")) == ()
-    assert platform.load_report(b"util=nan,queue=inf", ("queue", "util")) == ()
-    assert platform.load_of(response(200, b"Srv-Load: queue=2").fields, ("queue",)) == (2.0,)
-    assert platform.load_of(response(200, b"Srv-Load: queue=2").fields, ()) == ()
+    assert platform.parse_load_report(b"util=0.5, queue=3", ("queue", "util")) == (3.0, 0.5)
+    assert platform.parse_load_report(b"util=0.5,queue=x", ("queue", "util")) == ()
+    assert platform.parse_load_report(b"util=nan,queue=inf", ("queue", "util")) == ()
+    assert platform.read_load_report(response(200, b"Srv-Load: queue=2").fields, ("queue",)) == (2.0,)
+    assert platform.read_load_report(response(200, b"Srv-Load: queue=2").fields, ()) == ()
 
 
 def listed(**changes: object) -> dict[str, object]:
@@ -126,24 +131,24 @@
     } | changes
 
 
-def parsed(*lines: dict[str, object], reset: bool = True) -> discovery.Listing:
+def parsed(*lines: dict[str, object], reset: bool = True) -> discovery.ListUpdate:
     text = json.dumps({"generation": 41, "reset": reset, "instances": lines}).encode()
-    return discovery.parse(text, discovery.Names(["a", "b"], ["m1"]))
+    return discovery.parse_list(text, discovery.NameTable(["a", "b"], ["m1"]))
 
 
 def test_a_list_is_read() -> None:
     listing = parsed(listed(), listed(instanceId="s-2", lifecycle="Terminating", zone="c", weight=0))
     first, second = listing.endpoints
-    assert (listing.generation, listing.whole) == (41, True)
+    assert (listing.generation, listing.is_full) == (41, True)
     assert (first.address, first.zone, first.kind, first.cell) == (b"s-5be2", 1, 1, 3)
     assert (first.size, first.started_at, first.state) == (1.5, 17.0, State.READY)
     assert (second.zone, second.size, second.state) == (2, 1.0, State.DRAINING)
-    assert listing.places[b"s-5be2"] == ("10.1.0.18", 8000)
+    assert listing.host_ports[b"s-5be2"] == ("10.1.0.18", 8000)
 
 
 def test_a_server_that_is_gone_needs_no_address() -> None:
     listing = parsed({"instanceId": "s-1", "lifecycle": "Gone"}, reset=False)
-    assert listing.endpoints[0].state is State.GONE and not listing.whole and not listing.places
+    assert listing.endpoints[0].state is State.GONE and not listing.is_full and not listing.host_ports
 
 
 @pytest.mark.parametrize("changes", [{"lifecycle": "Odd"}, {"hostPort": "nowhere"}, {"hostPort": "a:0"}])
@@ -163,8 +168,8 @@
     ],
 )
 def test_what_is_no_list_is_refused(text: bytes) -> None:
-    with pytest.raises(discovery.ListError):
-        discovery.parse(text, discovery.Names([], []))
+    with pytest.raises(discovery.ServerListError):
+        discovery.parse_list(text, discovery.NameTable([], []))
 
 
 def text_of(**changes: object) -> bytes:
@@ -236,9 +241,9 @@
     parser.feed(b"GET /proof HTTP/1.0\r\nReq-Id: 1\r\n\r\n")
     came = parser.next()
     assert came is not None and not came.keep_alive
-    parser.feed(platform.request_to_endpoint(came, 1000.0))
+    parser.feed(platform.encode_endpoint_request(came, 1000.0))
     sent = parser.next()
-    assert sent is not None and sent.fields.one(b"host") == b""
+    assert sent is not None and sent.fields.get_single(b"host") == b""
 
 
 @pytest.mark.parametrize(
@@ -253,7 +258,7 @@
 )
 def test_the_subject_stands_among_the_further_figures(value: bytes | None, subject: int) -> None:
     lines = () if value is None else (b"Req-Extra: " + value,)
-    assert platform.subject_of(request(*lines)) == subject
+    assert platform.read_object_key(request(*lines)) == subject
 
 
 @pytest.mark.parametrize(
@@ -261,4 +266,4 @@
 )
 def test_a_subject_that_is_no_number_is_the_clients_fault(value: bytes) -> None:
     with pytest.raises(http1.MessageError):
-        platform.subject_of(request(b"Req-Extra: " + value))
+        platform.read_object_key(request(b"Req-Extra: " + value))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -23,12 +23,12 @@
             client.send("book", 8.0, "POST", KEY, b"X-Mine:  as it came", body=b"ink")
             answer = await client.answer()
             assert (answer.status, answer.body) == (200, b"made by /book/1")
-            assert answer.fields.one(b"x-from") == b"s-1"
+            assert answer.fields.get_single(b"x-from") == b"s-1"
             (came,) = one.requests
             assert (came.method, came.target, came.body) == (b"POST", b"/book/1", b"ink")
-            assert came.fields.one(b"idempotency-key") == b"5c0f"
-            assert b"X-Mine:  as it came" in [field.line for field in came.fields]
-            assert 0 < float(came.fields.one(b"req-deadline") or 0) <= 8.0
+            assert came.fields.get_single(b"idempotency-key") == b"5c0f"
+            assert b"X-Mine:  as it came" in [field.raw_line for field in came.fields]
+            assert 0 < float(came.fields.get_single(b"req-deadline") or 0) <= 8.0
             assert (await client.call("view")).status == 200  # the connection is kept
             assert one.opened == 1  # and the one to the endpoint too
             assert bed.sidecar.counters.reuses == 1
@@ -86,7 +86,7 @@
             client = await bed.client()
             for _ in range(4):
                 answer = await client.call("view")
-                assert answer.fields.one(b"x-from") == b"s-2"
+                assert answer.fields.get_single(b"x-from") == b"s-2"
             asked = len(bed.discovery.targets)
             bed.file["discovery"] = f"127.0.0.1:{bed.discovery.port}"  # more than once, and back again
             bed.sidecar.reload()
@@ -174,7 +174,7 @@
             await asyncio.sleep(0.2)
             gate.set()
             await b.until(lambda: len(one.requests) == 2)
-            first, second = (float(came.fields.one(b"req-deadline") or 0) for came in one.requests)
+            first, second = (float(came.fields.get_single(b"req-deadline") or 0) for came in one.requests)
             assert second < first - 0.19  # it slept so long at least
 
     b.run(work())
@@ -366,7 +366,7 @@
             client = await bed.client()
             head = b"POST /take HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n"
             client.writer.write(head + b"Expect: 100-continue\r\nContent-Length: 3\r\n\r\n")
-            assert await client.reader.readexactly(len(http1.CONTINUE)) == http1.CONTINUE
+            assert await client.reader.readexactly(len(http1.CONTINUE_RESPONSE)) == http1.CONTINUE_RESPONSE
             client.writer.write(b"ink")
             assert (await client.answer()).status == 200
 
@@ -391,7 +391,7 @@
     # Answers of 130 to 390 KB came on a day of trouble; each was an error, five times a request, and benched
     # servers that were well.
     async def long(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-        writer.write(http1.response_bytes(200, (), request.target * 50_000))
+        writer.write(http1.encode_response(200, (), request.target * 50_000))
 
     async def endless(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand it keeps coming")
@@ -496,13 +496,13 @@
     # With 300 idle ones each new connection looked at all of them: half of the CPU.
     async def work() -> None:
         looks: list[Connection] = []
-        quiet = Connection.is_quiet
+        quiet = Connection.is_idle
 
         def look(connection: Connection) -> bool:
             looks.append(connection)
             return quiet(connection)
 
-        monkeypatch.setattr(Connection, "is_quiet", look)
+        monkeypatch.setattr(Connection, "is_idle", look)
         async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
             for _ in range(27):
                 assert (await (await bed.client()).call("view")).status == 200
@@ -545,20 +545,20 @@
 
 
 async def stream_two(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-    writer.write(http1.stream_head_bytes(200, ()) + http1.chunk_bytes(b"one"))
+    writer.write(http1.encode_response_head(200, ()) + http1.encode_chunk(b"one"))
     await asyncio.sleep(0.01)
-    writer.write(http1.chunk_bytes(b"two") + http1.chunk_bytes(b""))
+    writer.write(http1.encode_chunk(b"two") + http1.encode_chunk(b""))
 
 
 async def stream_broken(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-    writer.write(http1.stream_head_bytes(200, ()) + http1.chunk_bytes(b"one"))
+    writer.write(http1.encode_response_head(200, ()) + http1.encode_chunk(b"one"))
     await writer.drain()
     writer.close()
 
 
 async def stream_long(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-    parts = [http1.chunk_bytes(bytes([65 + i]) * 10000) for i in range(20)]
-    writer.write(http1.stream_head_bytes(200, ()) + b"".join(parts) + http1.chunk_bytes(b""))
+    parts = [http1.encode_chunk(bytes([65 + i]) * 10000) for i in range(20)]
+    writer.write(http1.encode_response_head(200, ()) + b"".join(parts) + http1.encode_chunk(b""))
 
 
 def test_a_stream_is_passed_on_as_it_comes() -> None:
@@ -599,7 +599,7 @@
 
 def test_a_client_that_leaves_a_stream_ends_it_though_the_endpoint_is_silent() -> None:
     async def begin(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-        writer.write(http1.stream_head_bytes(200, ()) + http1.chunk_bytes(b"one"))
+        writer.write(http1.encode_response_head(200, ()) + http1.encode_chunk(b"one"))
 
     async def work() -> None:
         one = b.Endpoint("s-1", begin)
@@ -672,7 +672,7 @@
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
             clients = [await bed.client() for _ in range(28)]
-            await b.until(lambda: bed.sidecar.descriptors.wanted)
+            await b.until(lambda: bed.sidecar.descriptors.has_waiters)
             assert not (await clients[0].call("view")).keep_alive
             assert (await clients[27].call("view")).status == 200
 
@@ -763,7 +763,7 @@
             bed.sidecar._discovery.fetch()
             await b.until(lambda: b"after=7&" in discovery.targets[-1])
             answer = await (await bed.client()).call("view")
-            assert answer.fields.one(b"x-from") == b"s-2"
+            assert answer.fields.get_single(b"x-from") == b"s-2"
             discovery.generation, discovery.endpoints = 8, [one]
             bed.sidecar._discovery.fetch()
             await b.until(lambda: b"after=8&" in discovery.targets[-1])
@@ -793,7 +793,7 @@
             await b.until(lambda: bed.sidecar.counters.taken == 2)
             clients[2].send("book", 8.0, "", key, other)
             await b.until(lambda: len(one.requests) + len(two.requests) == 2)
-            sent = [request.fields.one(b"req-extra") for request in one.requests + two.requests]
+            sent = [request.fields.get_single(b"req-extra") for request in one.requests + two.requests]
             assert sorted(filter(None, sent)) == [b"item=7", b"item=8"]
             gates[0].set()
             assert (await clients[0].answer()).status == 200
