--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -178,10 +178,10 @@
 @click.argument("place")
 def fleet_view(place: str) -> None:
     """The fleet as the sidecar at PLACE (host:port of its operators' address) sees it."""
-    from larkcrank.protocol.discovery import host_port
+    from larkcrank.protocol.discovery import parse_host_port
 
     try:
-        host, port = host_port(place)
+        host, port = parse_host_port(place)
         with socket.create_connection((host, port), timeout=VIEW_S) as sock:
             sock.sendall(b"VIEW\n")
             told = b"".join(iter(lambda: sock.recv(65536), b"")).decode("utf-8", "replace")
--- a/larkcrank/config/sidecar.py
+++ b/larkcrank/config/sidecar.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from larkcrank.config.settings import SettingsError, Site, convert
-from larkcrank.protocol.discovery import host_port
-from larkcrank.protocol.http1 import HELD, MAX_BODY
+from larkcrank.protocol.discovery import parse_host_port
+from larkcrank.protocol.http1 import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 
 LEAST_SOCKETS = 32
 LEAST_WATCH_MS, LONGEST_WATCH_MS = 100, 60_000  # the longest that discovery's protocol has
@@ -25,7 +25,7 @@
     cores: float = 1.0
     memory_mb: float = 192.0
     sockets: int = 1024
-    body_mb: float = MAX_BODY / (1 << 20)
+    body_mb: float = MAX_BODY_BYTES / (1 << 20)
 
 
 class _Recovery(msgspec.Struct):
@@ -135,8 +135,10 @@
         raise ConfigError(f"configuration: {error}") from None
     if not 0.0 < file.limits.memory_mb < math.inf:
         raise ConfigError(f"limits.memory_mb: {file.limits.memory_mb} is no amount of memory")
-    if not HELD <= file.limits.body_mb * (1 << 20) < math.inf:
-        raise ConfigError(f"limits.body_mb: {file.limits.body_mb} is no size of at least {HELD} bytes")
+    if not MAX_BUFFERED_BODY_BYTES <= file.limits.body_mb * (1 << 20) < math.inf:
+        raise ConfigError(
+            f"limits.body_mb: {file.limits.body_mb} is no size of at least {MAX_BUFFERED_BODY_BYTES} bytes"
+        )
     if file.limits.sockets < LEAST_SOCKETS:
         raise ConfigError(f"limits.sockets: {file.limits.sockets} is under {LEAST_SOCKETS}")
     try:
@@ -177,7 +179,7 @@
 
 def _place(key: str, text: str, lowest: int = 1) -> tuple[str, int]:
     try:
-        return host_port(text, lowest)
+        return parse_host_port(text, lowest)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
 
--- a/larkcrank/lab/clients.py
+++ b/larkcrank/lab/clients.py
@@ -55,7 +55,7 @@
             return
         ask.status, ask.ended_at = answer.status, self._clients.ledger.now()
         ask.body = answer.body[:64].decode("latin-1")
-        if answer.status in (429, 503) and (after := answer.fields.one(b"retry-after")) is not None:
+        if answer.status in (429, 503) and (after := answer.fields.get_single(b"retry-after")) is not None:
             ask.retry_after = float(after)
         if not answer.keep_alive:
             self.close()
@@ -221,7 +221,7 @@
         if ask.subject:
             lines.append(b"Req-Extra: item=%d" % ask.subject)
         method = b"GET" if cls.effect is Effect.SAFE else b"POST"
-        return http1.request_bytes(method, f"/{cls.name}/{ask.id}".encode(), lines, b"")
+        return http1.encode_request(method, f"/{cls.name}/{ask.id}".encode(), lines, b"")
 
     def _do(self, work: "asyncio._CoroutineLike[None]") -> None:
         task = asyncio.get_running_loop().create_task(work)
--- a/larkcrank/lab/endpoints.py
+++ b/larkcrank/lab/endpoints.py
@@ -227,11 +227,11 @@
                 attempt.ended_at = self._endpoint._ledger.now()
                 self._open.remove(attempt)
 
-        self.link.write(http1.response_bytes(status, lines, body), through)
+        self.link.write(http1.encode_response(status, lines, body), through)
 
     def _request(self, request: http1.Request) -> None:
         endpoint, ledger = self._endpoint, self._endpoint._ledger
-        number = (request.fields.one(b"req-id") or b"").decode("latin-1")
+        number = (request.fields.get_single(b"req-id") or b"").decode("latin-1")
         kind = request.target.lstrip(b"/").partition(b"/")[0].decode("latin-1")
         cls = endpoint._classes.get(kind)
         sidecar, told = self._sidecar, number.partition("-")[0]
@@ -247,7 +247,7 @@
             ledger.event("malformed", endpoint.name, f"no class {kind!r}")
             self.link.close(reset=True)
             return
-        key = (request.fields.one(b"idempotency-key") or b"").decode("latin-1")
+        key = (request.fields.get_single(b"idempotency-key") or b"").decode("latin-1")
         endpoint.take(_Work(attempt, key, cls, self, b"did " + number.encode("latin-1"), extra))
 
     def _near_lost(self) -> None:
--- a/larkcrank/lab/registry.py
+++ b/larkcrank/lab/registry.py
@@ -198,9 +198,9 @@
         if not registry.up:
             return
         if found is None:
-            self.link.write(http1.response_bytes(503, (), b""))
+            self.link.write(http1.encode_response(503, (), b""))
             return
-        self.link.write(http1.response_bytes(200, (), found.body), lambda: registry.told(found))
+        self.link.write(http1.encode_response(200, (), found.body), lambda: registry.told(found))
 
     def lost(self) -> None:
         if self._task is not None:
--- a/larkcrank/lab/scale/hollow.py
+++ b/larkcrank/lab/scale/hollow.py
@@ -35,13 +35,13 @@
 from larkcrank.program.counters import Counters
 from larkcrank.program.together import Together
 from larkcrank.protocol import http1
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.routing.discovery import Call, Discovery
 from larkcrank.routing.driver import Driver
 from larkcrank.routing.servers import Servers
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.descriptors import Descriptors
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.descriptors import DescriptorBudget
+from larkcrank.transport.pool import ConnectionPool
 
 TAG = 1 << 20  # a line's weight is 1 + the number of its last change / TAG, see `tag`
 SEEN_MOST = 8192  # of a sidecar's lists in force that are kept to be told
@@ -160,8 +160,8 @@
 
     async def get(self, target: bytes) -> http1.Response:
         response: http1.Response = await self._line.get(target)
-        head = STATUS_LINE + sum(len(field.line) + 2 for field in response.fields) + 2
-        self._count(head + len(response.body), len(http1.request_bytes(b"GET", target, (b"Host: " + HOST,))))
+        head = STATUS_LINE + sum(len(field.raw_line) + 2 for field in response.fields) + 2
+        self._count(head + len(response.body), len(http1.encode_request(b"GET", target, (b"Host: " + HOST,))))
         return response
 
     def close(self) -> None:
@@ -214,16 +214,16 @@
         self._seen_count = 0
         site = config.site
         self._clock = _Clock(beats)
-        self._names = Names(list(site.zones), list(site.kinds))
-        descriptors = Descriptors(config.sockets)
-        self._pool = Pool(descriptors, site.keepalive_ms)
+        self._names = NameTable(list(site.zones), list(site.kinds))
+        descriptors = DescriptorBudget(config.sockets)
+        self._pool = ConnectionPool(descriptors, site.keepalive_ms)
         self._servers = Servers(
             self._pool,
             descriptors,
             site.connect_timeout_ms,
             site.load_fields,
             config.max_body,
-            Budget(config.memory_mb * MIB),
+            BufferBudget(config.memory_mb * MIB),
             self._clock,
             self.counters,
             self.journal.failure,
@@ -260,11 +260,11 @@
 
     def start(self) -> None:
         """As a sidecar with no list held: discovery is asked."""
-        known: Listing | None = None
+        known: ListUpdate | None = None
         if self._together is not None:
             self._together.attach(self._discovery)
             known = self._together.known(None)
-        self._driver.told(known if known is not None else Listing(0, True, ()), cached=True)
+        self._driver.told(known if known is not None else ListUpdate(0, True, ()), cached=True)
         if not self._must_ask:
             self._discovery.watch()
         self._clock.beat()
--- a/larkcrank/lab/scale/light.py
+++ b/larkcrank/lab/scale/light.py
@@ -22,7 +22,7 @@
 from larkcrank.lab.scale.hollow import SEEN_MOST, TAG, HollowHosts, HollowReport, HostReport, Seen, Spec
 from larkcrank.lab.scale.machine import MIB
 from larkcrank.protocol import http1
-from larkcrank.protocol.discovery import LIST_TARGET, host_port, watch_target
+from larkcrank.protocol.discovery import LIST_TARGET, parse_host_port, watch_target
 
 WAIT_MS = 60_000  # as a sidecar's
 AGAIN_S = 1.0
@@ -114,7 +114,7 @@
         if self._transport is None or self._transport.is_closing():
             return
         target = LIST_TARGET if self.generation is None else watch_target(self.generation, WAIT_MS)
-        request = http1.request_bytes(
+        request = http1.encode_request(
             b"GET", target, (b"Host: %s:%d" % (self._place[0].encode(), self._place[1]),)
         )
         self.calls += 1
@@ -146,7 +146,7 @@
     await commands.open()
     spec = msgspec.json.decode(await commands.spec(), type=Spec)
     numbers = range(spec.first, spec.first + spec.count)
-    places = [host_port(text) for text in spec.discovery]
+    places = [parse_host_port(text) for text in spec.discovery]
     lights = [Light(n, places[n % len(places)], spec.config.get("generation")) for n in numbers]
 
     async def start() -> None:
--- a/larkcrank/lab/scale/registry.py
+++ b/larkcrank/lab/scale/registry.py
@@ -121,7 +121,7 @@
         key = after if reach and after is not None else -1
         found = self._answers.get(key)
         if found is None:
-            found = self._answers[key] = http1.response_bytes(200, (), self._body(key))
+            found = self._answers[key] = http1.encode_response(200, (), self._body(key))
             self.made += 1
         return found
 
@@ -258,7 +258,7 @@
         self._buffer = rest
         target = head.split(b" ", 2)[1] if head.count(b" ") >= 2 else b""
         if not target.startswith(LIST_TARGET):
-            self.tell(http1.response_bytes(404, (), b""))
+            self.tell(http1.encode_response(404, (), b""))
             return
         watch = _WATCH.search(target)
         if watch is None:
--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -73,7 +73,7 @@
     from larkcrank.routing.servers import Servers
 
     def number_of(request: http1.Request) -> str:
-        return (request.fields.one(b"req-id") or b"").decode("latin-1")
+        return (request.fields.get_single(b"req-id") or b"").decode("latin-1")
 
     def fed(kind: str) -> Callable[..., None]:
         def note(*_: object) -> None:
--- a/larkcrank/lab/scale/virtual_way.py
+++ b/larkcrank/lab/scale/virtual_way.py
@@ -293,7 +293,7 @@
             told = [self.lines.get(name) or self._gone[name] for name in names]
         whole = after is None or not 1 <= after <= self.generation
         body = {"generation": self.generation, "reset": whole, "instances": told}
-        return http1.response_bytes(200, (), msgspec.json.encode(body))
+        return http1.encode_response(200, (), msgspec.json.encode(body))
 
     def ask(self, asked: "_Asked", target: bytes) -> None:
         self.calls += 1
@@ -383,10 +383,10 @@
     def _ask(self) -> None:
         assert self._transport is not None
         target = LIST_TARGET if self.generation is None else watch_target(self.generation, WAIT_MS)
-        self._parser = http1.ResponseParser(max_body=64 << 20)
+        self._parser = http1.ResponseParser(max_body_bytes=64 << 20)
         self.calls += 1
         self._world.note_call(self)
-        self._transport.write(http1.request_bytes(b"GET", target, (b"Host: d",)))
+        self._transport.write(http1.encode_request(b"GET", target, (b"Host: d",)))
         self._limited(FETCH_S if self.generation is None else WAIT_MS / 1000.0 + SLACK_S)
 
     def _fail(self) -> None:
--- a/larkcrank/lab/stranger.py
+++ b/larkcrank/lab/stranger.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from larkcrank.fleet.wire import SEAL_BYTES, VERSION
-from larkcrank.protocol.discovery import host_port
+from larkcrank.protocol.discovery import parse_host_port
 
 EACH_S = 0.1
 
@@ -25,7 +25,7 @@
         head, body = bytes((VERSION + 1,)), msgspec.msgpack.encode(["hello", "from later"])
         seal = blake2b(head + body, digest_size=SEAL_BYTES, key=key).digest()
         self.datagram = head + seal + body
-        self.others = [host_port(seed) for seed in fleet["seeds"]]
+        self.others = [parse_host_port(seed) for seed in fleet["seeds"]]
         self.heard = 0
         self.transport: asyncio.DatagramTransport | None = None
 
@@ -46,7 +46,9 @@
 async def main() -> None:
     config = msgspec.json.decode(Path(os.environ["PROXY_CONFIG"]).read_bytes())
     stranger, loop = Stranger(config["fleet"]), asyncio.get_running_loop()
-    await loop.create_datagram_endpoint(lambda: stranger, local_addr=host_port(config["fleet"]["listen"]))
+    await loop.create_datagram_endpoint(
+        lambda: stranger, local_addr=parse_host_port(config["fleet"]["listen"])
+    )
     loop.add_signal_handler(signal.SIGUSR1, stranger.tell)
     print('{"event": "ready"}', file=sys.stderr, flush=True)
     while stranger.transport is not None:
--- a/larkcrank/lab/tiers.py
+++ b/larkcrank/lab/tiers.py
@@ -143,9 +143,9 @@
                 while self.silent:
                     await self._changed.wait()
                 if self.status != 200:
-                    writer.write(http1.response_bytes(self.status, (), b""))
+                    writer.write(http1.encode_response(self.status, (), b""))
                 else:
-                    writer.write(http1.response_bytes(200, (), self.answer(after)))
+                    writer.write(http1.encode_response(200, (), self.answer(after)))
                 await writer.drain()
         except ConnectionError:
             pass
@@ -414,8 +414,8 @@
             target = TARGET
             if self.generation is not None:
                 target += b"?after=%d&wait_ms=%d" % (self.generation, self.wait_ms)
-            kept.writer.write(http1.request_bytes(b"GET", target, (b"Host: " + written(place).encode(),)))
-            parser = http1.ResponseParser(max_body=ANSWER_MOST)
+            kept.writer.write(http1.encode_request(b"GET", target, (b"Host: " + written(place).encode(),)))
+            parser = http1.ResponseParser(max_body_bytes=ANSWER_MOST)
             while not parser.complete:
                 data = await kept.reader.read(65536)
                 await self.receives.wait()
--- a/larkcrank/program/ops.py
+++ b/larkcrank/program/ops.py
@@ -13,7 +13,7 @@
 from larkcrank.protocol.ops import Call, CallError, CallParser
 from larkcrank.routing.life import Life
 from larkcrank.transport.connection import Connection, ConnectionLostError
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 SILENT_S = 2.0  # a call must be whole by then
 LINGER_S = 0.2  # what an operator still sends is read before the end, or the answer could be lost
@@ -25,7 +25,7 @@
     def __init__(
         self,
         life: Life,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         called: Callable[[Call, bool], None],
         failed: Callable[[str, BaseException], None],
         view: Callable[[], str | None],
@@ -36,7 +36,7 @@
         self._failed = failed
         self._open: OrderedDict[Connection, None] = OrderedDict()  # longest first
         self._tasks: set[asyncio.Task[None]] = set()
-        descriptors.add_spare(Use.OPERATOR, self._make_way)
+        descriptors.register_evictor(SocketUse.OPERATOR, self._make_way)
 
     def accept(self, connection: Connection) -> None:
         self._open[connection] = None
@@ -61,7 +61,7 @@
                 text = await self._answer(connection)
             async with asyncio.timeout(LINGER_S):
                 await connection.write(text)
-                connection.stop_sending()
+                connection.shutdown_write()
                 while True:
                     await connection.read()
         except (ConnectionLostError, TimeoutError):
@@ -78,14 +78,14 @@
             while (call := parser.feed(await connection.read())) is None:
                 pass
         except CallError as error:
-            return ops.answer(False, str(error))
+            return ops.encode_answer(False, str(error))
         if call is Call.VIEW:
             told = self._view()
             self._called(call, told is not None)
-            return ops.answer(told is not None, told or "no view of the fleet is kept")
+            return ops.encode_answer(told is not None, told or "no view of the fleet is kept")
         done = self._carry_out(call)
         self._called(call, done)
-        return ops.answer(done, self._life.phase.value)
+        return ops.encode_answer(done, self._life.phase.value)
 
     def _carry_out(self, call: Call) -> bool:
         match call:
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -17,17 +17,17 @@
 from larkcrank.program.counters import Counters
 from larkcrank.program.log import Log
 from larkcrank.program.ops import Operators
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.protocol.ops import Call
 from larkcrank.routing.clients import Clients
 from larkcrank.routing.discovery import Discovery
 from larkcrank.routing.driver import Driver
 from larkcrank.routing.life import Life, Phase
 from larkcrank.routing.servers import Servers
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from larkcrank.transport.listener import Listener
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.pool import ConnectionPool
 
 if TYPE_CHECKING:
     from larkcrank.program.together import Together
@@ -53,9 +53,9 @@
         self._clock = Clock()
         self._rng = Random(config.seed)
         site = config.site
-        self.descriptors = Descriptors(config.sockets, operators=config.ops is not None)
-        self.budget = Budget(config.memory_mb * (1 << 20))
-        self.pool = Pool(self.descriptors, site.keepalive_ms)
+        self.descriptors = DescriptorBudget(config.sockets, has_operators=config.ops is not None)
+        self.budget = BufferBudget(config.memory_mb * (1 << 20))
+        self.pool = ConnectionPool(self.descriptors, site.keepalive_ms)
         self._servers = servers = Servers(
             self.pool,
             self.descriptors,
@@ -68,7 +68,7 @@
             log.failure,
             site.decisions.only_draining_binds,
         )
-        self._names = Names(list(site.zones), list(site.kinds))
+        self._names = NameTable(list(site.zones), list(site.kinds))
         self._discovery = Discovery(
             config.discovery,
             self.descriptors,
@@ -109,14 +109,14 @@
             self.counters,
             log.failure,
         )
-        self._listener = Listener(config.listen, self.descriptors, self.clients.accept, passed=passed)
+        self._listener = Listener(config.listen, self.descriptors, self.clients.accept, passed_socket=passed)
         self._others = [0, 0]  # processes of this sidecar that live beside this one: before it, after it
         self._predecessor: handover.Predecessor | None = None
         self._successors: handover.Successors | None = None
         self._operators: Listener | None = None
         if config.ops is not None:
             operators = Operators(self.life, self.descriptors, self._called, log.failure, self._view)
-            self._operators = Listener(config.ops, self.descriptors, operators.accept, Use.OPERATOR)
+            self._operators = Listener(config.ops, self.descriptors, operators.accept, SocketUse.OPERATOR)
         self._sending_away: asyncio.Task[None] | None = None
         self._together = self._make_together()
         self._always_watch = not site.decisions.must_ask
@@ -126,12 +126,12 @@
 
     @property
     def place(self) -> tuple[str, int]:
-        return self._listener.place
+        return self._listener.host_port
 
     @property
     def ops_place(self) -> tuple[str, int]:
         assert self._operators is not None
-        return self._operators.place
+        return self._operators.host_port
 
     async def begin(self) -> None:
         """Serve as soon as that can be done by a list that is current enough.
@@ -139,7 +139,7 @@
         A process that serves already hands over its list and what it learnt. Where one is there and can't be
         heard, this one waits for discovery, but not long: a slow one must not keep it from its work.
         """
-        if not self._listener.is_passed:
+        if not self._listener.uses_passed_socket:
             self.start()
             return
         if self._operators is not None:
@@ -191,8 +191,8 @@
     def _shares(self, where: int, count: int) -> None:
         """The limits are those of one sidecar: its processes share them evenly while more than one lives."""
         self._others[where] = count
-        self.descriptors.share_with(sum(self._others))
-        self.budget.share_with(sum(self._others))
+        self.descriptors.set_other_processes(sum(self._others))
+        self.budget.set_other_processes(sum(self._others))
         self.log.event("processes", beside=sum(self._others))
 
     def _predecessor_gone(self) -> None:
@@ -230,14 +230,14 @@
         self._open_door()
 
     def _learn_list(self, handed: handover.Handed | None) -> None:
-        known: Listing | None = None
+        known: ListUpdate | None = None
         if self._together is not None and self._predecessor is None:  # beside one it asks for itself
             self._together.attach(self._discovery)
         if handed is not None:
             self._balancer.import_state(handed.learnt)
             self._names.zones[:], self._names.kinds[:] = handed.zones, handed.kinds
             endpoints = tuple(server.endpoint for server in handed.learnt.servers)
-            known = Listing(handed.generation or 0, True, endpoints, handed.places)
+            known = ListUpdate(handed.generation or 0, True, endpoints, handed.places)
             self._discovery.go_on_from(handed.generation)
             self._discovery.doubt()  # the process before may have had no answer of late
             self.log.event("taken_over", known=len(endpoints), taken=handed.learnt.known[1])
@@ -248,7 +248,7 @@
                 known = self._together.known(known)
                 self._discovery.go_on_from(known.generation if known is not None else None)
         if known is None:
-            known = Listing(0, True, ())
+            known = ListUpdate(0, True, ())
         # Also where none is known: the balancer sets its timer, by which it asks, on its first event.
         self._driver.told(known, cached=True)
         if self._always_watch:
@@ -358,7 +358,7 @@
 
     async def stop_listening(self) -> None:
         """Take what the kernel has accepted, then nothing more. Answers make room where there is none."""
-        while not self._listener.finish():
+        while not self._listener.accept_remaining_and_close():
             await asyncio.sleep(LOOK_S)
             self.clients.close_idle()
 
@@ -386,14 +386,16 @@
         last_ms = min(longest, LONGEST_MS) + LAST_MS
         self.life.end(self._clock() + last_ms)
         self._driver.end_by(self.life.latest)
-        if self._listener.is_passed:
+        if self._listener.uses_passed_socket:
             await self.stop_listening()  # what waits there is the successor's
-        while (spent := loop.time() - began) < (LEAVE_PASSED_S if self._listener.is_passed else ACCEPT_ON_S):
+        while (spent := loop.time() - began) < (
+            LEAVE_PASSED_S if self._listener.uses_passed_socket else ACCEPT_ON_S
+        ):
             await asyncio.sleep(LOOK_S)
-            if spent >= LEAVE_IDLE_S and not self._listener.is_passed:
+            if spent >= LEAVE_IDLE_S and not self._listener.uses_passed_socket:
                 self.clients.close_idle(REST_S)  # a request that crosses this finds the listener still open
         await self.stop_listening()
-        rest_s = REST_S if self._listener.is_passed else 0.0
+        rest_s = REST_S if self._listener.uses_passed_socket else 0.0
         while self.clients.open:
             await asyncio.sleep(LOOK_S)  # what the last accept brought is read first
             self.clients.close_idle(rest_s)
--- a/larkcrank/program/start.py
+++ b/larkcrank/program/start.py
@@ -8,7 +8,7 @@
 from larkcrank.config.sidecar import Config, ConfigError, load
 from larkcrank.program.log import Log
 from larkcrank.program.sidecar import Sidecar
-from larkcrank.transport.listener import PassedSocketError, adopt
+from larkcrank.transport.listener import PassedSocketError, adopt_socket
 
 
 async def _run(config: Config, log: Log, passed: socket.socket | None) -> None:
@@ -20,7 +20,7 @@
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))  # until its handler stands
     try:
         config = load(os.environ)
-        passed = None if config.passed is None else adopt(config.passed)
+        passed = None if config.passed is None else adopt_socket(config.passed)
     except (ConfigError, PassedSocketError) as error:
         Log(os.environ.get("PROXY_NAME", "")).event("bad_configuration", message=str(error))
         return 2
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -20,7 +20,7 @@
 from larkcrank.fleet.restart import Restart, which
 from larkcrank.fleet.speaker import Speaker
 from larkcrank.fleet.wire import Line
-from larkcrank.protocol.discovery import Listing, Names, host_port
+from larkcrank.protocol.discovery import ListUpdate, NameTable, parse_host_port
 from larkcrank.routing.discovery import Discovery
 from larkcrank.routing.driver import Driver, Journal
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         config: Config,
-        names: Names,
+        names: NameTable,
         clock: Callable[[], float],
         log: Journal,
         driver: Driver,
@@ -69,7 +69,7 @@
             self._attached = True
             self._recovery.attach(discovery)
 
-    def known(self, listing: Listing | None) -> Listing | None:
+    def known(self, listing: ListUpdate | None) -> ListUpdate | None:
         """The list to begin with: the configuration's, or the one of before where that is newer."""
         return listing if self._recovery is None else self._recovery.known(listing)
 
@@ -120,7 +120,7 @@
         self,
         config: Config,
         recovery: RecoveryConfig,
-        names: Names,
+        names: NameTable,
         clock: Callable[[], float],
         log: Journal,
         driver: Driver,
@@ -141,7 +141,7 @@
         self._heard: list[tuple[float, list[Line], int, bool]] = []  # before it joined
         self._listed: tuple[list[Line], int, float] = [], -1, -1.0  # the list begun with, and its age
         self._gone: dict[str, tuple[float, State, float]] = {}
-        self._told: Callable[[Listing], None] = driver.told
+        self._told: Callable[[ListUpdate], None] = driver.told
         self._failed: Callable[[str], None] = lambda reason: None
         self._is_off = False
         self._saved: object = None  # what the file holds
@@ -176,17 +176,17 @@
 
     # Discovery's own word, and leave to ask for it
 
-    def _on_list(self, listing: Listing) -> None:
+    def _on_list(self, listing: ListUpdate) -> None:
         now = self._clock()
         self._asking.heard()
         lines = self._lines(listing)
         if self._lists is None:
             if not self._is_off:
-                self._heard = [*self._heard, (now, lines, listing.generation, listing.whole)][-64:]
+                self._heard = [*self._heard, (now, lines, listing.generation, listing.is_full)][-64:]
             self._told(listing)
             return
-        kept = self._lists.heard(now, lines, listing.generation, listing.whole)
-        self._told(listing if kept == lines else self._listing(listing.generation, listing.whole, kept))
+        kept = self._lists.heard(now, lines, listing.generation, listing.is_full)
+        self._told(listing if kept == lines else self._listing(listing.generation, listing.is_full, kept))
 
     def _on_failure(self, reason: str) -> None:
         self._asking.failed(self._clock())
@@ -242,7 +242,7 @@
 
     # The snapshot
 
-    def known(self, listing: Listing | None) -> Listing | None:
+    def known(self, listing: ListUpdate | None) -> ListUpdate | None:
         """What to begin with; also remembers what a snapshot tells besides."""
         found = self._read()
         if found is not None:
@@ -325,11 +325,11 @@
 
     # Listings and lines
 
-    def _lines(self, listing: Listing) -> list[Line]:
+    def _lines(self, listing: ListUpdate) -> list[Line]:
         return [self._line(endpoint, listing) for endpoint in listing.endpoints]
 
-    def _line(self, endpoint: Endpoint, listing: Listing) -> Line:
-        place = listing.places.get(endpoint.address)
+    def _line(self, endpoint: Endpoint, listing: ListUpdate) -> Line:
+        place = listing.host_ports.get(endpoint.address)
         return Line(
             endpoint.address.decode(),
             int(endpoint.state),
@@ -341,15 +341,15 @@
             "" if place is None else f"{place[0]}:{place[1]}",
         )
 
-    def _listing(self, generation: int, whole: bool, lines: "list[Line] | tuple[Line, ...]") -> Listing:
+    def _listing(self, generation: int, whole: bool, lines: "list[Line] | tuple[Line, ...]") -> ListUpdate:
         endpoints, places = [], {}
         for line in lines:
             state, address = State(line.state), line.name.encode()
             try:
-                places[address] = host_port(line.place)
+                places[address] = parse_host_port(line.place)
             except ValueError:  # as discovery's own: such a server gets nothing new
                 state = State.GONE if state is State.GONE else State.DRAINING
-            zone = Names.number(self._names.zones, line.zone)
-            kind = Names.number(self._names.kinds, line.kind)
+            zone = NameTable.number_of(self._names.zones, line.zone)
+            kind = NameTable.number_of(self._names.kinds, line.kind)
             endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_ms))
-        return Listing(generation, whole, tuple(endpoints), places)
+        return ListUpdate(generation, whole, tuple(endpoints), places)
--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -12,10 +12,10 @@
 from larkcrank.protocol import http1, platform
 from larkcrank.routing.exchange import Answer, Exchange, StreamAnswer, Upload
 from larkcrank.routing.life import Life
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.closewatch import CloseWatch
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.closewatch import CloseWatcher
 from larkcrank.transport.connection import Connection, ConnectionLostError
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 # A head must be whole by then, of a connection's first request counted from its accept. After it, so many
 # bytes of the body, or its end, must come every so often in which we read.
@@ -59,8 +59,8 @@
         desk: Desk,
         life: Life,
         came_at: Callable[[], float],
-        descriptors: Descriptors,
-        budget: Budget,
+        descriptors: DescriptorBudget,
+        budget: BufferBudget,
         max_body: int,
         tally: Tally,
         failed: Callable[[str, BaseException], None],
@@ -80,12 +80,12 @@
         )  # no whole request has come, nor a part of one
         self._idle: OrderedDict[_Visit, None] = OrderedDict()  # served before
         self._ids: set[str] = set()  # of the requests in hand
-        self._close_watch = CloseWatch()
+        self._close_watch = CloseWatcher()
         self._sweeper: asyncio.TimerHandle | None = None
         self._descriptors = descriptors
         self._budget = budget
         self._max_body = max_body
-        descriptors.add_spare(Use.CLIENT, self._make_way, self._longest)
+        descriptors.register_evictor(SocketUse.CLIENT, self._make_way, self._longest)
 
     @property
     def open(self) -> int:
@@ -112,7 +112,7 @@
     def cut(self) -> None:
         """End every connection; what is half written on one shows that it is not whole."""
         for visit in self._open.values():
-            visit.connection.break_off()
+            visit.connection.abort()
             if visit.task is not None:
                 visit.task.cancel()
 
@@ -132,7 +132,7 @@
         """Close the one that has rested longest, if it has since then."""
         while resting and (visit := next(iter(resting))).since <= since:
             del resting[visit]  # one that was sent something just now is about to be read
-            if visit.over or visit.connection.is_quiet():
+            if visit.over or visit.connection.is_idle():
                 visit.connection.close()
                 return True
         return False
@@ -147,12 +147,12 @@
                 continue
             if now - visit.since < PART_TIMEOUT_S:
                 continue
-            if visit.parser.begun:
+            if visit.parser.has_partial_request:
                 self._tally.bad_requests += 1
-                visit.connection.write_last(_bad(http1.MessageError(408, "request not whole in time")))
-            elif visit.connection.is_quiet():
+                visit.connection.write_and_close(_bad(http1.MessageError(408, "request not whole in time")))
+            elif visit.connection.is_idle():
                 visit.connection.close()
-        while self._descriptors.share(Use.CLIENT) > IDLE_ABOVE and self._close_first(
+        while self._descriptors.used_share(SocketUse.CLIENT) > IDLE_ABOVE and self._close_first(
             self._idle, now - IDLE_S
         ):
             pass
@@ -191,12 +191,12 @@
         parser, connection = visit.parser, visit.connection
         has_head = False
         while (request := parser.next()) is None:
-            if parser.has_head and not has_head:
+            if parser.awaits_body and not has_head:
                 has_head, visit.came, visit.since = True, 0, asyncio.get_running_loop().time()
-            if parser.wants_continue:
-                parser.wants_continue = False
-                await connection.write(http1.CONTINUE)
-            if parser.begun:
+            if parser.expects_continue:
+                parser.expects_continue = False
+                await connection.write(http1.CONTINUE_RESPONSE)
+            if parser.has_partial_request:
                 await self._read(visit)
                 continue
             self._rest(visit)
@@ -207,8 +207,8 @@
         return request
 
     async def _read(self, visit: "_Visit") -> None:
-        had_head = visit.parser.has_head
-        data = await visit.connection.read(self._budget.step)
+        had_head = visit.parser.awaits_body
+        data = await visit.connection.read(self._budget.read_size)
         visit.parser.feed(data)
         visit.read_at = self._came_at()
         if had_head:  # and so is at its body
@@ -277,16 +277,16 @@
         """Read the body. Its last byte begins the request's time."""
         parser = visit.parser
         try:
-            if parser.wants_continue:
-                await visit.connection.write(http1.CONTINUE)
-            while parser.passing:
-                data = await visit.connection.read(self._budget.step)
+            if parser.expects_continue:
+                await visit.connection.write(http1.CONTINUE_RESPONSE)
+            while parser.is_streaming:
+                data = await visit.connection.read(self._budget.read_size)
                 parser.feed(data)
-                part = parser.part()
+                part = parser.take_part()
                 visit.read_at = self._came_at()
                 upload.put(part)
                 self._progress(visit, len(data))
-                if parser.passing and upload.is_full:
+                if parser.is_streaming and upload.is_full:
                     visit.blocked = True
                     with self._leaving(visit, exchange):
                         await upload.room()
@@ -307,7 +307,9 @@
     async def _await_answer(self, visit: "_Visit", request: http1.Request, exchange: Exchange) -> bool:
         connection, first = visit.connection, exchange.first()
         while not first.done():
-            if visit.parser.begun:  # it sent on ahead: no more is read until this one is answered
+            if (
+                visit.parser.has_partial_request
+            ):  # it sent on ahead: no more is read until this one is answered
                 with self._leaving(visit, exchange):
                     await asyncio.wait((first,))
                 break
@@ -329,7 +331,7 @@
         self, visit: "_Visit", request: http1.Request, status: int, lines: tuple[bytes, ...], body: bytes
     ) -> bool:
         close = self._ends_with(visit, request)
-        text = http1.response_bytes(status, lines, body, close, kept=request.is_old)
+        text = http1.encode_response(status, lines, body, close, announce_keep_alive=request.is_http10)
         await self._write_part(visit.connection, text)
         return not close
 
@@ -338,23 +340,25 @@
     ) -> bool:
         close = self._ends_with(visit, request)
         connection = visit.connection
-        chunked = answer.length is None and not request.is_old
-        framing = b"" if answer.length is None else http1.length_line(answer.length)
+        chunked = answer.length is None and not request.is_http10
+        framing = b"" if answer.length is None else http1.content_length_line(answer.length)
         if chunked:
-            framing = http1.CHUNKED
+            framing = http1.CHUNKED_LINE
         close = close or not framing  # HTTP/1.0 knows no chunks: the connection's end is the body's
         if not visit.early:  # else the pump reads, and sees it
             connection.start_read().add_done_callback(lambda _: connection.closed and exchange.leave())
-        head = http1.stream_head_bytes(answer.status, answer.lines, framing, close, kept=request.is_old)
+        head = http1.encode_response_head(
+            answer.status, answer.lines, framing, close, announce_keep_alive=request.is_http10
+        )
         await self._write_part(connection, head)
         while (part := await exchange.next_part()) is not None:
             if part:
-                await self._write_part(connection, http1.chunk_bytes(part) if chunked else part)
+                await self._write_part(connection, http1.encode_chunk(part) if chunked else part)
         if exchange.broken:
-            connection.break_off()  # the client sees that it is not whole, however it is framed
+            connection.abort()  # the client sees that it is not whole, however it is framed
             return False
         if chunked:
-            await self._write_part(connection, http1.chunk_bytes(b""))
+            await self._write_part(connection, http1.encode_chunk(b""))
         return not close
 
     @staticmethod
@@ -368,18 +372,18 @@
 
     def _ends_with(self, visit: "_Visit", request: http1.Request) -> bool:
         """Whether the connection ends with this answer: it is asked to, or its place is wanted."""
-        wanted = self._life.sends_away or self._descriptors.wanted
+        wanted = self._life.sends_away or self._descriptors.has_waiters
         return wanted or visit.early or not request.keep_alive
 
     def _exchange(self, request: http1.Request, visit: "_Visit") -> Exchange:
-        call = platform.read_call(request)
+        call = platform.read_call_info(request)
         index, cls = self._class_of(request, call)
         if call.id in self._ids:  # two answers to one id could not be told apart
             raise http1.MessageError(409, "a request with this Req-Id is in hand")
         _check_method(cls.effect, call, request)
         if self._tenants and call.owner and call.owner not in self._tenants:
             raise http1.MessageError(400, "unknown Req-Owner")
-        wait_ms = cls.deadline_ms if call.wait_ms is None else call.wait_ms
+        wait_ms = cls.deadline_ms if call.client_timeout_ms is None else call.client_timeout_ms
         came_at = visit.read_at
         return Exchange(
             id=self._desk.next_id(),
@@ -387,20 +391,20 @@
             call=call,
             request=request,
             came_at=came_at,
-            deadline=min(came_at + wait_ms, self._life.latest) if request.whole else math.inf,
+            deadline=min(came_at + wait_ms, self._life.latest) if request.is_complete else math.inf,
             streaming=cls.streaming,
             tenant=self._tenants.get(call.owner, 0),
-            upload=None if request.whole else Upload(request.body, self._budget),
+            upload=None if request.is_complete else Upload(request.body, self._budget),
             wait_ms=wait_ms,
-            key=platform.subject_of(request) if cls.in_turn or self._warm_keys else 0,
-            client_ended=visit.connection.has_ended,
+            key=platform.read_object_key(request) if cls.in_turn or self._warm_keys else 0,
+            client_ended=visit.connection.has_peer_closed,
         )
 
-    def _class_of(self, request: http1.Request, call: platform.Call) -> tuple[int, RequestClass]:
+    def _class_of(self, request: http1.Request, call: platform.CallInfo) -> tuple[int, RequestClass]:
         found = self._classes.get(call.kind)
         if found is None:
             raise http1.MessageError(404, "unknown class of request")
-        by_path = self._classes.get(platform.first_part(request.target), found)
+        by_path = self._classes.get(platform.first_path_segment(request.target), found)
         if by_path is not found:  # a wrong class could repeat what must not be repeated
             raise http1.MessageError(400, "Req-Kind and path name two classes")
         return found
@@ -412,13 +416,13 @@
         visit.over, visit.since = True, 0.0  # the first to make way
         self._silent[visit] = None
         self._silent.move_to_end(visit, last=False)
-        if not visit.parser.begun and connection.is_quiet():
-            connection.write_last(_bad(error))
+        if not visit.parser.has_partial_request and connection.is_idle():
+            connection.write_and_close(_bad(error))
             return
         try:
             async with asyncio.timeout(LINGER_S):
                 await connection.write(_bad(error))
-                connection.stop_sending()
+                connection.shutdown_write()
                 read = 0
                 while read < LINGER_BYTES:
                     read += len(await connection.read())
@@ -427,18 +431,18 @@
 
 
 def _bad(error: http1.MessageError) -> bytes:
-    return http1.response_bytes(error.status, (), str(error).encode(), close=True)
+    return http1.encode_response(error.status, (), str(error).encode(), close=True)
 
 
-def _check_method(effect: Effect, call: platform.Call, request: http1.Request) -> None:
+def _check_method(effect: Effect, call: platform.CallInfo, request: http1.Request) -> None:
     """Method, body and key follow from the class; else what a server makes of it is not what we decide by."""
     if request.method != (b"GET" if effect is Effect.SAFE else b"POST"):
         raise http1.MessageError(405, "method does not fit the class")
-    if effect is Effect.SAFE and (request.body or not request.whole):
+    if effect is Effect.SAFE and (request.body or not request.is_complete):
         raise http1.MessageError(400, "body on a request of a class that is safe to repeat")
-    if effect is Effect.KEYED and not call.has_key:
+    if effect is Effect.KEYED and not call.has_idempotency_key:
         raise http1.MessageError(400, "no Idempotency-Key on a request of a keyed class")
-    if effect is Effect.UNSAFE and call.has_key:
+    if effect is Effect.UNSAFE and call.has_idempotency_key:
         raise http1.MessageError(400, "Idempotency-Key on a request of a class that has none")
 
 
@@ -488,4 +492,4 @@
         self.task: asyncio.Task[None] | None = None
 
     def is_idle(self) -> bool:
-        return not self.busy and not self.parser.begun and self.connection.is_quiet()
+        return not self.busy and not self.parser.has_partial_request and self.connection.is_idle()
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -7,9 +7,14 @@
 from typing import TYPE_CHECKING, Protocol
 
 from larkcrank.protocol import discovery, http1
-from larkcrank.protocol.discovery import Listing, Names
-from larkcrank.transport.connection import Connecting, Connection, ConnectionLostError, NoRoomError
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.protocol.discovery import ListUpdate, NameTable
+from larkcrank.transport.connection import (
+    Connection,
+    ConnectionLostError,
+    NoDescriptorError,
+    PendingConnection,
+)
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 if TYPE_CHECKING:
     from larkcrank.routing.places import Places
@@ -52,8 +57,8 @@
     def __init__(
         self,
         place: tuple[str, int],
-        descriptors: Descriptors,
-        names: Names,
+        descriptors: DescriptorBudget,
+        names: NameTable,
         connect_timeout_ms: float,
         always: bool,
         rng: Random,
@@ -87,16 +92,16 @@
         self._moved = False  # to another discovery than the configuration at the start named
         self._fetch: asyncio.Task[None] | None = None
         self._closed = False
-        self.on_list: Callable[[Listing], None] = lambda _: None
+        self.on_list: Callable[[ListUpdate], None] = lambda _: None
         self.on_failure: Callable[[str], None] = lambda _: None
         # Whether to call now; where one is set, it alone says when: a failed watch waits for its next turn.
         self.gate: Callable[[], bool] | None = None
 
-    def start_from(self, text: bytes) -> Listing | None:
+    def start_from(self, text: bytes) -> ListUpdate | None:
         """The list as last held; None where there is none that can be read."""
         try:
-            listing = discovery.parse(text, self._names)
-        except discovery.ListError:
+            listing = discovery.parse_list(text, self._names)
+        except discovery.ServerListError:
             return None
         self.go_on_from(listing.generation)
         return listing
@@ -277,9 +282,9 @@
             response = await self._get(line, call)
             if response.status != 200:
                 raise ConnectionLostError(f"answered {response.status}")
-            listing = discovery.parse(response.body, self._names)
-            if whole and not listing.whole:
-                listing = Listing(listing.generation, True, listing.endpoints, listing.places)
+            listing = discovery.parse_list(response.body, self._names)
+            if whole and not listing.is_full:
+                listing = ListUpdate(listing.generation, True, listing.endpoints, listing.host_ports)
             self._tally.lists += 1
             self._doubted = False
             if call is not Call.LIST:
@@ -298,10 +303,10 @@
             self.on_list(listing)
         except (
             ConnectionLostError,
-            NoRoomError,
+            NoDescriptorError,
             TimeoutError,
             http1.MessageError,
-            discovery.ListError,
+            discovery.ServerListError,
         ) as error:
             line.close()
             self._tally.discovery_failures += 1
@@ -360,14 +365,16 @@
 class _Line:
     """A connection to discovery, kept between calls."""
 
-    def __init__(self, place: tuple[str, int], descriptors: Descriptors, connect_timeout_ms: float) -> None:
+    def __init__(
+        self, place: tuple[str, int], descriptors: DescriptorBudget, connect_timeout_ms: float
+    ) -> None:
         self.place, self._descriptors, self._connect_timeout_ms = place, descriptors, connect_timeout_ms
         self._connection: Connection | None = None
 
     async def get(self, target: bytes) -> http1.Response:
         """One call. Raises `_CrossedError` where it met the end of a kept one; the next has a new one."""
         loop = asyncio.get_running_loop()
-        if self._connection is not None and self._connection.is_quiet():
+        if self._connection is not None and self._connection.is_idle():
             began = loop.time()
             try:
                 return await self._get(self._connection, target)
@@ -377,14 +384,14 @@
                 self.close()
                 raise _CrossedError(str(error)) from None
         self.close()
-        connecting = Connecting(self.place, self._descriptors, Use.DISCOVERY)
+        connecting = PendingConnection(self.place, self._descriptors, SocketUse.DISCOVERY)
         self._connection = connecting.connection
         return await self._get(await connecting.wait(self._connect_timeout_ms), target)
 
     async def _get(self, connection: Connection, target: bytes) -> http1.Response:
         host = b"Host: %s:%d" % (self.place[0].encode(), self.place[1])
-        await connection.write(http1.request_bytes(b"GET", target, (host,)))
-        parser = http1.ResponseParser(max_body=MAX_LIST)
+        await connection.write(http1.encode_request(b"GET", target, (host,)))
+        parser = http1.ResponseParser(max_body_bytes=MAX_LIST)
         parser.feed(await connection.read())
         async with asyncio.timeout(REST_S):
             while not parser.complete:
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -32,7 +32,7 @@
     Watch,
 )
 from larkcrank.protocol import platform
-from larkcrank.protocol.discovery import Listing
+from larkcrank.protocol.discovery import ListUpdate
 from larkcrank.routing.discovery import Discovery
 from larkcrank.routing.exchange import Exchange
 from larkcrank.routing.servers import Attempt, Servers
@@ -166,12 +166,12 @@
 
     # What the server side and discovery tell
 
-    def told(self, listing: Listing, cached: bool = False) -> None:
+    def told(self, listing: ListUpdate, cached: bool = False) -> None:
         self._servers.learn(listing)
         if self._discovery_down and not cached:
             self._discovery_down = False
             self._journal.event("discovery_answers", generation=listing.generation)
-        self.feed(ServerList(listing.endpoints, listing.whole, cached, listing.generation))
+        self.feed(ServerList(listing.endpoints, listing.is_full, cached, listing.generation))
 
     def _discovery_failed(self, reason: str) -> None:
         if not self._discovery_down:  # the log tells changes of state only
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 
 from larkcrank.protocol import http1
-from larkcrank.protocol.platform import Call
-from larkcrank.transport.budget import Budget
+from larkcrank.protocol.platform import CallInfo
+from larkcrank.transport.budget import BufferBudget
 from larkcrank.transport.connection import ConnectionLostError
 
 AHEAD = 512 * 1024  # of a body that its endpoint has not taken yet, while memory is plenty
@@ -38,7 +38,7 @@
     The beginning stays held, and can be sent again, until more than `HELD` has passed.
     """
 
-    def __init__(self, beginning: bytes, budget: Budget) -> None:
+    def __init__(self, beginning: bytes, budget: BufferBudget) -> None:
         self._budget = budget
         self._parts: deque[bytes] = deque()
         self._held = 0
@@ -61,7 +61,7 @@
         if data and not self.over:
             self._parts.append(data)
             self._held += len(data)
-            self._budget.hold(len(data))
+            self._budget.reserve(len(data))
             self._drop()
             self._moved.set()
 
@@ -69,7 +69,10 @@
     def is_full(self) -> bool:
         """No more should be read. What is left unread may hold the last byte, and time runs from that one: so
         an endpoint's delay is made up for here as long as the memory allows it."""
-        return self._held > (http1.HELD if self._budget.is_short else AHEAD) and not self.over
+        return (
+            self._held > (http1.MAX_BUFFERED_BODY_BYTES if self._budget.is_used_up else AHEAD)
+            and not self.over
+        )
 
     async def room(self) -> None:
         while self.is_full:
@@ -83,7 +86,7 @@
     def end(self) -> None:
         """Nothing of it is wanted any more; the one place where its bytes are given back."""
         self.over = True
-        self._budget.give_back(self._held)
+        self._budget.release(self._held)
         self._held = 0
         self._parts.clear()
         self._moved.set()
@@ -109,11 +112,11 @@
         return part
 
     def _drop(self) -> None:
-        while self._held > http1.HELD and self._taken > self._dropped:
+        while self._held > http1.MAX_BUFFERED_BODY_BYTES and self._taken > self._dropped:
             gone = len(self._parts.popleft())
             self._dropped += 1
             self._held -= gone
-            self._budget.give_back(gone)
+            self._budget.release(gone)
             self._moved.set()
 
 
@@ -127,7 +130,7 @@
 
     id: int
     cls: int
-    call: Call
+    call: CallInfo
     request: http1.Request
     came_at: float
     deadline: float
--- a/larkcrank/routing/servers.py
+++ b/larkcrank/routing/servers.py
@@ -8,12 +8,17 @@
 
 from larkcrank.core.interface import Address, Result, State
 from larkcrank.protocol import http1, platform
-from larkcrank.protocol.discovery import Listing
+from larkcrank.protocol.discovery import ListUpdate
 from larkcrank.routing.exchange import Exchange, Upload
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.connection import Connecting, Connection, ConnectionLostError, NoRoomError
-from larkcrank.transport.descriptors import Descriptors, Use
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.connection import (
+    Connection,
+    ConnectionLostError,
+    NoDescriptorError,
+    PendingConnection,
+)
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
+from larkcrank.transport.pool import ConnectionPool
 
 TAKES_S = 10.0  # an endpoint that takes not even one part of a body in so long will not take the rest
 STALL_S = 20.0  # without a byte of a long answer: its endpoint has gone without a word
@@ -83,12 +88,12 @@
 
     def __init__(
         self,
-        pool: Pool,
-        descriptors: Descriptors,
+        pool: ConnectionPool,
+        descriptors: DescriptorBudget,
         connect_timeout_ms: float,
         load_fields: tuple[str, ...],
         max_body: int,
-        budget: Budget,
+        budget: BufferBudget,
         now: Callable[[], float],
         tally: Tally,
         failed: Callable[[str, BaseException], None],
@@ -123,14 +128,14 @@
         """Where the servers are, as last told."""
         return dict(self._places)
 
-    def learn(self, listing: Listing) -> None:
+    def learn(self, listing: ListUpdate) -> None:
         """Follow the list: where servers are, and which still take work."""
-        if listing.whole and not self._only_draining_binds:
+        if listing.is_full and not self._only_draining_binds:
             named = {endpoint.address for endpoint in listing.endpoints}
             for address in self._ready - named:
                 self._retire(address)
         for endpoint in listing.endpoints:
-            address, place = endpoint.address, listing.places.get(endpoint.address)
+            address, place = endpoint.address, listing.host_ports.get(endpoint.address)
             if endpoint.state is State.GONE and self._only_draining_binds:
                 continue  # it may still be sent to, unless it drained: that has retired it already
             if endpoint.state is not State.READY:
@@ -139,7 +144,7 @@
             if self._places.get(address, place) != place or (
                 self._started.get(address, endpoint.started_at) != endpoint.started_at
             ):
-                self._pool.close_to(address)  # another process: the old one's connections lead nowhere
+                self._pool.close_address(address)  # another process: the old one's connections lead nowhere
             self._ready.add(address)
             self._started[address] = endpoint.started_at
             if place is not None:
@@ -147,7 +152,7 @@
 
     def _retire(self, address: Address) -> None:
         self._ready.discard(address)
-        self._pool.close_to(address)
+        self._pool.close_address(address)
 
     def start(
         self, exchange: Exchange, index: int, address: Address, stop_at: float, begin_by: float = math.inf
@@ -187,11 +192,11 @@
             attempt = self._attempts.get((exchange.id, index))
             if attempt is not None and not attempt.written:
                 if attempt.begun and attempt.connection is not None:
-                    attempt.connection.break_off()  # the endpoint must not take it for the whole
+                    attempt.connection.abort()  # the endpoint must not take it for the whole
                 self.cancel(exchange.id, index)
 
     def close_idle(self, address: Address) -> None:
-        self._pool.close_to(address)
+        self._pool.close_address(address)
 
     def probe(self, address: Address) -> None:
         self._keep(self._probe(address))
@@ -214,7 +219,7 @@
         if unanswered or result in (Result.RESET, Result.CONNECT_FAILED):
             # What ended one connection has likely ended them all; and a machine that says nothing may be
             # gone: a request written to an old connection may have run, a new one that fails proves not.
-            self._pool.close_to(attempt.address)
+            self._pool.close_address(attempt.address)
         self.on_outcome(attempt, result, load)
 
     @staticmethod
@@ -225,7 +230,7 @@
     async def _run(self, attempt: Attempt, stop_at: float) -> None:
         try:
             await self._attempt(attempt, stop_at)
-        except NoRoomError:
+        except NoDescriptorError:
             attempt.end(Result.NOT_SENT)
         except ConnectionLostError:
             # Broken before the last byte was handed over, it never ran; after that it may have.
@@ -250,7 +255,7 @@
         self._tally.sends += 1
         attempt.begun = True
         wait_ms = exchange.wait_ms if stop_at == math.inf else stop_at - self._now()
-        head = platform.request_to_endpoint(exchange.request, wait_ms)
+        head = platform.encode_endpoint_request(exchange.request, wait_ms)
         await connection.write(head)
         if exchange.upload is None:
             self._written(attempt)
@@ -285,7 +290,7 @@
         It counts as written from before its last byte is handed over: whether the kernel took that one
         could be learnt too late, after the answer's side has seen the connection break.
         """
-        left = attempt.exchange.request.length
+        left = attempt.exchange.request.content_length
         try:
             while (part := await upload.next_part()) is not None:
                 if left is not None:
@@ -293,13 +298,13 @@
                     if not left:
                         self._written(attempt)
                 async with asyncio.timeout(TAKES_S):
-                    await connection.write(http1.chunk_bytes(part) if left is None else part)
+                    await connection.write(http1.encode_chunk(part) if left is None else part)
             if left is None:
                 self._written(attempt)
-                await connection.write(http1.chunk_bytes(b""))
+                await connection.write(http1.encode_chunk(b""))
         except (ConnectionLostError, TimeoutError):
             if upload.broken or upload.over:
-                connection.break_off()  # the endpoint must not take it for the whole
+                connection.abort()  # the endpoint must not take it for the whole
                 attempt.end(Result.NOT_SENT)  # which says nothing of the server
             attempt.end(Result.RESET if attempt.written else Result.CONNECT_FAILED)
 
@@ -310,10 +315,10 @@
         parser = http1.ResponseParser(math.inf if exchange.streaming else self._max_body)
         while parser.head is None:
             parser.feed(await connection.read())
-        result = platform.result_of(parser.head)
+        result = platform.classify_response(parser.head)
         if sending is not None and not sending.done():
             sending.cancel()  # it answers before it has read everything: it gets no more, nor another request
-        long = (parser.head.length or 0) > http1.HELD
+        long = (parser.head.content_length or 0) > http1.MAX_BUFFERED_BODY_BYTES
         if result is not Result.OK and long:
             attempt.end(result)
             return
@@ -321,9 +326,9 @@
             try:
                 parser.feed(await connection.read())
             except ConnectionLostError as error:
-                if not error.in_order or not parser.end():
+                if not error.is_clean_close or not parser.handle_clean_close():
                     raise
-            long = parser.held > http1.HELD
+            long = parser.buffered_bytes > http1.MAX_BUFFERED_BODY_BYTES
         if attempt.ended:
             return
         if result is Result.OK and (exchange.streaming or not parser.complete):
@@ -337,8 +342,8 @@
             attempt.connection = None
             self._pool.put(address, connection)
         if result is Result.OK:
-            exchange.answer(200, response.fields.passed_on(), response.body)
-        attempt.end(result, platform.load_of(response.fields, self._load_fields))
+            exchange.answer(200, response.fields.forwarded_lines(), response.body)
+        attempt.end(result, platform.read_load_report(response.fields, self._load_fields))
 
     def _pooled(self, attempt: Attempt) -> Connection | None:
         attempt.connection = self._pool.take(attempt.address, self._places[attempt.address])
@@ -347,7 +352,7 @@
 
     async def _connected(self, attempt: Attempt) -> Connection:
         self._tally.connects += 1
-        connecting = Connecting(self._places[attempt.address], self._descriptors, Use.ATTEMPT)
+        connecting = PendingConnection(self._places[attempt.address], self._descriptors, SocketUse.ATTEMPT)
         attempt.connection = connecting.connection
         return await connecting.wait(self._connect_timeout_ms)
 
@@ -358,7 +363,7 @@
         exchange, head = attempt.exchange, parser.head
         if attempt.ended or head is None:
             return
-        if not exchange.begin_stream(200, head.fields.passed_on(), head.length):
+        if not exchange.begin_stream(200, head.fields.forwarded_lines(), head.content_length):
             attempt.end(Result.CANCELLED)
             return
         if attempt.timer is not None:
@@ -375,10 +380,10 @@
                 if parser.complete:
                     break
                 async with asyncio.timeout(STALL_S):
-                    data = await connection.read(self._budget.step)
+                    data = await connection.read(self._budget.read_size)
                 parser.feed(data)
         except ConnectionLostError as error:
-            if not (error.in_order and parser.end()):
+            if not (error.is_clean_close and parser.handle_clean_close()):
                 exchange.end_stream(whole=False)
                 attempt.end(Result.RESET)
                 return
@@ -387,20 +392,20 @@
             attempt.end(Result.RESET)
             return
         exchange.end_stream(whole=True)
-        if head.keep_alive and not parser.left_over:
+        if head.keep_alive and not parser.has_extra_bytes:
             attempt.connection = None
             self._pool.put(attempt.address, connection)
-        attempt.end(Result.OK, platform.load_of(head.fields, self._load_fields))
+        attempt.end(Result.OK, platform.read_load_report(head.fields, self._load_fields))
 
     async def _add_part(self, exchange: Exchange, data: bytes) -> None:
         """Hand a part to the client side; counted until that has room for it."""
         if not data:
             return
-        self._budget.hold(len(data))
+        self._budget.reserve(len(data))
         try:
             await exchange.add_part(data)
         finally:
-            self._budget.give_back(len(data))
+            self._budget.release(len(data))
 
     async def _probe(self, address: Address) -> None:
         started, result = self._now(), Result.NOT_SENT
@@ -412,20 +417,20 @@
             if place is not None:
                 async with asyncio.timeout(PROBE_TIMEOUT_TIMES * self._connect_timeout_ms / 1000.0):
                     result = Result.CONNECT_FAILED
-                    connecting = Connecting(place, self._descriptors, Use.ATTEMPT)
+                    connecting = PendingConnection(place, self._descriptors, SocketUse.ATTEMPT)
                     connection = connecting.connection
                     await connecting.wait(self._connect_timeout_ms)
-                    await connection.write(http1.request_bytes(b"GET", target, (b"Host: " + address,)))
+                    await connection.write(http1.encode_request(b"GET", target, (b"Host: " + address,)))
                     result = Result.RESET
-                    parser = http1.ResponseParser(http1.HELD)
+                    parser = http1.ResponseParser(http1.MAX_BUFFERED_BODY_BYTES)
                     while not parser.complete:
                         parser.feed(await connection.read())
                     response = parser.response()
-                    result = platform.result_of(response)
-                    load = platform.load_report(response.body, self._load_fields)
+                    result = platform.classify_response(response)
+                    load = platform.parse_load_report(response.body, self._load_fields)
         except TimeoutError:
             result = Result.TIMEOUT
-        except NoRoomError:
+        except NoDescriptorError:
             result = Result.NOT_SENT
         except ConnectionLostError:
             pass
--- a/larkcrank/tiers/asking.py
+++ b/larkcrank/tiers/asking.py
@@ -31,7 +31,7 @@
         `again`: a call that crosses the end of a kept connection is made once more, on a new one.
         """
         host = b"Host: %s:%d" % (self._place[0].encode(), self._place[1])
-        request = http1.request_bytes(b"GET", target, (host, *lines))
+        request = http1.encode_request(b"GET", target, (host, *lines))
         try:
             async with asyncio.timeout(timeout_s):
                 response = await self._call(request, again)
@@ -74,12 +74,12 @@
         reader, writer = self._streams
         writer.write(request)
         self.sent += len(request)
-        parser = http1.ResponseParser(max_body=self._most)
+        parser = http1.ResponseParser(max_body_bytes=self._most)
         begun = False
         while not parser.complete:
             data = await reader.read(CHUNK)
             if not data:
-                if parser.end():
+                if parser.handle_clean_close():
                     break
                 raise OSError("ended in an answer") if begun or not kept else _EndedError
             begun = True
--- a/larkcrank/tiers/config.py
+++ b/larkcrank/tiers/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from larkcrank.protocol.discovery import host_port
+from larkcrank.protocol.discovery import parse_host_port
 
 Place = tuple[str, int]
 ANY = "*"
@@ -185,6 +185,6 @@
 
 def _place(key: str, text: str, lowest: int = 1) -> Place:
     try:
-        return host_port(text, lowest)
+        return parse_host_port(text, lowest)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -458,14 +458,14 @@
     # What is held.
 
     def _summary(self, receiver: Receiver, fields: http1.Fields) -> None:
-        text = fields.all(HELD.lower())
+        text = fields.get_all(HELD.lower())
         found = held.decode(text[0]) if text else None
         if found is not None:
             receiver.is_tier = True
             self._below.told(found, self._loop.time())
         elif text:
             self.foreign += 1
-        receiver.is_tier = receiver.is_tier or bool(fields.all(ASIDE.lower()))
+        receiver.is_tier = receiver.is_tier or bool(fields.get_all(ASIDE.lower()))
 
     def standing(self) -> held.Standing:
         """What the sidecars at the doors and below hold, by the own count."""
--- a/larkcrank/tiers/receivers.py
+++ b/larkcrank/tiers/receivers.py
@@ -94,7 +94,7 @@
             owners = self.owners
             lines = state.all_since(count, owners)
             body = wire.full(lines, state.generation, whole, state.known_of(owners), provisional, self.stale)
-        return http1.response_bytes(200, _JSON, body)
+        return http1.encode_response(200, _JSON, body)
 
 
 class Server(Protocol):
@@ -160,11 +160,11 @@
         self._server.slow(self, False)
 
     def data_received(self, data: bytes) -> None:
-        parser = self._parser or http1.RequestParser(max_body=0)
+        parser = self._parser or http1.RequestParser(max_body_bytes=0)
         try:
             parser.feed(data)
             request = parser.next()
-            if self.asks or (request is not None and parser.begun):
+            if self.asks or (request is not None and parser.has_partial_request):
                 raise http1.MessageError(400, "a call while one is under way")
         except http1.MessageError as error:
             self.refuse(error.status, close=True)
@@ -196,7 +196,7 @@
     def refuse(self, status: int, close: bool = False) -> None:
         self.door.waiting.discard(self)
         lines = (b"Retry-After: 1",) if status == 503 else ()
-        self.answer(http1.response_bytes(status, lines, b"", close=close), close)
+        self.answer(http1.encode_response(status, lines, b"", close=close), close)
 
     def abort(self) -> None:
         if self.transport is not None:
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -21,10 +21,10 @@
 from larkcrank.core import interface as api
 from larkcrank.program.counters import Counters
 from larkcrank.protocol import http1
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.routing.discovery import Discovery
-from larkcrank.transport.connection import Connecting, Connection
-from larkcrank.transport.descriptors import Descriptors
+from larkcrank.transport.connection import Connection, PendingConnection
+from larkcrank.transport.descriptors import DescriptorBudget
 from tests import bed as b
 
 
@@ -114,15 +114,15 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.waiting = 0
         self.up = asyncio.Event()
-        wait = Connecting.wait
+        wait = PendingConnection.wait
 
-        async def late(connecting: Connecting, timeout_ms: float) -> Connection:
+        async def late(connecting: PendingConnection, timeout_ms: float) -> Connection:
             self.waiting += 1
             connection = await wait(connecting, timeout_ms)
             await self.up.wait()
             return connection
 
-        monkeypatch.setattr(Connecting, "wait", late)
+        monkeypatch.setattr(PendingConnection, "wait", late)
 
 
 @dataclass(frozen=True)
@@ -179,7 +179,7 @@
     def answer(self, index: int, generation: int, state: str, whole: bool) -> None:
         line = {"instanceId": "s-1", "hostPort": "127.0.0.1:9", "lifecycle": state}
         text = msgspec.json.encode({"generation": generation, "reset": whole, "instances": [line]})
-        self.calls[index][1].write(http1.response_bytes(200, (), text))
+        self.calls[index][1].write(http1.encode_response(200, (), text))
 
     async def called(self, count: int) -> bytes:
         await b.until(lambda: len(self.calls) >= count)
@@ -195,7 +195,7 @@
 
     def __init__(self, always: bool = True) -> None:
         self.script, self.always = Script(), always
-        self.lists: list[Listing] = []
+        self.lists: list[ListUpdate] = []
         self.failures: list[str] = []
 
     async def __aenter__(self) -> "Asker":
@@ -203,7 +203,14 @@
         place = ("127.0.0.1", self.script.port)
         self.counters = Counters()
         self.discovery = Discovery(
-            place, Descriptors(256), Names([], []), 5000.0, self.always, Random(1), self.counters, print
+            place,
+            DescriptorBudget(256),
+            NameTable([], []),
+            5000.0,
+            self.always,
+            Random(1),
+            self.counters,
+            print,
         )
         self.discovery.on_list = self.lists.append
         self.discovery.on_failure = self.failures.append
@@ -214,4 +221,4 @@
         self.script.stop()
 
     def told(self) -> list[tuple[int, bool]]:
-        return [(listing.generation, listing.whole) for listing in self.lists]
+        return [(listing.generation, listing.is_full) for listing in self.lists]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -8,9 +8,9 @@
 
 from larkcrank.core import interface as api
 from larkcrank.protocol import http1
-from larkcrank.protocol.discovery import Listing
-from larkcrank.transport.connection import Connecting, Connection
-from larkcrank.transport.descriptors import Use
+from larkcrank.protocol.discovery import ListUpdate
+from larkcrank.transport.connection import Connection, PendingConnection
+from larkcrank.transport.descriptors import SocketUse
 from tests import bed as b
 from tests import crossing as x
 
@@ -35,7 +35,7 @@
     async def work() -> None:
         async with x.dialling(monkeypatch, lambda client: client.send("view")) as it:
             drains = api.Endpoint(b"s-1", state=api.State.DRAINING)
-            it.bed.sidecar._driver.told(Listing(2, False, (drains,)))
+            it.bed.sidecar._driver.told(ListUpdate(2, False, (drains,)))
             it.late.up.set()
             assert await it.outcomes() == [api.Result.NOT_SENT] and not it.endpoint.requests
 
@@ -44,9 +44,9 @@
 
 def test_a_connect_that_times_out_in_the_turn_in_which_it_came_up(monkeypatch: pytest.MonkeyPatch) -> None:
     """Its timer closed it before whoever waited went on: nothing was written, so nothing ran."""
-    wait = Connecting.wait
+    wait = PendingConnection.wait
 
-    async def timed_out(connecting: Connecting, timeout_ms: float) -> Connection:
+    async def timed_out(connecting: PendingConnection, timeout_ms: float) -> Connection:
         connection = await wait(connecting, timeout_ms)
         connection.close()
         return connection
@@ -54,14 +54,14 @@
     async def work() -> None:
         one = b.Endpoint("s-1")
         async with b.bed(one, discovery_up=False) as bed:
-            monkeypatch.setattr(Connecting, "wait", timed_out)
+            monkeypatch.setattr(PendingConnection, "wait", timed_out)
             client = await bed.client()
             waiting = x.Waiting(bed)
             client.send("take", 8.0, "POST", body=b"ink")
             waiting.say(api.Send(await waiting.request(), b"s-1"))
             await b.until(lambda: bool(waiting.seen(api.Outcome)))
             assert waiting.seen(api.Outcome)[0].result is api.Result.CONNECT_FAILED and not one.requests
-            assert bed.sidecar.descriptors._used[Use.ATTEMPT] == 0
+            assert bed.sidecar.descriptors._used[SocketUse.ATTEMPT] == 0
 
     b.run(work())
 
@@ -103,7 +103,7 @@
 
     async def work() -> None:
         one = b.Endpoint("s-1")
-        text = http1.response_bytes(200, (), b"of another")
+        text = http1.encode_response(200, (), b"of another")
 
         async def twice(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
             await b.say_ok(endpoint, request, writer)
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -105,7 +105,7 @@
             x.leave(client, "reset")
             await b.until(lambda: bool(waiting.seen(api.ClientGone)))
             await b.until(lambda: not bed.sidecar.clients.open)
-            assert not one.requests and bed.sidecar.budget.held == 0
+            assert not one.requests and bed.sidecar.budget.held_bytes == 0
 
     b.run(work())
 
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -13,14 +13,14 @@
 from larkcrank.program.counters import Counters
 from larkcrank.program.log import MOST_A_SECOND, Log
 from larkcrank.protocol import http1, platform
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.routing.discovery import Discovery
 from larkcrank.routing.driver import Driver
 from larkcrank.routing.exchange import Answer, Exchange
 from larkcrank.routing.servers import Servers
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.descriptors import Descriptors, Use
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
+from larkcrank.transport.pool import ConnectionPool
 from tests import bed as b
 
 Decide = Callable[[api.Event], list[api.Action]]
@@ -73,13 +73,28 @@
         self.log = io.BytesIO()
         self.clock = Clock()
         log = Log("test", self.log)
-        descriptors = Descriptors(256)
-        self.pool = Pool(descriptors, 60000.0)
+        descriptors = DescriptorBudget(256)
+        self.pool = ConnectionPool(descriptors, 60000.0)
         self.servers = Servers(
-            self.pool, descriptors, 250.0, (), 65536, Budget(1 << 26), self.clock, self.counters, log.failure
+            self.pool,
+            descriptors,
+            250.0,
+            (),
+            65536,
+            BufferBudget(1 << 26),
+            self.clock,
+            self.counters,
+            log.failure,
         )
         discovery = Discovery(
-            ("127.0.0.1", 1), descriptors, Names([], []), 250.0, False, Random(1), self.counters, log.failure
+            ("127.0.0.1", 1),
+            descriptors,
+            NameTable([], []),
+            250.0,
+            False,
+            Random(1),
+            self.counters,
+            log.failure,
         )
         self.driver = Driver(
             self.decisions, self.clock, self.servers, discovery, 100, 20.0, self.counters, log
@@ -90,14 +105,14 @@
     def tell(self, *endpoints: b.Endpoint, state: api.State = api.State.READY) -> None:
         lines = tuple(api.Endpoint(endpoint.name.encode(), state) for endpoint in endpoints)
         places = {endpoint.name.encode(): ("127.0.0.1", endpoint.port) for endpoint in endpoints}
-        self.driver.told(Listing(1, False, lines, places))
+        self.driver.told(ListUpdate(1, False, lines, places))
 
     def take(self, left_ms: float = 5000.0) -> Exchange:
         now = self.clock()
         request = http1.Request(
             b"GET", b"/view", http1.Fields((http1.Field(b"host", b"a", b"Host: a"),)), b"", True
         )
-        call = platform.Call("id", "view", left_ms, False, False, "")
+        call = platform.CallInfo("id", "view", left_ms, False, False, "")
         exchange = Exchange(self.driver.next_id(), 0, call, request, now, now + left_ms, False)
         self.driver.take(exchange)
         return exchange
@@ -275,7 +290,7 @@
         if hangs_in == "write":
             monkeypatch.setattr("larkcrank.transport.connection.Connection.write", hang)
         else:
-            monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", hang)
+            monkeypatch.setattr("larkcrank.transport.connection.PendingConnection.wait", hang)
         one = b.Endpoint("s-1")
         await one.start()
 
@@ -297,7 +312,7 @@
 
         one = b.Endpoint("s-1")
         await one.start()
-        monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", broken)
+        monkeypatch.setattr("larkcrank.transport.connection.PendingConnection.wait", broken)
         stand = Stand(lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], one)
         stand.driver.feed(api.TimerFired(0))
         await b.until(lambda: bool(stand.decisions.seen(api.ProbeResult)))
@@ -326,11 +341,11 @@
     b.run(work())
 
 
-async def watched(place: tuple[str, int], always: bool) -> tuple[Discovery, list[Listing], list[str]]:
+async def watched(place: tuple[str, int], always: bool) -> tuple[Discovery, list[ListUpdate], list[str]]:
     discovery = Discovery(
-        place, Descriptors(256), Names([], []), 250.0, always, Random(1), Counters(), lambda *_: None
+        place, DescriptorBudget(256), NameTable([], []), 250.0, always, Random(1), Counters(), lambda *_: None
     )
-    lists: list[Listing] = []
+    lists: list[ListUpdate] = []
     failures: list[str] = []
     discovery.on_list = lists.append
     discovery.on_failure = failures.append
@@ -349,7 +364,7 @@
         discovery.watch()
         toy.tell(one)
         await b.until(lambda: len(toy.targets) == 3)
-        assert [(listing.generation, listing.whole) for listing in lists] == [(1, True), (2, False)]
+        assert [(listing.generation, listing.is_full) for listing in lists] == [(1, True), (2, False)]
         assert toy.targets[0] == b"/registry/instances"
         assert toy.targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
         discovery.close()
@@ -388,7 +403,7 @@
         await toy.start()
         discovery, _, failures = await watched(("127.0.0.1", toy.port), always=False)
 
-        def crash(listing: Listing) -> None:
+        def crash(listing: ListUpdate) -> None:
             raise ZeroDivisionError
 
         discovery.on_list = crash
@@ -407,7 +422,7 @@
 
         stand = Stand(send_on, one)
         stand.pool.close()
-        stand.servers._pool = stand.pool = Pool(Descriptors(256), keepalive_ms=40.0)
+        stand.servers._pool = stand.pool = ConnectionPool(DescriptorBudget(256), keepalive_ms=40.0)
         await stand.take().first()
         await b.until(lambda: one.ended == 1)
         assert len(stand.pool) == 0
@@ -439,16 +454,16 @@
 
 
 def test_no_use_of_descriptors_starves_another() -> None:
-    descriptors = Descriptors(132)
-    assert sum(descriptors.take(Use.CLIENT) for _ in range(200)) == 85
-    assert sum(descriptors.take(Use.ATTEMPT) for _ in range(200)) == 13
-    assert sum(descriptors.take(Use.DISCOVERY) for _ in range(200)) == 2
-    assert not descriptors.take(Use.CLIENT) and descriptors.used == 100
+    descriptors = DescriptorBudget(132)
+    assert sum(descriptors.acquire(SocketUse.CLIENT) for _ in range(200)) == 85
+    assert sum(descriptors.acquire(SocketUse.ATTEMPT) for _ in range(200)) == 13
+    assert sum(descriptors.acquire(SocketUse.DISCOVERY) for _ in range(200)) == 2
+    assert not descriptors.acquire(SocketUse.CLIENT) and descriptors.used == 100
     woken: list[int] = []
-    descriptors.when_free(lambda: woken.append(1))
-    assert descriptors.wanted
-    descriptors.give_back(Use.CLIENT)
-    assert woken == [1] and not descriptors.wanted and descriptors.take(Use.CLIENT)
+    descriptors.on_next_release(lambda: woken.append(1))
+    assert descriptors.has_waiters
+    descriptors.release(SocketUse.CLIENT)
+    assert woken == [1] and not descriptors.has_waiters and descriptors.acquire(SocketUse.CLIENT)
 
 
 def test_a_flood_of_lines_is_cut_and_counted() -> None:
@@ -518,7 +533,7 @@
             driver = bed.sidecar._driver
             driver._discovery_failed("down")
             driver._discovery_failed("still down")
-            driver.told(Listing(3, False, ()))
+            driver.told(ListUpdate(3, False, ()))
             assert [name for name in bed.events() if name.startswith("discovery")] == [
                 "discovery_failed",
                 "discovery_answers",
@@ -530,9 +545,9 @@
 @pytest.mark.parametrize(
     "text",
     [
-        http1.response_bytes(503, (), b""),
-        http1.response_bytes(200, (), b"no list"),
-        http1.response_bytes(200, (), b'{"generation":1,"instances":[{"instanceId":"a"}]}'),
+        http1.encode_response(503, (), b""),
+        http1.encode_response(200, (), b"no list"),
+        http1.encode_response(200, (), b'{"generation":1,"instances":[{"instanceId":"a"}]}'),
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort",
         b"nonsense\r\n\r\n",
     ],
--- a/tests/test_lab_clients.py
+++ b/tests/test_lab_clients.py
@@ -34,10 +34,10 @@
                         assert self.server is not None
                         self.server.close()
                     break
-                self.taken.append(request.fields.one(b"req-id") or b"")
+                self.taken.append(request.fields.get_single(b"req-id") or b"")
                 status = 503 if self.second == "refuse" else 200
                 lines = (b"Retry-After: 0",) if status == 503 else ()
-                writer.write(http1.response_bytes(status, lines, b"x"))
+                writer.write(http1.encode_response(status, lines, b"x"))
         except asyncio.IncompleteReadError:
             pass
         finally:
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -7,9 +7,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from larkcrank.protocol.ops import MAX_LINE, Call, CallError, CallParser, answer
+from larkcrank.protocol.ops import MAX_LINE_BYTES, Call, CallError, CallParser, encode_answer
 from larkcrank.routing.life import Life, Phase
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from tests import bed as b
 
 OPS = "127.0.0.1:0"
@@ -24,11 +24,11 @@
     assert parser.feed(text[cut:]) is call
 
 
-@given(st.binary(max_size=2 * MAX_LINE))
+@given(st.binary(max_size=2 * MAX_LINE_BYTES))
 def test_whatever_comes_is_a_call_no_call_or_not_whole(text: bytes) -> None:
     line, end, _ = text.partition(b"\n")
     word = line.removesuffix(b"\r")
-    if len(line) > MAX_LINE or (end and word not in [call.value for call in Call]):
+    if len(line) > MAX_LINE_BYTES or (end and word not in [call.value for call in Call]):
         with pytest.raises(CallError):
             CallParser().feed(text)
     else:
@@ -36,8 +36,8 @@
 
 
 def test_an_answer_is_one_line() -> None:
-    assert answer(True, "ready") == b"200 ready\n"
-    assert answer(False, "draining") == b"400 draining\n"
+    assert encode_answer(True, "ready") == b"200 ready\n"
+    assert encode_answer(False, "draining") == b"400 draining\n"
 
 
 def test_phases_follow_the_calls_whatever_their_order() -> None:
@@ -57,15 +57,15 @@
 
 
 def test_operators_have_places_that_nothing_else_fills() -> None:
-    places = Descriptors(64, operators=True)
-    while places.take(Use.DISCOVERY):
+    places = DescriptorBudget(64, has_operators=True)
+    while places.acquire(SocketUse.DISCOVERY):
         pass
-    assert not places.take(Use.CLIENT)
+    assert not places.acquire(SocketUse.CLIENT)
     own = 0
-    while places.take(Use.OPERATOR):
+    while places.acquire(SocketUse.OPERATOR):
         own += 1
     assert own == 6
-    assert not Descriptors(64).take(Use.OPERATOR)
+    assert not DescriptorBudget(64).acquire(SocketUse.OPERATOR)
 
 
 def test_calls_are_answered_and_all_else_is_told_so() -> None:
@@ -75,7 +75,13 @@
             assert await bed.operator(b"LAMEDUCK\r\n") == b"200 draining\n"
             assert await bed.operator(b"PING\n") == b"400 draining\n"
             assert await bed.operator(b"REJOIN\n") == b"200 ready\n"
-            for text in (b"ping\n", b"\n", b"PING PING\n", b"GET / HTTP/1.1\r\n\r\n", b"x" * (MAX_LINE + 1)):
+            for text in (
+                b"ping\n",
+                b"\n",
+                b"PING PING\n",
+                b"GET / HTTP/1.1\r\n\r\n",
+                b"x" * (MAX_LINE_BYTES + 1),
+            ):
                 assert (await bed.operator(text)).startswith(b"400 ")
             bed.sidecar.reload()
             assert bed.events()[-1] == "reloaded"
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -43,11 +43,11 @@
         """Answer those who have waited longest."""
         for _ in range(min(count, len(self.waiting))):
             _, writer = self.waiting.pop(0)
-            writer.write(http1.response_bytes(200, (), self.toy.text(self.toy.endpoints, True)))
+            writer.write(http1.encode_response(200, (), self.toy.text(self.toy.endpoints, True)))
 
     def give_up(self) -> None:
         while self.waiting:
-            self.waiting.pop(0)[1].write(http1.response_bytes(503, (), b""))
+            self.waiting.pop(0)[1].write(http1.encode_response(503, (), b""))
 
     def stop(self) -> None:
         self._server.close()
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -23,7 +23,7 @@
 from larkcrank.program import handover
 from larkcrank.program.handover import Handed, HandoverError
 from larkcrank.protocol import http1
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from tests import bed as b
 from tests.frames import CONFIG
 from tests.test_program import ROOT, event, started
@@ -158,14 +158,14 @@
 
 
 def test_processes_that_live_side_by_side_share_the_descriptors() -> None:
-    places = Descriptors(1024)
-    alone = sum(places.take(Use.DISCOVERY) for _ in range(2000))
+    places = DescriptorBudget(1024)
+    alone = sum(places.acquire(SocketUse.DISCOVERY) for _ in range(2000))
     for _ in range(alone):
-        places.give_back(Use.DISCOVERY)
-    places.share_with(1)
-    assert sum(places.take(Use.DISCOVERY) for _ in range(2000)) <= alone // 2
-    places.share_with(0)
-    assert places.take(Use.DISCOVERY)
+        places.release(SocketUse.DISCOVERY)
+    places.set_other_processes(1)
+    assert sum(places.acquire(SocketUse.DISCOVERY) for _ in range(2000)) <= alone // 2
+    places.set_other_processes(0)
+    assert places.acquire(SocketUse.DISCOVERY)
 
 
 # Two real processes
@@ -265,7 +265,9 @@
         self.passed.close()
 
     def ran(self) -> Counter[bytes]:
-        return Counter(request.fields.one(b"req-id") or b"" for end in self.ends for request in end.requests)
+        return Counter(
+            request.fields.get_single(b"req-id") or b"" for end in self.ends for request in end.requests
+        )
 
 
 @pytest.mark.parametrize("kill", ["nobody", "the new one at once", "the old one at the yes"])
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -29,7 +29,7 @@
 from larkcrank.lab.scale.measure import order
 from larkcrank.lab.scale.plan import NUMBERS
 from larkcrank.lab.settings import SETTINGS
-from larkcrank.protocol.discovery import Names, parse
+from larkcrank.protocol.discovery import NameTable, parse_list
 
 LONG_S = 120.0  # nothing is timed by it: it ends a test that hangs
 SIZES = (30.0, 300.0, 1200.0, 3000.0, 12000.0)
@@ -143,30 +143,32 @@
     numbers = [listed.change("flip") for _ in range(364)]
     behind = [listed.answer(1) for _ in range(1000)]
     assert listed.made == 2 and all(one is behind[0] for one in behind)
-    told = parse(listed.answer(1).partition(b"\r\n\r\n")[2], Names([], []))
-    assert not told.whole and told.generation == 365 and len(told.endpoints) == 100
+    told = parse_list(listed.answer(1).partition(b"\r\n\r\n")[2], NameTable([], []))
+    assert not told.is_full and told.generation == 365 and len(told.endpoints) == 100
     assert max(tag(endpoint.size) for endpoint in told.endpoints) == numbers[-1]
     assert {endpoint.cell for endpoint in told.endpoints} == {0, 1, 2, 3}
-    ahead = parse(listed.answer(9999).partition(b"\r\n\r\n")[2], Names([], []))
-    assert ahead.whole  # another discovery's count
+    ahead = parse_list(listed.answer(9999).partition(b"\r\n\r\n")[2], NameTable([], []))
+    assert ahead.is_full  # another discovery's count
 
 
 def test_what_is_forgotten_is_told_whole() -> None:
     listed = registries.Listed(registries.Spec(endpoints=5))
     at = listed.change("flip")
     listed.forget()
-    assert parse(listed.answer(at - 1).partition(b"\r\n\r\n")[2], Names([], [])).whole
+    assert parse_list(listed.answer(at - 1).partition(b"\r\n\r\n")[2], NameTable([], [])).is_full
     listed.change("flip")
-    told = parse(listed.answer(at).partition(b"\r\n\r\n")[2], Names([], []))
-    assert not told.whole and len(told.endpoints) == 1
+    told = parse_list(listed.answer(at).partition(b"\r\n\r\n")[2], NameTable([], []))
+    assert not told.is_full and len(told.endpoints) == 1
 
 
 def test_who_is_further_behind_than_the_log_reaches_is_told_the_whole_list() -> None:
     listed = registries.Listed(registries.Spec(endpoints=5))
     for _ in range(2 * registries.LOG_MOST + 1):
         listed.change("flip")
-    assert parse(listed.answer(2).partition(b"\r\n\r\n")[2], Names([], [])).whole
-    assert not parse(listed.answer(listed.generation - 3).partition(b"\r\n\r\n")[2], Names([], [])).whole
+    assert parse_list(listed.answer(2).partition(b"\r\n\r\n")[2], NameTable([], [])).is_full
+    assert not parse_list(
+        listed.answer(listed.generation - 3).partition(b"\r\n\r\n")[2], NameTable([], [])
+    ).is_full
 
 
 def test_a_killed_host_is_not_asked_and_none_is_left() -> None:
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -12,9 +12,9 @@
 from larkcrank.config import sidecar as config
 from larkcrank.core.interface import State
 from larkcrank.program.counters import Counters
-from larkcrank.protocol.discovery import Listing, Names, host_port
+from larkcrank.protocol.discovery import ListUpdate, NameTable, parse_host_port
 from larkcrank.routing import discovery
-from larkcrank.transport.descriptors import Descriptors
+from larkcrank.transport.descriptors import DescriptorBudget
 from tests import virtual_loop
 from tests.bed import until
 from tests.frames import CONFIG
@@ -39,12 +39,12 @@
     """A sidecar's own discovery, with the list as its balancer would hold it."""
 
     def __init__(self, *places: str, watch_ms: int | None = 1000, seed: int = 1) -> None:
-        home, *elsewhere = map(host_port, places)
+        home, *elsewhere = map(parse_host_port, places)
         self.tally = Counters()
         self.discovery = discovery.Discovery(
             home,
-            Descriptors(100),
-            Names([], []),
+            DescriptorBudget(100),
+            NameTable([], []),
             500.0,
             True,
             Random(seed),
@@ -61,9 +61,9 @@
         self.wholes = 0
         self.discovery.on_list = self._take
 
-    def _take(self, listing: Listing) -> None:
+    def _take(self, listing: ListUpdate) -> None:
         now = asyncio.get_running_loop().time()
-        if listing.whole:
+        if listing.is_full:
             self.wholes += 1
             named = {one.address for one in listing.endpoints}
             self.gone |= self.states.keys() - named
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -173,10 +173,10 @@
                 _reset(writer)
                 return False
             case "503":
-                writer.write(http1.response_bytes(503, (), b""))
+                writer.write(http1.encode_response(503, (), b""))
                 return True
             case "no list":
-                writer.write(http1.response_bytes(200, (), b'{"generation":"?"}'))
+                writer.write(http1.encode_response(200, (), b'{"generation":"?"}'))
                 return True
             case "endless":
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -220,7 +220,7 @@
         else:
             first = [_line(0, "Terminating" if self.drained else "Ready")]
             text = {"generation": generation, "reset": True, "instances": [*first, _line(1, "Ready")]}
-        writer.write(http1.response_bytes(200, (), json.dumps(text).encode()))
+        writer.write(http1.encode_response(200, (), json.dumps(text).encode()))
         self.answered += 1
         return True
 
--- a/tests/tiers_bed.py
+++ b/tests/tiers_bed.py
@@ -70,7 +70,7 @@
                     told = await self._answer(target)
                     body = self.spoil(told)
                     if body is not None:
-                        writer.write(http1.response_bytes(self.status, (), body))
+                        writer.write(http1.encode_response(self.status, (), body))
         except (ConnectionError, asyncio.CancelledError):
             pass  # the loop may end while a watch waits
         finally:
--- a/tests/wrong_sidecar.py
+++ b/tests/wrong_sidecar.py
@@ -25,7 +25,9 @@
     async def ask(self, name: str, request: http1.Request) -> http1.Response:
         host, _, port = self.places[name].rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        text = http1.request_bytes(request.method, request.target, request.fields.passed_on(), request.body)
+        text = http1.encode_request(
+            request.method, request.target, request.fields.forwarded_lines(), request.body
+        )
         try:
             return await self.exchange(reader, writer, text)
         finally:
@@ -62,10 +64,10 @@
                 parser.feed(data)
             status, body = await self.answer(request)
             if status:
-                writer.write(http1.response_bytes(status, (), body))
+                writer.write(http1.encode_response(status, (), body))
 
     async def answer(self, request: http1.Request) -> tuple[int, bytes]:
-        subject = request.fields.one(b"req-extra") or b""
+        subject = request.fields.get_single(b"req-extra") or b""
         is_order = request.target.startswith(b"/order")
         match self.way:
             case "lose":
