--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -76,7 +76,7 @@
 
             async def answer_in_that_turn(endpoint: b.Endpoint, _: http1.Request, writer: b.Writer) -> None:
                 (attempt,) = bed.sidecar._servers._attempts.values()
-                await b.say_ok(endpoint, _, writer)  # it is in the kernel now
+                await b.respond_ok(endpoint, _, writer)  # it is in the kernel now
                 if not timer_first:
                     await b.until(lambda: attempt.ended)
                 bed.sidecar._servers._time_out(attempt)
@@ -88,7 +88,7 @@
             await b.until(lambda: bool(waiting.seen(api.Outcome)))
             if timer_first:
                 waiting.say(api.Refuse(number))
-            assert (await client.answer()).status == (503 if timer_first else 200)
+            assert (await client.read_response()).status == (503 if timer_first else 200)
             await b.until(lambda: bed.sidecar._servers.under_way == 0)
             wanted = api.Result.TIMEOUT if timer_first else api.Result.OK
             assert [outcome.result for outcome in waiting.seen(api.Outcome)] == [wanted]
@@ -106,7 +106,7 @@
         text = http1.encode_response(200, (), b"of another")
 
         async def twice(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            await b.say_ok(endpoint, request, writer)
+            await b.respond_ok(endpoint, request, writer)
             if at_once:
                 writer.write(text)
 
@@ -117,7 +117,7 @@
             if not at_once:
                 one.writers[0].write(text)  # in the kernel before the next request is
             assert (await client.call("view")).body == b"made by /view/1"
-            assert one.opened == 2
-            await b.until(lambda: one.ended >= 1)
+            assert one.connections_opened == 2
+            await b.until(lambda: one.connections_ended >= 1)
 
     b.run(work())
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -82,7 +82,7 @@
             for index, client in enumerate(others):
                 x.leave(client, "reset" if index % 2 else "closed")
             waiting.say(*(api.Send(request.id, b"s-1") for request in waiting.seen(api.Request)))
-            assert (await stays.answer()).status == 200
+            assert (await stays.read_response()).status == 200
             await b.until(lambda: len(waiting.seen(api.ClientGone)) == 8)
             assert len(one.requests) == 2 and bed.sidecar.counters.gone_before_send == 8
 
@@ -146,12 +146,12 @@
 
         async def leave_and_decline(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
             x.leave(client, "closed")
-            await b.say_declined(endpoint, request, writer)
+            await b.respond_declined(endpoint, request, writer)
 
         one = b.Endpoint("s-1")
         async with b.bed(one, two) as bed:
             client = await bed.client()
-            one.serve = two.serve = b.say_ok
+            one.serve = two.serve = b.respond_ok
             while len(bed.sidecar.pool) < 2:
                 assert (await client.call("view")).status == 200
             before = len(two.requests)
@@ -174,7 +174,7 @@
 
     async def work() -> None:
         both = asyncio.Event()
-        one = b.Endpoint("s-1", b.after(both))
+        one = b.Endpoint("s-1", b.respond_after(both))
         async with b.bed(one) as bed:
             waiting = x.Waiting(bed)
             first, second = await bed.client(), await bed.client()
@@ -183,9 +183,9 @@
                 waiting.say(api.Send(await waiting.request(count), b"s-1"))
             await b.until(lambda: len(one.requests) == 2)
             both.set()
-            assert (await first.answer()).status == (await second.answer()).status == 200
+            assert (await first.read_response()).status == (await second.read_response()).status == 200
             await b.until(lambda: len(bed.sidecar.pool) == 2)
-            one.serve = b.say_nothing
+            one.serve = b.never_respond
             first.send("view")
             waiting.say(api.Send(number := await waiting.request(3), b"s-1"))
             await b.until(lambda: len(one.requests) == 3)
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -53,13 +53,13 @@
     monkeypatch.setattr(sidecar, "LAST_MS", 1.0)
 
     async def work() -> None:
-        one = b.Endpoint("s-1", b.say_nothing)
+        one = b.Endpoint("s-1", b.never_respond)
         async with b.bed(one) as bed:
             client = await bed.client()
             client.send("take", 3000.0, "POST")
             await b.until(lambda: len(one.requests) == 1)
             await bed.sidecar.wind_down()
-            assert (await client.answer()).status == 504
+            assert (await client.read_response()).status == 504
             assert bed.sidecar.clients.open == 0
 
     b.run(work())
@@ -107,7 +107,9 @@
         before = await asyncio.start_unix_server(say_nothing, str(handover.path_in(str(tmp_path), "n0")))
         passed = socket.create_server(("127.0.0.1", 0))
         async with b.bed(discovery_up=False) as bed:
-            one = sidecar.Sidecar(bed.read(), Log("n0", log := io.BytesIO()), bed.read, passed.dup())
+            one = sidecar.Sidecar(
+                bed.load_config(), Log("n0", log := io.BytesIO()), bed.load_config, passed.dup()
+            )
             running = asyncio.create_task(one.run())
             await heard.wait()
             os.kill(os.getpid(), signal.SIGTERM)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -235,7 +235,7 @@
 
 def test_giving_up_closes_the_connection_before_the_next_attempt_starts() -> None:
     async def work() -> None:
-        one, two = b.Endpoint("s-1", b.say_nothing), b.Endpoint("s-2")
+        one, two = b.Endpoint("s-1", b.never_respond), b.Endpoint("s-2")
         await one.start()
         await two.start()
 
@@ -256,7 +256,7 @@
         stand.driver.feed(api.TimerFired(0))
         answer = await exchange.first()
         assert isinstance(answer, Answer) and answer.body == b"made by /view"
-        await b.until(lambda: one.ended == 1)
+        await b.until(lambda: one.connections_ended == 1)
         await one.stop()
         await two.stop()
 
@@ -265,7 +265,7 @@
 
 def test_an_attempt_is_stopped_at_the_time_given() -> None:
     async def work() -> None:
-        one = b.Endpoint("s-1", b.say_nothing)
+        one = b.Endpoint("s-1", b.never_respond)
         await one.start()
 
         stand = Stand(send_for(20.0), one)
@@ -356,17 +356,17 @@
     async def work() -> None:
         one = b.Endpoint("s-1")
         one.port = 9
-        toy = b.ToyDiscovery([one])
+        toy = b.FakeDiscovery([one])
         await toy.start()
         discovery, lists, _ = await watched(("127.0.0.1", toy.port), always=False)
         discovery.watch()
-        await b.until(lambda: len(toy.targets) == 2)  # the whole list, then the wait for changes
+        await b.until(lambda: len(toy.request_targets) == 2)  # the whole list, then the wait for changes
         discovery.watch()
-        toy.tell(one)
-        await b.until(lambda: len(toy.targets) == 3)
+        toy.announce(one)
+        await b.until(lambda: len(toy.request_targets) == 3)
         assert [(listing.generation, listing.is_full) for listing in lists] == [(1, True), (2, False)]
-        assert toy.targets[0] == b"/registry/instances"
-        assert toy.targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
+        assert toy.request_targets[0] == b"/registry/instances"
+        assert toy.request_targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
         discovery.close()
         before = asyncio.all_tasks()
         discovery.watch()
@@ -399,7 +399,7 @@
     """Else the watch would have ended and nobody would begin it again."""
 
     async def work() -> None:
-        toy = b.ToyDiscovery([])
+        toy = b.FakeDiscovery([])
         await toy.start()
         discovery, _, failures = await watched(("127.0.0.1", toy.port), always=False)
 
@@ -424,7 +424,7 @@
         stand.pool.close()
         stand.servers._pool = stand.pool = ConnectionPool(DescriptorBudget(256), keepalive_ms=40.0)
         await stand.take().first()
-        await b.until(lambda: one.ended == 1)
+        await b.until(lambda: one.connections_ended == 1)
         assert len(stand.pool) == 0
         await one.stop()
 
@@ -435,7 +435,7 @@
     async def work() -> None:
         gate = asyncio.Event()
 
-        old, new = b.Endpoint("s-1", b.after(gate)), b.Endpoint("s-1")
+        old, new = b.Endpoint("s-1", b.respond_after(gate)), b.Endpoint("s-1")
         await old.start()
         await new.start()
 
@@ -517,10 +517,10 @@
         first, second = stand.take(), stand.take()
         await asyncio.gather(first.first(), second.first())
         assert len(stand.pool) == 2
-        one.serve = b.say_nothing
+        one.serve = b.never_respond
         stand.take()
         await b.until(lambda: len(stand.decisions.seen(api.Outcome)) == 3)
-        await b.until(lambda: one.ended == 2)
+        await b.until(lambda: one.connections_ended == 2)
         assert len(stand.pool) == 0
         await one.stop()
 
@@ -534,7 +534,7 @@
             driver._discovery_failed("down")
             driver._discovery_failed("still down")
             driver.told(ListUpdate(3, False, ()))
-            assert [name for name in bed.events() if name.startswith("discovery")] == [
+            assert [name for name in bed.log_events() if name.startswith("discovery")] == [
                 "discovery_failed",
                 "discovery_answers",
             ]
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -111,8 +111,8 @@
     async def play() -> None:
         endpoint = b.Endpoint("e")
         async with b.bed(endpoint, ops="127.0.0.1:0") as bed:
-            assert await bed.operator(b"VIEW\n") == b"400 no view of the fleet is kept\n"
-            assert "fleet_off" not in bed.events()
+            assert await bed.call_operator(b"VIEW\n") == b"400 no view of the fleet is kept\n"
+            assert "fleet_off" not in bed.log_events()
 
     b.run(play())
     config = {
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -80,7 +80,7 @@
             if usual is not None:
                 kept.write(path, time.time() * 1000.0 - 1000.0, classes, [usual] * len(classes))
                 bed.sidecar._take_up(str(path))
-                assert "kept_taken" in bed.events()
+                assert "kept_taken" in bed.log_events()
                 aims = [cls.aim_ms for cls in classes]
                 times = bed.sidecar._balancer.usual_answer_times()
                 assert all(0.01 * aim <= one <= aim for one, aim in zip(times, aims, strict=True))
@@ -100,12 +100,12 @@
 
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1"), kept=str(path)) as bed:
-            assert bed.events().count("kept_unusable") == 1
+            assert bed.log_events().count("kept_unusable") == 1
             client = await bed.client()
             assert (await client.call("view")).status == 200
             bed.sidecar.keep()
         assert set(json.loads(path.read_text())["classes"]) == {cls["name"] for cls in b.CLASSES}
         async with b.bed(b.Endpoint("s-1"), kept=str(path)) as bed:
-            assert "kept_taken" in bed.events()
+            assert "kept_taken" in bed.log_events()
 
     b.run(work())
--- a/tests/test_ops.py
+++ b/tests/test_ops.py
@@ -71,10 +71,10 @@
 def test_calls_are_answered_and_all_else_is_told_so() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1"), ops=OPS) as bed:
-            assert await bed.operator(b"PING\n") == b"200 ready\n"
-            assert await bed.operator(b"LAMEDUCK\r\n") == b"200 draining\n"
-            assert await bed.operator(b"PING\n") == b"400 draining\n"
-            assert await bed.operator(b"REJOIN\n") == b"200 ready\n"
+            assert await bed.call_operator(b"PING\n") == b"200 ready\n"
+            assert await bed.call_operator(b"LAMEDUCK\r\n") == b"200 draining\n"
+            assert await bed.call_operator(b"PING\n") == b"400 draining\n"
+            assert await bed.call_operator(b"REJOIN\n") == b"200 ready\n"
             for text in (
                 b"ping\n",
                 b"\n",
@@ -82,9 +82,9 @@
                 b"GET / HTTP/1.1\r\n\r\n",
                 b"x" * (MAX_LINE_BYTES + 1),
             ):
-                assert (await bed.operator(text)).startswith(b"400 ")
+                assert (await bed.call_operator(text)).startswith(b"400 ")
             bed.sidecar.reload()
-            assert bed.events()[-1] == "reloaded"
+            assert bed.log_events()[-1] == "reloaded"
             assert bed.sidecar.life.is_ready
 
     b.run(work())
@@ -96,7 +96,7 @@
             silent = [await asyncio.open_connection(*bed.sidecar.ops_place) for _ in range(40)]
             for _, writer in silent[::2]:
                 writer.write(b"PI")
-            assert await bed.operator(b"PING\n") == b"200 ready\n"
+            assert await bed.call_operator(b"PING\n") == b"200 ready\n"
             assert sum(reader.at_eof() for reader, _ in silent) >= 20
             for _, writer in silent:
                 writer.close()
@@ -107,7 +107,7 @@
 def test_a_drain_turns_ready_off_serves_on_and_leaves_no_connection_idle() -> None:
     async def work() -> None:
         gate = asyncio.Event()
-        slow = b.Endpoint("s-1", b.after(gate))
+        slow = b.Endpoint("s-1", b.respond_after(gate))
         async with b.bed(slow, ops=OPS) as bed:
             used, idle, silent, asking = [await bed.client() for _ in range(4)]
             gate.set()
@@ -115,9 +115,9 @@
             gate.clear()
             used.send("view")
             await b.until(lambda: len(slow.requests) == 2)
-            assert await bed.operator(b"LAMEDUCK\n") == b"200 draining\n"
+            assert await bed.call_operator(b"LAMEDUCK\n") == b"200 draining\n"
             asking.writer.write(b"GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-            no = await asking.answer()
+            no = await asking.read_response()
             assert (no.status, no.keep_alive) == (503, False)
             late = await bed.client()  # the front has not heard yet
             late.send("view")
@@ -125,10 +125,10 @@
             assert await silent.reader.read() == b""
             gate.set()
             for client in (used, late):
-                answer = await client.answer()
+                answer = await client.read_response()
                 assert (answer.status, answer.keep_alive) == (200, False)
             await b.until(lambda: bed.sidecar.clients.open == 0)
-            assert await bed.operator(b"REJOIN\n") == b"200 ready\n"
+            assert await bed.call_operator(b"REJOIN\n") == b"200 ready\n"
             again = await bed.client()
             assert (await again.call("view")).keep_alive
             await asyncio.sleep(0.6)  # longer than a drain waits: nothing of it is left
@@ -141,13 +141,13 @@
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1"), ops=OPS) as bed:
             client = await bed.client()
-            await bed.operator(b"LAMEDUCK\n")
+            await bed.call_operator(b"LAMEDUCK\n")
             text = b"GET /view/1 HTTP/1.1\r\nHost: a\r\nReq-Id: slow\r\n\r\n"
             for part in (text[:5], text[5:20], text[20:40]):
                 client.writer.write(part)
                 await asyncio.sleep(0.3)
             client.writer.write(text[40:])
-            answer = await client.answer()
+            answer = await client.read_response()
             assert (answer.status, answer.keep_alive) == (200, False)
 
     b.run(work())
@@ -155,12 +155,12 @@
 
 def test_the_end_of_a_drained_sidecar_is_final_and_caps_what_comes_late() -> None:
     async def work() -> None:
-        async with b.bed(b.Endpoint("s-1", b.say_nothing), ops=OPS) as bed:
+        async with b.bed(b.Endpoint("s-1", b.never_respond), ops=OPS) as bed:
             client = await bed.client()
-            await bed.operator(b"LAMEDUCK\n")
+            await bed.call_operator(b"LAMEDUCK\n")
             ended = asyncio.create_task(bed.sidecar.wind_down())
             await asyncio.sleep(0)
-            assert await bed.operator(b"REJOIN\n") == b"400 ending\n"
+            assert await bed.call_operator(b"REJOIN\n") == b"400 ending\n"
             client.send("view", 3600.0)  # by then the platform will have killed the process
             await b.until(lambda: bed.sidecar.counters.taken == 1)
             (exchange,) = bed.sidecar._driver._open.values()
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -24,7 +24,7 @@
     """Works through calls in turn, so many at the test's word, and gives up those that waited too long."""
 
     def __init__(self, endpoints: list[b.Endpoint]) -> None:
-        self.toy = b.ToyDiscovery(endpoints)
+        self.toy = b.FakeDiscovery(endpoints)
         self.waiting: list[tuple[bytes, b.Writer]] = []
         self.calls = 0
 
@@ -43,7 +43,7 @@
         """Answer those who have waited longest."""
         for _ in range(min(count, len(self.waiting))):
             _, writer = self.waiting.pop(0)
-            writer.write(http1.encode_response(200, (), self.toy.text(self.toy.endpoints, True)))
+            writer.write(http1.encode_response(200, (), self.toy.list_body(self.toy.endpoints, True)))
 
     def give_up(self) -> None:
         while self.waiting:
@@ -72,13 +72,13 @@
     if how == "down":
         discovery.stop()
     async with b.bed(endpoint, known=known, discovery_up=False, **more) as bed:
-        bed.file["discovery"] = f"127.0.0.1:{discovery.port}"
+        bed.config_file["discovery"] = f"127.0.0.1:{discovery.port}"
         yield bed, discovery
     discovery.stop()
 
 
 def made(bed: b.Bed, passed: socket.socket | None = None) -> Sidecar:
-    return Sidecar(bed.read(), Log("n1", bed._log), bed.read, passed)
+    return Sidecar(bed.load_config(), Log("n1", bed._log), bed.load_config, passed)
 
 
 @pytest.mark.parametrize("known", [True, False])
@@ -193,7 +193,7 @@
             "recovery": {"snapshot": str(tmp_path / "snapshot")},
         }
         async with place("hangs", b.Endpoint("s-1"), known, bounds=BOUNDS, ordinal=3) as (bed, discovery):
-            bed.file["fleet"] = fleet
+            bed.config_file["fleet"] = fleet
             sidecar = made(bed)
             await sidecar.begin()
             assert sidecar._discovery.gate is not None and not sidecar._discovery.gate()
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -177,7 +177,7 @@
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         self.ends = [b.Endpoint("s-1", self.serve), b.Endpoint("s-2", self.serve)]
-        self.discovery = b.ToyDiscovery(self.ends)
+        self.discovery = b.FakeDiscovery(self.ends)
         self.passed = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.place = self.passed.getsockname()
         self.processes: list[Process] = []
@@ -188,7 +188,7 @@
     @staticmethod
     async def serve(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         await asyncio.sleep(0.01)
-        await b.say_ok(endpoint, request, writer)
+        await b.respond_ok(endpoint, request, writer)
 
     async def start(self) -> None:
         for end in self.ends:
@@ -199,7 +199,7 @@
             "listen": "{}:{}".format(*self.place),
             "discovery": f"127.0.0.1:{self.discovery.port}",
             "ops": "127.0.0.1:0",
-            "known": json.loads(self.discovery.text(self.ends, True)),
+            "known": json.loads(self.discovery.list_body(self.ends, True)),
             "settings": SETTINGS,
         }
         (self.folder / "config.json").write_text(json.dumps(file))
@@ -241,7 +241,7 @@
                     client = b.Client(*await asyncio.open_connection(*self.place))
                 client.send("take", 8.0, "POST")
                 try:
-                    answer = await client.answer()
+                    answer = await client.read_response()
                 except ConnectionError:  # closed between requests: once more, on a new one
                     assert not again
                     self.unheard += 1
@@ -330,7 +330,7 @@
             new = await world.run()
             assert (await world.said(new, "handover_unusable"))["message"] == "silent"
             await world.said(new, "ready")
-            assert world.discovery.targets  # asked before the yes
+            assert world.discovery.request_targets  # asked before the yes
         finally:
             silent.close()
             await world.end()
