--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""The whole sidecar on loopback sockets."""
+"""Tests of a complete sidecar on loopback sockets."""
 
 import asyncio
 import socket
@@ -15,7 +15,7 @@
 KEY = b"Idempotency-Key: 5c0f"
 
 
-def test_a_request_goes_on_as_it_came_and_its_answer_comes_back() -> None:
+def test_a_request_and_its_response_are_forwarded() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1")
         async with b.bed(one) as bed:
@@ -24,19 +24,19 @@
             answer = await client.read_response()
             assert (answer.status, answer.body) == (200, b"made by /book/1")
             assert answer.fields.get_single(b"x-from") == b"s-1"
-            (came,) = one.requests
-            assert (came.method, came.target, came.body) == (b"POST", b"/book/1", b"ink")
-            assert came.fields.get_single(b"idempotency-key") == b"5c0f"
-            assert b"X-Mine:  as it came" in [field.raw_line for field in came.fields]
-            assert 0 < float(came.fields.get_single(b"req-deadline") or 0) <= 8.0
-            assert (await client.call("view")).status == 200  # the connection is kept
-            assert one.connections_opened == 1  # and the one to the endpoint too
+            (received,) = one.requests
+            assert (received.method, received.target, received.body) == (b"POST", b"/book/1", b"ink")
+            assert received.fields.get_single(b"idempotency-key") == b"5c0f"
+            assert b"X-Mine:  as it came" in [field.raw_line for field in received.fields]
+            assert 0 < float(received.fields.get_single(b"req-deadline") or 0) <= 8.0
+            assert (await client.call("view")).status == 200  # on the same connection
+            assert one.connections_opened == 1  # the connection to the endpoint is reused too
             assert bed.sidecar.counters.reuses == 1
 
     b.run(work())
 
 
-def test_it_is_ready_at_once() -> None:
+def test_the_sidecar_is_ready_without_a_list_or_discovery() -> None:
     async def work() -> None:
         async with b.bed(discovery_up=False, known=False) as bed:
             client = await bed.client()
@@ -46,7 +46,7 @@
     b.run(work())
 
 
-def test_with_discovery_down_the_known_list_serves() -> None:
+def test_requests_are_served_from_the_known_list_while_discovery_is_down() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1"), discovery_up=False) as bed:
             client = await bed.client()
@@ -57,7 +57,7 @@
     b.run(work())
 
 
-def test_without_a_known_list_discovery_is_asked_before_any_request() -> None:
+def test_without_a_known_list_the_full_list_is_fetched_at_start() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1")
         async with b.bed(one, known=False) as bed:
@@ -68,18 +68,18 @@
     b.run(work())
 
 
-def test_a_reload_moves_discovery_and_nothing_the_old_one_says_counts_any_more() -> None:
+def test_after_a_reload_answers_of_the_old_discovery_are_ignored() -> None:
     async def work() -> None:
         one, two = b.Endpoint("s-1"), b.Endpoint("s-2")
         await two.start()
         async with b.bed(one) as bed:
             bed.discovery.generation = 900
             await b.until(lambda: bed.sidecar.counters.lists > 0)
-            other = b.FakeDiscovery([two])  # its generations begin anew
+            other = b.FakeDiscovery([two])  # its generations start from 1 again
             await other.start()
             bed.config_file["discovery"] = f"127.0.0.1:{other.port}"
             bed.sidecar.reload()
-            bed.discovery.announce(one)  # crosses the reload
+            bed.discovery.announce(one)  # arrives while the reload is under way
             await b.until(lambda: len(other.request_targets) >= 2)
             assert other.request_targets[0] == b"/registry/instances"
             assert b"after=1&" in other.request_targets[1]
@@ -87,18 +87,20 @@
             for _ in range(4):
                 answer = await client.call("view")
                 assert answer.fields.get_single(b"x-from") == b"s-2"
-            asked = len(bed.discovery.request_targets)
-            bed.config_file["discovery"] = f"127.0.0.1:{bed.discovery.port}"  # more than once, and back again
+            call_count = len(bed.discovery.request_targets)
+            bed.config_file["discovery"] = (
+                f"127.0.0.1:{bed.discovery.port}"  # a second reload, back to the first discovery
+            )
             bed.sidecar.reload()
-            await b.until(lambda: len(bed.discovery.request_targets) > asked)
-            assert bed.discovery.request_targets[asked] == b"/registry/instances"
+            await b.until(lambda: len(bed.discovery.request_targets) > call_count)
+            assert bed.discovery.request_targets[call_count] == b"/registry/instances"
             await other.stop()
             await two.stop()
 
     b.run(work())
 
 
-def test_a_reload_with_a_discovery_that_fails_asks_again() -> None:
+def test_a_discovery_that_fails_after_a_reload_is_retried() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1")
         async with b.bed(one) as bed:
@@ -107,18 +109,18 @@
             bed.sidecar.reload()
             await b.until(lambda: bed.sidecar.counters.discovery_failures > 1)
             client = await bed.client()
-            assert (await client.call("view")).status == 200  # the list held stands
+            assert (await client.call("view")).status == 200  # the current list stays in use
 
     b.run(work())
 
 
-def test_a_faulty_file_changes_nothing_and_keys_for_a_start_are_named() -> None:
+def test_an_invalid_file_is_ignored_and_keys_that_need_a_restart_are_reported() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1")) as bed:
             await b.until(lambda: bool(bed.discovery.request_targets))
-            good, asked = dict(bed.config_file), len(bed.discovery.request_targets)
-            for faulty in ({}, good | {"discovery": "nowhere"}, good | {"settings": {}}):
-                bed.config_file = faulty
+            valid_file, call_count = dict(bed.config_file), len(bed.discovery.request_targets)
+            for invalid_file in ({}, valid_file | {"discovery": "nowhere"}, valid_file | {"settings": {}}):
+                bed.config_file = invalid_file
                 bed.sidecar.reload()
             messages = [line for line in bed.log_lines() if line["event"] == "bad_configuration"]
             assert [line["message"].split(":")[0] for line in messages] == [
@@ -126,11 +128,11 @@
                 "discovery",
                 "settings",
             ]
-            bed.config_file = good | {
+            bed.config_file = valid_file | {
                 "listen": "127.0.0.1:9",
                 "limits": {"sockets": 64},
-                "seed": "8",  # for a start only: no restart is due to it
-                "settings": good["settings"] | {"az": 2, "resolution-ms": 9.0},
+                "seed": "8",  # used only at the start, so a change needs no restart
+                "settings": valid_file["settings"] | {"az": 2, "resolution-ms": 9.0},
             }
             bed.sidecar.reload()
             assert bed.log_lines()[-1]["needs_restart"] == [
@@ -141,12 +143,12 @@
             ]
             client = await bed.client()
             assert (await client.call("view")).status == 200
-            assert len(bed.discovery.request_targets) == asked
+            assert len(bed.discovery.request_targets) == call_count
 
     b.run(work())
 
 
-def test_requests_sent_ahead_are_answered_in_turn() -> None:
+def test_pipelined_requests_are_answered_in_order() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1")) as bed:
             client = await bed.client()
@@ -162,7 +164,7 @@
     b.run(work())
 
 
-def test_a_request_sent_ahead_has_its_time_from_when_it_came() -> None:
+def test_the_deadline_of_a_pipelined_request_starts_on_arrival() -> None:
     async def work() -> None:
         gate = asyncio.Event()
         one = b.Endpoint("s-1", b.respond_after(gate))
@@ -174,8 +176,10 @@
             await asyncio.sleep(0.2)
             gate.set()
             await b.until(lambda: len(one.requests) == 2)
-            first, second = (float(came.fields.get_single(b"req-deadline") or 0) for came in one.requests)
-            assert second < first - 0.19  # it slept so long at least
+            first, second = (
+                float(request.fields.get_single(b"req-deadline") or 0) for request in one.requests
+            )
+            assert second < first - 0.19  # it waited at least this long behind the first one
 
     b.run(work())
 
@@ -183,17 +187,19 @@
 @pytest.mark.parametrize(
     ("kind", "serve", "status"),
     [
-        ("take", b.respond_declined, 503),  # it never ran: trying again does no harm
+        ("take", b.respond_declined, 503),  # it never ran, so a retry does no harm
         ("take", b.respond_error, 502),
         ("take", b.close_connection, 502),
-        ("take", b.respond_truncated, 502),  # a short answer is none
+        ("take", b.respond_truncated, 502),  # a truncated response counts as an error
         ("view", b.respond_error, 503),
         ("view", b.respond_truncated, 503),
         ("book", b.close_connection, 503),
     ],
 )
-def test_how_a_request_ends_that_no_server_serves(kind: str, serve: b.EndpointBehavior, status: int) -> None:
-    """An unsafe request that may have run is sent once and never refused."""
+def test_status_of_a_request_that_every_server_fails(
+    kind: str, serve: b.EndpointBehavior, status: int
+) -> None:
+    """An unsafe request that may have run is sent only once and never refused as safe to retry."""
 
     async def work() -> None:
         one, two = b.Endpoint("s-1", serve), b.Endpoint("s-2", serve)
@@ -210,19 +216,19 @@
 @pytest.mark.parametrize(
     "serve", [b.respond_declined, b.respond_error, b.close_connection, b.respond_truncated]
 )
-def test_a_safe_request_goes_to_another_server(serve: b.EndpointBehavior) -> None:
+def test_a_safe_request_is_retried_on_another_server(serve: b.EndpointBehavior) -> None:
     async def work() -> None:
         bad, good = b.Endpoint("s-1", serve), b.Endpoint("s-2")
         async with b.bed(bad, good) as bed:
             client = await bed.client()
             for _ in range(4):
                 assert (await client.call("view")).body == b"made by /view/1"
-            assert bad.requests  # it had its turn
+            assert bad.requests  # it was tried too
 
     b.run(work())
 
 
-def test_a_server_that_refuses_connections_proves_that_nothing_ran() -> None:
+def test_an_unsafe_request_is_retried_after_a_refused_connection() -> None:
     async def work() -> None:
         down, good = b.Endpoint("s-1"), b.Endpoint("s-2")
         async with b.bed(down, good) as bed:
@@ -236,7 +242,7 @@
     b.run(work())
 
 
-def test_a_silent_server_ends_in_a_failure_in_time_and_its_connection_is_closed() -> None:
+def test_a_silent_server_causes_a_timeout_and_its_connection_is_closed() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1", b.never_respond)
         async with b.bed(one) as bed:
@@ -248,7 +254,7 @@
     b.run(work())
 
 
-def test_a_client_that_goes_away_ends_its_attempt() -> None:
+def test_a_client_that_disconnects_cancels_its_attempt() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1", b.never_respond)
         async with b.bed(one) as bed:
@@ -263,8 +269,8 @@
     b.run(work())
 
 
-def test_a_connection_that_the_endpoint_closed_is_not_used() -> None:
-    """An unsafe request written to one would end as a reset and be lost."""
+def test_a_connection_that_the_endpoint_closed_is_not_reused() -> None:
+    """An unsafe request on such a connection would fail with a reset and could not be retried."""
 
     async def work() -> None:
         one = b.Endpoint("s-1")
@@ -272,14 +278,14 @@
             client = await bed.client()
             assert (await client.call("take", 8.0, "POST")).status == 200
             one.writers[0].close()
-            await b.until(lambda: len(bed.sidecar.pool) == 0)  # its end was seen
+            await b.until(lambda: len(bed.sidecar.pool) == 0)  # the close was noticed
             assert (await client.call("take", 8.0, "POST")).status == 200
             assert one.connections_opened == 2 and bed.sidecar.counters.outcomes["reset"] == 0
 
     b.run(work())
 
 
-def test_a_server_that_drains_gets_nothing_more() -> None:
+def test_a_draining_server_gets_no_new_requests() -> None:
     async def work() -> None:
         one, two = b.Endpoint("s-1"), b.Endpoint("s-2")
         async with b.bed(one, two) as bed:
@@ -293,10 +299,10 @@
             await b.until(
                 lambda: one.connections_ended == one.connections_opened
             )  # its idle connections are closed
-            before = len(one.requests)
+            request_count = len(one.requests)
             for _ in range(4):
                 assert (await client.call("view")).status == 200
-            assert len(one.requests) == before
+            assert len(one.requests) == request_count
 
     b.run(work())
 
@@ -337,7 +343,7 @@
         (b"POST /take HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\nIdempotency-Key: 2\r\n\r\n", 400),
     ],
 )
-def test_bad_input_is_the_clients_fault_and_reaches_no_decision(text: bytes, status: int) -> None:
+def test_an_invalid_request_is_rejected_before_it_reaches_the_balancer(text: bytes, status: int) -> None:
     async def work() -> None:
         one = b.Endpoint("s-1")
         async with b.bed(one) as bed:
@@ -350,7 +356,7 @@
     b.run(work())
 
 
-def test_a_connection_that_is_reset_harms_no_other() -> None:
+def test_a_client_reset_does_not_affect_other_connections() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1")) as bed:
             for text in (b"", b"GET /vi", b"GET /view HTTP/1.1\r\nHost: a\r\nReq-Id: 1\r\n\r\n"):
@@ -366,7 +372,7 @@
     b.run(work())
 
 
-def test_a_body_that_waits_for_word_is_asked_for() -> None:
+def test_expect_continue_is_answered_with_100_continue() -> None:
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1")) as bed:
             client = await bed.client()
@@ -379,7 +385,7 @@
     b.run(work())
 
 
-def test_more_requests_than_may_be_open_are_turned_away() -> None:
+def test_requests_over_the_open_limit_are_refused() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1", b.never_respond)
         bounds = CONFIG["bounds"] | {"max-open": 1}
@@ -393,30 +399,30 @@
     b.run(work())
 
 
-def test_a_long_answer_is_passed_on_whole_and_an_endless_one_is_closed_at_its_head() -> None:
-    # Answers of 130 to 390 KB came on a day of trouble; each was an error, five times a request, and benched
-    # servers that were well.
-    async def long(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+def test_a_long_response_is_forwarded_and_one_over_the_limit_is_rejected_at_its_head() -> None:
+    # Responses of 130 to 390 KB once counted as errors. Each request failed on five attempts, and healthy
+    # servers were taken out of use.
+    async def respond_long(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         writer.write(http1.encode_response(200, (), request.target * 50_000))
 
-    async def endless(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+    async def respond_over_limit(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nand it keeps coming")
 
     async def work() -> None:
-        one = b.Endpoint("s-1", long)
+        one = b.Endpoint("s-1", respond_long)
         async with b.bed(one) as bed:
             client = await bed.client()
             client.send("take")
             answer = await client.read_response(1 << 20)
             assert (answer.status, answer.body) == (200, b"/take/1" * 50_000)
-            one.serve = endless
+            one.serve = respond_over_limit
             assert (await client.call("take")).status == 502
             await b.until(lambda: one.connections_ended == one.connections_opened)
 
     b.run(work())
 
 
-def test_an_id_that_is_in_hand_is_not_taken_twice() -> None:
+def test_a_request_id_in_use_is_rejected_as_a_conflict() -> None:
     async def work() -> None:
         gate = asyncio.Event()
         one = b.Endpoint("s-1", b.respond_after(gate))
@@ -429,15 +435,15 @@
             assert (await other.read_response()).status == 409
             gate.set()
             assert (await first.read_response()).status == 200
-            first.writer.write(text)  # free again once it is answered
+            first.writer.write(text)  # the id is free again after the response
             assert (await first.read_response()).status == 200
             assert len(one.requests) == 2
 
     b.run(work())
 
 
-def test_a_bad_request_ends_its_connection_with_what_was_sent_behind_it() -> None:
-    # On an open connection the same came again at once, hundreds of times a second.
+def test_an_invalid_request_closes_its_connection_with_all_pipelined_requests() -> None:
+    # When the connection stayed open, clients repeated the invalid request hundreds of times a second.
     async def work() -> None:
         one = b.Endpoint("s-1")
         async with b.bed(one) as bed:
@@ -451,7 +457,7 @@
     b.run(work())
 
 
-def test_silent_connections_end_and_those_that_are_served_stay(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_connections_time_out_and_served_ones_stay_open(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 0.05)
         async with b.bed(b.Endpoint("s-1")) as bed:
@@ -463,19 +469,19 @@
     b.run(work())
 
 
-def test_a_flood_of_silent_connections_makes_way_before_those_that_were_served(
+def test_silent_connections_are_evicted_before_served_ones(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work() -> None:
         monkeypatch.setattr("larkcrank.routing.clients.REST_S", 0.0)
-        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
+        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # descriptors for 27 clients
             kept = [await bed.client() for _ in range(9)]
             for client in kept:
                 assert (await client.call("view")).status == 200
             silent = [await bed.client() for _ in range(40)]
             late = await bed.client()
             assert (await late.call("view")).status == 200
-            for client in kept:  # none of them was closed for it
+            for client in kept:  # none of them was evicted
                 assert (await client.call("view")).status == 200
             for client in silent:
                 client.close()
@@ -483,47 +489,47 @@
     b.run(work())
 
 
-def test_idle_connections_are_closed_only_where_places_grow_short(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_are_closed_only_when_descriptors_run_short(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("larkcrank.routing.clients.IDLE_S", 0.0)
-        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
+        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # descriptors for 27 clients
             clients = [await bed.client() for _ in range(20)]
             for client in clients:
                 assert (await client.call("view")).status == 200
             await b.until(lambda: bed.sidecar.clients.open <= 13)
             assert bed.sidecar.clients.open == 13
-            assert await clients[0].reader.read() == b""  # the one that rested longest
+            assert await clients[0].reader.read() == b""  # the connection that was idle longest
             assert (await clients[-1].call("view")).status == 200
 
     b.run(work())
 
 
-def test_to_make_way_costs_no_search_among_the_idle(monkeypatch: pytest.MonkeyPatch) -> None:
-    # With 300 idle ones each new connection looked at all of them: half of the CPU.
+def test_eviction_does_not_check_every_idle_connection(monkeypatch: pytest.MonkeyPatch) -> None:
+    # Each new connection once checked all 300 idle connections, which took half of the CPU time.
     async def work() -> None:
-        looks: list[Connection] = []
-        quiet = Connection.is_idle
+        checked: list[Connection] = []
+        is_idle = Connection.is_idle
 
-        def look(connection: Connection) -> bool:
-            looks.append(connection)
-            return quiet(connection)
+        def record_check(connection: Connection) -> bool:
+            checked.append(connection)
+            return is_idle(connection)
 
-        monkeypatch.setattr(Connection, "is_idle", look)
-        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
+        monkeypatch.setattr(Connection, "is_idle", record_check)
+        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # descriptors for 27 clients
             for _ in range(27):
                 assert (await (await bed.client()).call("view")).status == 200
-            looks.clear()
+            checked.clear()
             for _ in range(10):
                 assert (await (await bed.client()).call("view")).status == 200
-            assert len(looks) < 10 * 5  # and one look at the pooled connection each
+            assert len(checked) < 10 * 5  # including one check of the pooled connection for each request
 
     b.run(work())
 
 
-def test_with_few_descriptors_idle_connections_make_way() -> None:
+def test_idle_connections_are_evicted_when_descriptors_run_out() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1")
-        async with b.bed(one, sockets=53) as bed:  # 21 are kept in reserve
+        async with b.bed(one, sockets=53) as bed:  # 21 of them are reserved
             clients = [await bed.client() for _ in range(60)]
             for client in clients:
                 client.send("view")
@@ -533,7 +539,7 @@
     b.run(work())
 
 
-def test_with_no_descriptor_left_a_request_is_refused_and_clients_wait_their_turn() -> None:
+def test_without_descriptors_requests_are_refused_and_new_clients_wait() -> None:
     async def work() -> None:
         one = b.Endpoint("s-1", b.never_respond)
         async with b.bed(one, sockets=53) as bed:
@@ -544,32 +550,34 @@
             assert all(answer.status in (503, 504) for answer in answers)
             for client in clients[:20]:
                 client.close()
-            for client in clients[20:]:  # those behind them are taken once places are free
+            for client in clients[20:]:  # the waiting ones are accepted once descriptors are free
                 assert (await client.read_response()).status in (503, 504)
 
     b.run(work())
 
 
-async def stream_two(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+async def respond_with_two_chunks(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
     writer.write(http1.encode_response_head(200, ()) + http1.encode_chunk(b"one"))
     await asyncio.sleep(0.01)
     writer.write(http1.encode_chunk(b"two") + http1.encode_chunk(b""))
 
 
-async def stream_broken(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+async def respond_with_truncated_stream(
+    endpoint: b.Endpoint, request: http1.Request, writer: b.Writer
+) -> None:
     writer.write(http1.encode_response_head(200, ()) + http1.encode_chunk(b"one"))
     await writer.drain()
     writer.close()
 
 
-async def stream_long(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+async def respond_with_long_stream(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
     parts = [http1.encode_chunk(bytes([65 + i]) * 10000) for i in range(20)]
     writer.write(http1.encode_response_head(200, ()) + b"".join(parts) + http1.encode_chunk(b""))
 
 
-def test_a_stream_is_passed_on_as_it_comes() -> None:
+def test_a_stream_is_forwarded() -> None:
     async def work() -> None:
-        one = b.Endpoint("s-1", stream_two)
+        one = b.Endpoint("s-1", respond_with_two_chunks)
         async with b.bed(one) as bed:
             client = await bed.client()
             assert (await client.call("feed")).body == b"onetwo"
@@ -579,9 +587,9 @@
     b.run(work())
 
 
-def test_a_stream_may_be_longer_than_any_body() -> None:
+def test_a_stream_has_no_body_limit() -> None:
     async def work() -> None:
-        async with b.bed(b.Endpoint("s-1", stream_long)) as bed:
+        async with b.bed(b.Endpoint("s-1", respond_with_long_stream)) as bed:
             client = await bed.client()
             client.send("feed")
             parser, size = http1.ResponseParser(1 << 30), 0
@@ -593,9 +601,9 @@
     b.run(work())
 
 
-def test_a_broken_stream_shows_to_the_client() -> None:
+def test_a_truncated_stream_is_truncated_for_the_client() -> None:
     async def work() -> None:
-        async with b.bed(b.Endpoint("s-1", stream_broken)) as bed:
+        async with b.bed(b.Endpoint("s-1", respond_with_truncated_stream)) as bed:
             client = await bed.client()
             with pytest.raises(ConnectionError):
                 await client.call("feed")
@@ -603,7 +611,7 @@
     b.run(work())
 
 
-def test_a_client_that_leaves_a_stream_ends_it_though_the_endpoint_is_silent() -> None:
+def test_a_client_disconnect_cancels_a_stream_of_a_silent_endpoint() -> None:
     async def begin(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         writer.write(http1.encode_response_head(200, ()) + http1.encode_chunk(b"one"))
 
@@ -620,7 +628,7 @@
     b.run(work())
 
 
-def test_a_request_that_never_gets_whole_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_request_times_out_with_status_408(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("larkcrank.routing.clients.PART_TIMEOUT_S", 0.05)
         async with b.bed() as bed:
@@ -634,7 +642,7 @@
     b.run(work())
 
 
-def test_the_planned_end_answers_what_was_taken() -> None:
+def test_a_shutdown_answers_the_accepted_requests() -> None:
     async def work() -> None:
         gate = asyncio.Event()
 
@@ -644,8 +652,8 @@
             await b.until(lambda: bed.sidecar.counters.taken == 1)
             ended = asyncio.create_task(bed.sidecar.wind_down())
             await b.until(lambda: "winding_down" in bed.log_events())
-            assert await idle.reader.read() == b""  # closed: nothing could be under way on it
-            late = await bed.client()  # what crossed that finds the listener still open
+            assert await idle.reader.read() == b""  # idle connections are closed
+            late = await bed.client()  # the listener stays open for connections already under way
             late.send("take", 8.0, "POST")
             await b.until(lambda: bed.sidecar.counters.taken == 2)
             assert not ended.done()
@@ -660,8 +668,8 @@
     b.run(work())
 
 
-def test_a_request_that_waits_in_the_backlog_at_the_end_is_served() -> None:
-    """The kernel accepted its connection: it counts as taken, read by us or not."""
+def test_a_request_in_the_listen_backlog_at_shutdown_is_served() -> None:
+    """The kernel has accepted its connection, so it counts as accepted even if it was not read yet."""
 
     async def work() -> None:
         async with b.bed(b.Endpoint("s-1")) as bed:
@@ -674,9 +682,9 @@
     b.run(work())
 
 
-def test_where_a_place_is_wanted_an_answer_ends_its_connection() -> None:
+def test_a_response_closes_its_connection_while_others_wait_for_a_descriptor() -> None:
     async def work() -> None:
-        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
+        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # descriptors for 27 clients
             clients = [await bed.client() for _ in range(28)]
             await b.until(lambda: bed.sidecar.descriptors.has_waiters)
             assert not (await clients[0].call("view")).keep_alive
@@ -685,18 +693,18 @@
     b.run(work())
 
 
-def test_at_the_end_what_waits_for_a_descriptor_is_served_too(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_connections_waiting_for_a_descriptor_at_shutdown_are_served(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.setattr("larkcrank.program.sidecar.ACCEPT_ON_S", 0.0)
-        begun, rest = b"GET /view", b" HTTP/1.1\r\nHost: a\r\nReq-Id: %d\r\n\r\n"
-        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # places for 27 clients
+        first_part, rest = b"GET /view", b" HTTP/1.1\r\nHost: a\r\nReq-Id: %d\r\n\r\n"
+        async with b.bed(b.Endpoint("s-1"), sockets=53) as bed:  # descriptors for 27 clients
             slow = [await bed.client() for _ in range(27)]
             for client in slow:
-                client.writer.write(begun)
+                client.writer.write(first_part)
             await b.until(lambda: bed.sidecar.counters.connections == 27)
             waiting = [await bed.client() for _ in range(5)]
             for number, client in enumerate(waiting):
-                client.writer.write(begun + rest % number)
+                client.writer.write(first_part + rest % number)
             ended = asyncio.create_task(bed.sidecar.wind_down())
             await b.until(lambda: "winding_down" in bed.log_events())
             await asyncio.sleep(0.1)
@@ -710,15 +718,15 @@
     b.run(work())
 
 
-def test_a_machine_that_says_nothing_to_a_connect_proves_that_nothing_ran() -> None:
-    """An unsafe request moves on once the connection has not come up in time."""
+def test_an_unsafe_request_is_retried_after_a_connect_timeout() -> None:
+    """The request can't have run, since its connection was never established."""
 
     async def work() -> None:
         with socket.socket() as full:
             full.bind(("127.0.0.1", 0))
             full.listen(0)
             waiting = [socket.socket() for _ in range(4)]
-            for sock in waiting:  # what is beyond the backlog gets no word
+            for sock in waiting:  # connects beyond the backlog get no answer
                 sock.setblocking(False)
                 sock.connect_ex(full.getsockname())
             cut_off, good = b.Endpoint("s-1"), b.Endpoint("s-2")
@@ -736,17 +744,17 @@
     b.run(work())
 
 
-def test_many_clients_at_once_all_get_one_answer() -> None:
+def test_every_one_of_many_concurrent_clients_gets_one_response() -> None:
     async def work() -> None:
         async with b.bed(*(b.Endpoint(f"s-{number}") for number in range(4)), sockets=128) as bed:
-            clients: list[b.Client] = []  # they keep their connections
+            clients: list[b.Client] = []  # keeps their connections open
 
-            async def ask() -> http1.Response:
-                client = await bed.client()  # one that is silent for long makes way for others
+            async def send_request() -> http1.Response:
+                client = await bed.client()  # a connection that stays silent would be evicted
                 clients.append(client)
                 return await client.call("view", 8.0)
 
-            answers = await asyncio.gather(*(ask() for _ in range(200)))
+            answers = await asyncio.gather(*(send_request() for _ in range(200)))
             counters = bed.sidecar.counters
             assert counters.taken == len(answers) == counters.served + counters.refused
             assert counters.served > 0 and counters.overdue == counters.crashed == 0
@@ -754,7 +762,7 @@
     b.run(work())
 
 
-def test_a_fetch_that_tells_more_than_the_watch_shows_that_this_one_is_dead() -> None:
+def test_a_fetch_with_a_newer_list_restarts_the_watch() -> None:
     async def work() -> None:
         one, two = b.Endpoint("s-1"), b.Endpoint("s-2")
         await two.start()
@@ -763,11 +771,11 @@
             await b.until(
                 lambda: discovery.request_targets[-1:] != [] and b"after=1&" in discovery.request_targets[-1]
             )
-            asked = len(discovery.request_targets)
+            call_count = len(discovery.request_targets)
             bed.sidecar._discovery.fetch()
             await b.until(lambda: bed.sidecar.counters.lists == 1)
-            assert len(discovery.request_targets) == asked + 1  # nothing new: the watch stands
-            discovery.generation, discovery.endpoints = 7, [two]  # the watch is told nothing of it
+            assert len(discovery.request_targets) == call_count + 1  # nothing new, so the watch goes on
+            discovery.generation, discovery.endpoints = 7, [two]  # the watch is not answered
             bed.sidecar._discovery.fetch()
             await b.until(lambda: b"after=7&" in discovery.request_targets[-1])
             answer = await (await bed.client()).call("view")
@@ -781,10 +789,10 @@
     b.run(work())
 
 
-def test_requests_of_one_subject_run_one_at_a_time_where_their_class_asks_for_it() -> None:
+def test_requests_for_one_object_run_one_at_a_time_if_their_class_requires_it() -> None:
     async def work() -> None:
         grades = [cls | {"in-turn": True} if cls["name"] == "book" else cls for cls in b.CLASSES]
-        alone: dict[str, Any] = {"n-instances": 1}
+        single_instance: dict[str, Any] = {"n-instances": 1}
         gates = [asyncio.Event(), asyncio.Event()]
 
         async def wait(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
@@ -792,7 +800,7 @@
             await b.respond_ok(endpoint, request, writer)
 
         one, two = b.Endpoint("s-1", wait), b.Endpoint("s-2", wait)
-        async with b.bed(one, two, grades=grades, **alone) as bed:
+        async with b.bed(one, two, grades=grades, **single_instance) as bed:
             clients = [await bed.client() for _ in range(3)]
             key, same, other = b"Idempotency-Key: k", b"Req-Extra: item=7", b"Req-Extra: item=8"
             clients[0].send("book", 8.0, "", key, same)
@@ -815,8 +823,8 @@
     b.run(work())
 
 
-def test_where_only_draining_binds_who_is_gone_or_left_out_is_still_sent_to_and_who_drained_is_not() -> None:
-    # The transport once held such an attempt back before its first byte: every request there was lost.
+def test_if_only_draining_binds_gone_or_unlisted_servers_get_requests_unless_they_drained() -> None:
+    # The transport once stopped such attempts before their first byte, so every request to them failed.
     async def work() -> None:
         one, two = b.Endpoint("s-1"), b.Endpoint("s-2")
         contract = CONFIG["contract"] | {"only-draining-binds": True}
@@ -830,12 +838,12 @@
             one.lifecycle = "Terminating"
             bed.discovery.announce(one)
             await b.until(lambda: bed.sidecar.counters.lists == 2)
-            one.lifecycle, before = "Gone", len(one.requests)
+            one.lifecycle, request_count = "Gone", len(one.requests)
             bed.discovery.announce(one)
             await b.until(lambda: bed.sidecar.counters.lists == 3)
             assert [(await client.call("view")).status for _ in range(4)] == [200] * 4
-            assert len(one.requests) == before and len(two.requests) > 4
-            bed.discovery.endpoints = []  # a list that empties
+            assert len(one.requests) == request_count and len(two.requests) > 4
+            bed.discovery.endpoints = []  # an empty list
             bed.discovery.generation += 1
             bed.sidecar._discovery.fetch()
             await b.until(lambda: bed.sidecar.counters.lists == 4)
@@ -844,7 +852,7 @@
     b.run(work())
 
 
-def test_the_subject_reaches_the_decisions_where_servers_remember_keys() -> None:
+def test_with_warm_keys_requests_for_one_object_go_to_one_server() -> None:
     async def work() -> None:
         settings: dict[str, Any] = {"n-instances": 1, "family-info": {"warm-keys": True}}
         servers = [b.Endpoint(f"s-{number}") for number in range(6)]
