--- a/tests/gone_play.py
+++ b/tests/gone_play.py
@@ -1,7 +1,8 @@
-"""A play by hand: some hundred clients leave while their requests wait. `python -m tests.gone_play`
+"""A manual experiment: hundreds of clients leave while their requests wait. `python -m tests.gone_play`
 
-Sidecar, clients and endpoint are a process each, on one monotonic clock: what the sidecar's loop does delays
-no reading of it. Counted are the attempts whose first byte came to the endpoint after the close, and when.
+The sidecar, the clients and the endpoint run in a process each and share the monotonic clock, so a busy
+sidecar does not distort the times. The result is how many attempts reached the endpoint after their
+client had closed the connection, and how late.
 """
 
 import asyncio
@@ -20,76 +21,98 @@
 from larkcrank.transport.connection import Connection, PendingConnection
 from tests import bed as b
 
-COUNT = 300
-LATE_S = 0.1  # a later begin is a break
-LEAVE_S, SEND_S = 0.4, 0.6  # clients leave, and requests get their turn, within so long of the start
-KEYS = 30
-TURN_S = 0.12  # a turn of the busy loop
-WAITS = ["limit", "long", "connection", "connection long", "attempt", "turn", "end", "at once", "behind more"]
+CLIENT_COUNT = 300
+MAX_LATE_S = 0.1  # an attempt that begins later after the close is a violation
+LEAVE_WITHIN_S, SEND_WITHIN_S = 0.4, 0.6  # after the start: when clients leave and requests are sent
+KEY_COUNT = 30
+BUSY_ITERATION_S = 0.12  # how long an iteration of the busy loop takes
+WAIT_SCENARIOS = [
+    "limit",
+    "long",
+    "connection",
+    "connection long",
+    "attempt",
+    "turn",
+    "end",
+    "at once",
+    "behind more",
+]
 IN_TURN = [cls | {"in-turn": True} if cls["name"] == "book" else cls for cls in b.CLASSES]
-_ID = re.compile(rb"req-id: *([^\r]+)", re.I)
-_LENGTH = re.compile(rb"content-length: *(\d+)", re.I)
-
-
-def text_of(wait: str, number: int) -> bytes:
-    """What the client of this number sends before it waits."""
-    name = b"Host: a\r\nReq-Id: r%d\r\n" % number
-    if "long" in wait or wait == "behind more":
-        size = 4_000_000 if wait == "behind more" else 200_000
-        head = b"POST /take/1 HTTP/1.1\r\n%sReq-Kind: take\r\nContent-Length: %d\r\n\r\n" % (name, size)
+_ID_PATTERN = re.compile(rb"req-id: *([^\r]+)", re.I)
+_LENGTH_PATTERN = re.compile(rb"content-length: *(\d+)", re.I)
+
+
+def request_text(scenario: str, client: int) -> bytes:
+    """Return what a client sends before it waits."""
+    common_lines = b"Host: a\r\nReq-Id: r%d\r\n" % client
+    if "long" in scenario or scenario == "behind more":
+        size = 4_000_000 if scenario == "behind more" else 200_000
+        head = b"POST /take/1 HTTP/1.1\r\n%sReq-Kind: take\r\nContent-Length: %d\r\n\r\n" % (
+            common_lines,
+            size,
+        )
         return head + b"x" * (size // 2)
-    if wait == "turn":
-        more = b"Idempotency-Key: k\r\nReq-Extra: item=%d\r\nContent-Length: 0\r\n" % (number % KEYS + 1)
-        return b"POST /book/1 HTTP/1.1\r\n%sReq-Kind: book\r\n%s\r\n" % (name, more)
-    old = b"1.0" if number % 4 == 1 else b"1.1"
-    text = b"GET /view/1 HTTP/%s\r\n%sReq-Kind: view\r\n\r\n" % (old, name)
-    return text + b"GET /view/1 HTTP/1.1\r\n" if number % 4 == 2 else text
+    if scenario == "turn":
+        key_lines = b"Idempotency-Key: k\r\nReq-Extra: item=%d\r\nContent-Length: 0\r\n" % (
+            client % KEY_COUNT + 1
+        )
+        return b"POST /book/1 HTTP/1.1\r\n%sReq-Kind: book\r\n%s\r\n" % (common_lines, key_lines)
+    version = b"1.0" if client % 4 == 1 else b"1.1"
+    text = b"GET /view/1 HTTP/%s\r\n%sReq-Kind: view\r\n\r\n" % (version, common_lines)
+    return text + b"GET /view/1 HTTP/1.1\r\n" if client % 4 == 2 else text
+
 
+def run_clients(pipe: Pipe, port: int, scenario: str, seed: int) -> None:
+    """Send all requests, wait for the start, then let each client leave at its own time.
 
-def be_clients(pipe: Pipe, port: int, wait: str, seed: int) -> None:
-    """Send, wait for the word, leave each at its time; tell when, by number."""
+    Reports through the pipe when each client left, and how many of the others were served.
+    """
     rng = random.Random(seed)
     socks = []
-    for number in range(COUNT):
+    for number in range(CLIENT_COUNT):
         sock = socket.create_connection(("127.0.0.1", port))
-        sock.setblocking(wait != "behind more")
-        sock.sendall(text_of(wait, number)) if sock.getblocking() else _fill(sock, text_of(wait, number))
+        sock.setblocking(scenario != "behind more")
+        sock.sendall(request_text(scenario, number)) if sock.getblocking() else _fill_socket(
+            sock, request_text(scenario, number)
+        )
         socks.append(sock)
     pipe.send("sent")
     start = pipe.recv()
-    left: dict[int, float] = {}
-    whole = "long" not in wait and wait != "behind more"
-    leaving = [number for number in range(COUNT) if number % 10 or not whole]
-    for when, number in sorted((0.0 if wait == "at once" else rng.random() * LEAVE_S, n) for n in leaving):
+    left_at: dict[int, float] = {}
+    is_complete = "long" not in scenario and scenario != "behind more"
+    leaving = [number for number in range(CLIENT_COUNT) if number % 10 or not is_complete]
+    for when, number in sorted(
+        (0.0 if scenario == "at once" else rng.random() * LEAVE_WITHIN_S, n) for n in leaving
+    ):
         time.sleep(max(start + when - time.monotonic(), 0.0))
         sock = socks[number]
-        with suppress(OSError):  # one that was answered may be closed by now
-            if number % 8 == 3 and wait != "behind more":
+        with suppress(OSError):  # the connection of an answered request may be closed already
+            if number % 8 == 3 and scenario != "behind more":
                 sock.send(b"x" * 100)
-        left[number] = time.monotonic()
+        left_at[number] = time.monotonic()
         with suppress(OSError):
-            if number % 3 == 1 and wait != "behind more":
+            if number % 3 == 1 and scenario != "behind more":
                 sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             if number % 3 == 2:
                 sock.shutdown(socket.SHUT_WR)
             else:
                 sock.close()
     served = 0
-    for number in range(COUNT):
-        if number not in left:
+    for number in range(CLIENT_COUNT):
+        if number not in left_at:
             socks[number].settimeout(4.0)
             with suppress(OSError):
                 served += socks[number].recv(65536).startswith(b"HTTP/1.1 200")
-    time.sleep(max(start + SEND_S + 0.2 - time.monotonic(), 0.0))
+    time.sleep(max(start + SEND_WITHIN_S + 0.2 - time.monotonic(), 0.0))
     for sock in socks:
         sock.close()
-    pipe.send((left, served))
+    pipe.send((left_at, served))
 
 
-def _fill(sock: socket.socket, data: bytes) -> None:
-    """As much as the systems of both sides hold."""
-    until = time.monotonic() + 0.004
-    while data and time.monotonic() < until:
+def _fill_socket(sock: socket.socket, data: bytes) -> None:
+    """Send as much as the kernel buffers of both sides hold."""
+    deadline = time.monotonic() + 0.004
+    while data and time.monotonic() < deadline:
         try:
             data = data[sock.send(data) :]
         except BlockingIOError:
@@ -97,154 +120,160 @@
 
 
 class Endpoint(asyncio.Protocol):
-    """Notes when the first byte of each attempt came."""
+    """Records when the first byte of each attempt arrived."""
 
-    def __init__(self, wait: str, begun: list[tuple[int, float]], started: asyncio.Event) -> None:
-        self.wait, self.begun, self.started = wait, begun, started
-        self.held, self.first, self.left = b"", 0.0, -1
+    def __init__(self, scenario: str, attempts: list[tuple[int, float]], started: asyncio.Event) -> None:
+        self.scenario, self.attempts, self.started = scenario, attempts, started
+        self.buffer, self.first_byte_at, self.body_bytes_left = b"", 0.0, -1
         self.transport: Any = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if self.left < 0:
-            self.first = self.first if self.held else time.monotonic()
-            self.held += data
-            head, end, rest = self.held.partition(b"\r\n\r\n")
+        if self.body_bytes_left < 0:
+            self.first_byte_at = self.first_byte_at if self.buffer else time.monotonic()
+            self.buffer += data
+            head, end, rest = self.buffer.partition(b"\r\n\r\n")
             if not end:
                 return
-            length, name = _LENGTH.search(head), _ID.search(head)
-            assert name is not None
-            self.begun.append((int(name[1][1:]), self.first))
-            self.left, data, self.held = int(length[1]) if length else 0, rest, b""
-        self.left -= len(data)
-        if self.left <= 0:
-            self.left = -1
-            asyncio.get_running_loop().create_task(self.answer(len(self.begun)))
-
-    async def answer(self, count: int) -> None:
-        if self.wait in ("attempt", "turn"):
+            length, request_id = _LENGTH_PATTERN.search(head), _ID_PATTERN.search(head)
+            assert request_id is not None
+            self.attempts.append((int(request_id[1][1:]), self.first_byte_at))
+            self.body_bytes_left, data, self.buffer = int(length[1]) if length else 0, rest, b""
+        self.body_bytes_left -= len(data)
+        if self.body_bytes_left <= 0:
+            self.body_bytes_left = -1
+            asyncio.get_running_loop().create_task(self.respond(len(self.attempts)))
+
+    async def respond(self, count: int) -> None:
+        if self.scenario in ("attempt", "turn"):
             await self.started.wait()
-            await asyncio.sleep(random.Random(count).random() * (SEND_S if self.wait == "attempt" else 0.06))
-        declined = self.wait == "attempt" and count <= COUNT
+            await asyncio.sleep(
+                random.Random(count).random() * (SEND_WITHIN_S if self.scenario == "attempt" else 0.06)
+            )
+        declined = self.scenario == "attempt" and count <= CLIENT_COUNT
         status = b"503 Busy\r\nSrv-Declined: 1" if declined else b"200 OK"
         self.transport.write(b"HTTP/1.1 %s\r\nContent-Length: 0\r\n\r\n" % status)
 
 
-def be_endpoint(pipe: Pipe, wait: str) -> None:
+def run_endpoint(pipe: Pipe, scenario: str) -> None:
     async def work() -> None:
-        begun: list[tuple[int, float]] = []
+        attempts: list[tuple[int, float]] = []
         started, loop = asyncio.Event(), asyncio.get_running_loop()
         server = await loop.create_server(
-            lambda: Endpoint(wait, begun, started), "127.0.0.1", 0, backlog=4096
+            lambda: Endpoint(scenario, attempts, started), "127.0.0.1", 0, backlog=4096
         )
         pipe.send(server.sockets[0].getsockname()[1])
         await loop.run_in_executor(None, pipe.recv)
         started.set()
         await loop.run_in_executor(None, pipe.recv)
-        pipe.send(begun)
+        pipe.send(attempts)
         server.close()
 
     asyncio.run(work())
 
 
-class Turns:
-    """Decisions that send each request on at a time drawn for it, unless its client has gone by then."""
+class TimedBalancer:
+    """Replaces the balancer and sends each request when told to, unless its client has gone by then."""
 
-    def __init__(self, bed: b.Bed, wait: str) -> None:
-        self.wait, self.driver = wait, bed.sidecar._driver
-        self.taken: list[int] = []
-        self.gone: set[int] = set()
-        self._say: list[api.Action] = []
+    def __init__(self, bed: b.Bed, scenario: str) -> None:
+        self.scenario, self.driver = scenario, bed.sidecar._driver
+        self.request_ids: list[int] = []
+        self.gone_ids: set[int] = set()
+        self._pending_actions: list[api.Action] = []
         self.driver._decisions = self
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         match event:
             case api.Request():
-                self.taken.append(event.id)
-                if self.wait in ("connection", "connection long", "attempt"):
+                self.request_ids.append(event.id)
+                if self.scenario in ("connection", "connection long", "attempt"):
                     return [api.Send(event.id, b"s-1")]
             case api.ClientGone():
-                self.gone.add(event.id)
+                self.gone_ids.add(event.id)
             case api.Outcome() if event.result is api.Result.REJECTED and not event.request_answered:
                 return [api.Send(event.id, b"s-1")]
-        said, self._say = self._say, []
-        return said
+        actions, self._pending_actions = self._pending_actions, []
+        return actions
 
-    def send(self, number: int) -> None:
-        if number not in self.gone:
-            self._say = [api.Send(number, b"s-1")]
+    def send(self, request_id: int) -> None:
+        if request_id not in self.gone_ids:
+            self._pending_actions = [api.Send(request_id, b"s-1")]
             self.driver.feed(api.TimerFired(0))
 
 
-async def play(wait: str, busy: bool, seed: int) -> str:
+async def run_scenario(scenario: str, busy: bool, seed: int) -> str:
     loop, context = asyncio.get_running_loop(), multiprocessing.get_context("spawn")
-    (ends, theirs), (clients, others) = context.Pipe(), context.Pipe()
-    processes = [context.Process(target=be_endpoint, args=(theirs, wait))]
+    (endpoint_pipe, endpoint_side), (client_pipe, client_side) = context.Pipe(), context.Pipe()
+    processes = [context.Process(target=run_endpoint, args=(endpoint_side, scenario))]
     processes[0].start()
     server = b.Endpoint("s-1")
-    server.port = await loop.run_in_executor(None, ends.recv)
-    come_up, dial, rng = asyncio.Event(), PendingConnection.wait, random.Random(seed + 1)
+    server.port = await loop.run_in_executor(None, endpoint_pipe.recv)
+    may_connect, original_wait, rng = asyncio.Event(), PendingConnection.wait, random.Random(seed + 1)
 
-    async def late(connecting: PendingConnection, timeout_ms: float) -> Connection:
-        connection = await dial(connecting, 10_000.0)
-        await come_up.wait()
-        await asyncio.sleep(rng.random() * SEND_S)
+    async def delayed_wait(pending: PendingConnection, timeout_ms: float) -> Connection:
+        connection = await original_wait(pending, 10_000.0)
+        await may_connect.wait()
+        await asyncio.sleep(rng.random() * SEND_WITHIN_S)
         return connection
 
-    async with b.bed(server, sockets=8 * COUNT, grades=IN_TURN, memory_mb=2048.0, discovery_up=False) as bed:
+    async with b.bed(
+        server, sockets=8 * CLIENT_COUNT, grades=IN_TURN, memory_mb=2048.0, discovery_up=False
+    ) as bed:
         sidecar = bed.sidecar
-        if wait.startswith("connection"):
-            PendingConnection.wait = late  # type: ignore
-        turns = Turns(bed, wait) if wait != "turn" else None
-        place = sidecar.place[1]
-        processes.append(context.Process(target=be_clients, args=(others, place, wait, seed)))
+        if scenario.startswith("connection"):
+            PendingConnection.wait = delayed_wait  # type: ignore
+        balancer = TimedBalancer(bed, scenario) if scenario != "turn" else None
+        port = sidecar.place[1]
+        processes.append(context.Process(target=run_clients, args=(client_side, port, scenario, seed)))
         processes[1].start()
-        await loop.run_in_executor(None, clients.recv)
+        await loop.run_in_executor(None, client_pipe.recv)
         for _ in range(400):
-            if sidecar.counters.taken >= COUNT:
+            if sidecar.counters.taken >= CLIENT_COUNT:
                 break
             await asyncio.sleep(0.01)
-        if wait == "end":
+        if scenario == "end":
             sidecar.life.end(sidecar._clock() + 8000.0)
         start = time.monotonic() + 0.05
-        come_up.set()
-        clients.send(start)
-        ends.send("start")
-        if turns is not None and wait in ("limit", "long", "end", "at once", "behind more"):
-            for number in turns.taken:
-                loop.call_later(0.05 + rng.random() * SEND_S, turns.send, number)
-        ended = loop.run_in_executor(None, clients.recv)
-        while not ended.done():
+        may_connect.set()
+        client_pipe.send(start)
+        endpoint_pipe.send("start")
+        if balancer is not None and scenario in ("limit", "long", "end", "at once", "behind more"):
+            for number in balancer.request_ids:
+                loop.call_later(0.05 + rng.random() * SEND_WITHIN_S, balancer.send, number)
+        result = loop.run_in_executor(None, client_pipe.recv)
+        while not result.done():
             await asyncio.sleep(0.0 if busy else 0.01)
             if busy:
-                time.sleep(TURN_S)
-        left, served = await ended
-        ends.send("end")
-        begun = await loop.run_in_executor(None, ends.recv)
-        PendingConnection.wait = dial  # type: ignore[method-assign]
+                time.sleep(BUSY_ITERATION_S)
+        left_at, served = await result
+        endpoint_pipe.send("end")
+        attempts = await loop.run_in_executor(None, endpoint_pipe.recv)
+        PendingConnection.wait = original_wait  # type: ignore[method-assign]
         counters = sidecar.counters
     for process in processes:
         process.join()
-    first = [pair for pair in begun if pair[0] in left]
-    after = [when - left[number] for number, when in first if when > left[number]]
-    breaks = sum(late_s > LATE_S for late_s in after)
-    worst = max(after, default=0.0) * 1000.0
-    kind = "busy" if busy else "idle"
+    of_gone_clients = [attempt for attempt in attempts if attempt[0] in left_at]
+    delays_s = [
+        arrived_at - left_at[number] for number, arrived_at in of_gone_clients if arrived_at > left_at[number]
+    ]
+    violations = sum(delay_s > MAX_LATE_S for delay_s in delays_s)
+    worst_ms = max(delays_s, default=0.0) * 1000.0
+    load = "busy" if busy else "idle"
     return (
-        f"{wait:16} {kind} left {len(left):3} gone before {counters.gone_before_send:3} begun {len(begun):3} "
-        f"after the close {len(after):3} over 0.1 s {breaks:3} worst {worst:6.1f} ms "
-        f"served {served:2} of {COUNT - len(left):2} connects {counters.connects:3} taken {counters.taken} "
-        f"bad {counters.bad_requests} crashed {counters.crashed}"
+        f"{scenario:16} {load} left {len(left_at):3} gone before {counters.gone_before_send:3} "
+        f"begun {len(attempts):3} after the close {len(delays_s):3} over 0.1 s {violations:3} "
+        f"worst {worst_ms:6.1f} ms served {served:2} of {CLIENT_COUNT - len(left_at):2} "
+        f"connects {counters.connects:3} taken {counters.taken} bad {counters.bad_requests} crashed {counters.crashed}"
     )
 
 
 def main() -> None:
     seed = int(sys.argv[1]) if len(sys.argv) > 1 else 1
-    for wait in sys.argv[2:] or WAITS:
+    for scenario in sys.argv[2:] or WAIT_SCENARIOS:
         for busy in (False, True):
-            print(asyncio.run(play(wait, busy, seed)), flush=True)
+            print(asyncio.run(run_scenario(scenario, busy, seed)), flush=True)
 
 
 if __name__ == "__main__":
--- a/tests/test_gone.py
+++ b/tests/test_gone.py
@@ -1,6 +1,6 @@
-"""A client that has gone gets no further attempt, whatever its request waits for: gone is gone.
+"""Tests that no attempt starts for a client that has disconnected, whatever its request waits for.
 
-The orders in which two things meet are forced, as in `test_crossings_clients`: no sleep has to hit anything.
+Races are reproduced by forcing the order of events, as in `test_crossings_clients`, not by timing.
 """
 
 import asyncio
@@ -34,11 +34,11 @@
 from tests.test_replace import World
 
 IN_TURN = [cls | {"in-turn": True} if cls["name"] == "book" else cls for cls in b.CLASSES]
-KEY, SAME = b"Idempotency-Key: 5c0f", b"Req-Extra: item=7"
-MANY = 1000
+KEY_LINE, OBJECT_KEY_LINE = b"Idempotency-Key: 5c0f", b"Req-Extra: item=7"
+MANY_CLIENTS = 1000
 
 
-# The decisions: the simulator's cancel and a sidecar's client are one event
+# The balancer: a cancellation in the simulator and a client disconnect are the same event
 
 CLASSES = (
     api.RequestClass("look", api.Effect.SAFE, api.Group.ALL, 500.0, 1000.0, 0.0, 3.0),
@@ -50,7 +50,7 @@
 
 
 class History:
-    """Feeds a balancer with a drawn history and watches what it decides for those who have gone."""
+    """Feeds a balancer with random events and checks that it takes no action for clients that have gone."""
 
     def __init__(self, may_cancel: bool, seed: int) -> None:
         site = api.Settings(
@@ -63,140 +63,159 @@
         )
         self.now = 0.0
         self.balancer = Balancer(site, Random(seed), self.now)
-        self.last = 0
-        self.open: list[int] = []
-        self.uploading: list[int] = []
-        self.sends: dict[int, int] = {}
-        self.out: list[tuple[int, int, bytes]] = []
-        self.gone: set[int] = set()
+        self.last_id = 0
+        self.open_requests: list[int] = []
+        self.uploading_requests: list[int] = []
+        self.send_counts: dict[int, int] = {}
+        self.open_attempts: list[tuple[int, int, bytes]] = []
+        self.gone_requests: set[int] = set()
         self.timer: tuple[float, int] | None = None
 
-    def do(self, event: api.Event) -> None:
+    def handle(self, event: api.Event) -> None:
         for action in self.balancer.handle(self.now, event):
             match action:
                 case api.Send():
-                    assert action.id not in self.gone, f"{action} for a client that has gone"
-                    attempt = self.sends.get(action.id, 0)
-                    self.sends[action.id] = attempt + 1
-                    self.out.append((action.id, attempt, action.address))
+                    assert action.id not in self.gone_requests, f"{action} for a client that has gone"
+                    attempt = self.send_counts.get(action.id, 0)
+                    self.send_counts[action.id] = attempt + 1
+                    self.open_attempts.append((action.id, attempt, action.address))
                 case api.Refuse() | api.Fail():
-                    assert action.id not in self.gone, f"{action} for a client that has gone"
-                    self.open.remove(action.id)
+                    assert action.id not in self.gone_requests, f"{action} for a client that has gone"
+                    self.open_requests.remove(action.id)
                 case api.SetTimer():
                     self.timer = self.now + action.wait_ms, action.token
 
     def wait(self, duration: float) -> None:
-        until = self.now + duration
-        while self.timer is not None and self.timer[0] <= until:
+        end = self.now + duration
+        while self.timer is not None and self.timer[0] <= end:
             (self.now, token), self.timer = self.timer, None
-            self.do(api.TimerFired(token))
-        self.now = until
+            self.handle(api.TimerFired(token))
+        self.now = end
 
-    def step(self, what: str, which: int, how: int) -> None:
-        match what:
+    def step(self, kind: str, selector: int, variant: int) -> None:
+        match kind:
             case "request":
-                self.last += 1
-                self.open.append(self.last)
-                cls, uploading = which % len(CLASSES), how % 4 == 0
+                self.last_id += 1
+                self.open_requests.append(self.last_id)
+                class_index, uploading = selector % len(CLASSES), variant % 4 == 0
                 if uploading:
-                    self.uploading.append(self.last)
-                left = CLASSES[cls].deadline_ms
-                self.do(api.Request(self.last, cls, left, key=1 + how % 3, uploading=uploading))
-            case "gone" if self.open:
-                number = self.open.pop(which % len(self.open))
-                self.gone.add(number)  # from its cancel on, also for what that itself brings about
-                self.do(api.ClientGone(number))
-            case "outcome" if self.out:
-                number, attempt, server = self.out.pop(which % len(self.out))
-                result = RESULTS[how % len(RESULTS)]
-                if result is api.Result.OK and number in self.open:
-                    self.open.remove(number)
-                self.do(api.Outcome(number, attempt, server, result, 20.0, number not in self.open))
-            case "uploaded" if self.uploading:
-                self.do(api.Uploaded(self.uploading.pop(which % len(self.uploading)), 900.0))
+                    self.uploading_requests.append(self.last_id)
+                timeout_ms = CLASSES[class_index].deadline_ms
+                self.handle(
+                    api.Request(
+                        self.last_id, class_index, timeout_ms, key=1 + variant % 3, uploading=uploading
+                    )
+                )
+            case "gone" if self.open_requests:
+                request_id = self.open_requests.pop(selector % len(self.open_requests))
+                # Added first, so that the actions on the event itself are checked too.
+                self.gone_requests.add(request_id)
+                self.handle(api.ClientGone(request_id))
+            case "outcome" if self.open_attempts:
+                request_id, attempt, server = self.open_attempts.pop(selector % len(self.open_attempts))
+                result = RESULTS[variant % len(RESULTS)]
+                if result is api.Result.OK and request_id in self.open_requests:
+                    self.open_requests.remove(request_id)
+                self.handle(
+                    api.Outcome(
+                        request_id, attempt, server, result, 20.0, request_id not in self.open_requests
+                    )
+                )
+            case "uploaded" if self.uploading_requests:
+                self.handle(
+                    api.Uploaded(self.uploading_requests.pop(selector % len(self.uploading_requests)), 900.0)
+                )
             case "list":
-                lines = (
-                    api.Endpoint(b"s%d" % one, api.State.READY if which >> one & 1 else api.State.DRAINING)
+                endpoints = (
+                    api.Endpoint(b"s%d" % one, api.State.READY if selector >> one & 1 else api.State.DRAINING)
                     for one in range(4)
                 )
-                self.do(api.ServerList(tuple(lines), complete=True))
+                self.handle(api.ServerList(tuple(endpoints), complete=True))
             case "wait":
-                self.wait(float(how))
+                self.wait(float(variant))
 
 
-def play(may_cancel: bool, seed: int, steps: list[tuple[str, int, int]]) -> None:
+def run_history(may_cancel: bool, seed: int, steps: list[tuple[str, int, int]]) -> None:
     history = History(may_cancel, seed)
     if seed:
         history.step("list", 15, 0)
     for step in steps:
         history.step(*step)
-    history.step("list", 15, 0)  # whatever was held for want of a server goes on now
+    history.step("list", 15, 0)  # requests that were held for lack of a server can now be sent
     history.wait(5000.0)
-    while history.out:
+    while history.open_attempts:
         history.step("outcome", 0, RESULTS.index(api.Result.ERROR))
         history.wait(100.0)
-    kept = {*history.balancer._requests, *(job.id for job in history.balancer._queue)}
-    kept |= {job.id for line in history.balancer._key_queues.values() for job in line.requests}
-    assert not kept & history.gone, "kept for a client that has gone"
+    remaining = {*history.balancer._requests, *(request.id for request in history.balancer._queue)}
+    remaining |= {
+        request.id for key_queue in history.balancer._key_queues.values() for request in key_queue.requests
+    }
+    assert not remaining & history.gone_requests, "kept for a client that has gone"
 
 
-DRAWN = (
+HISTORIES = (
     st.booleans(),
     st.integers(0, 5),
     st.lists(st.tuples(st.sampled_from(STEPS), st.integers(0, 15), st.integers(0, 400)), max_size=80),
 )
 
 
-@given(*DRAWN)
+@given(*HISTORIES)
 @settings(max_examples=300)
-def test_after_its_cancel_nothing_is_decided_for_a_request(
+def test_no_action_follows_the_cancellation_of_a_request(
     may_cancel: bool, seed: int, steps: list[tuple[str, int, int]]
 ) -> None:
-    """Held, in the line of its key, uploading or between two attempts."""
-    play(may_cancel, seed, steps)
+    """The request may be held, queued behind its key, uploading or between two attempts."""
+    run_history(may_cancel, seed, steps)
 
 
-def _unheard(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
-    return [] if isinstance(event, api.ClientGone) else _HANDLE(balancer, now, event)
+def _ignore_client_gone(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
+    return [] if isinstance(event, api.ClientGone) else _ORIGINAL_HANDLE(balancer, now, event)
 
 
-def _still_held(balancer: Balancer, number: int) -> None:
-    held = list(balancer._queue)
-    _CLOSE(balancer, number)
-    balancer._queue = held
+def _keep_in_queue(balancer: Balancer, number: int) -> None:
+    queue = list(balancer._queue)
+    _ORIGINAL_REMOVE_REQUEST(balancer, number)
+    balancer._queue = queue
 
 
-def _still_in_line(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
-    job = balancer._requests.get(event.id) if isinstance(event, api.ClientGone) else None
-    actions = _HANDLE(balancer, now, event)
-    if job is not None and (line := balancer._key_queues.get(job.ordering_key)) is not None:
-        line.requests.append(job)
+def _keep_in_key_queue(balancer: Balancer, now: float, event: api.Event) -> list[api.Action]:
+    request = balancer._requests.get(event.id) if isinstance(event, api.ClientGone) else None
+    actions = _ORIGINAL_HANDLE(balancer, now, event)
+    if request is not None and (key_queue := balancer._key_queues.get(request.ordering_key)) is not None:
+        key_queue.requests.append(request)
     return actions
 
 
-_HANDLE, _CLOSE = Balancer.handle, Balancer._remove_request
+_ORIGINAL_HANDLE, _ORIGINAL_REMOVE_REQUEST = Balancer.handle, Balancer._remove_request
 
 
 @pytest.mark.parametrize(
-    ("name", "planted"), [("handle", _unheard), ("_remove_request", _still_held), ("handle", _still_in_line)]
+    ("method_name", "faulty_method"),
+    [("handle", _ignore_client_gone), ("_remove_request", _keep_in_queue), ("handle", _keep_in_key_queue)],
 )
-def test_the_histories_find_a_planted_fault(name: str, planted: Callable[..., Any]) -> None:
-    find = settings(max_examples=300, phases=[Phase.generate], report_multiple_bugs=False)(
-        given(*DRAWN)(play)
+def test_the_random_histories_detect_injected_faults(
+    method_name: str, faulty_method: Callable[..., Any]
+) -> None:
+    run_histories = settings(max_examples=300, phases=[Phase.generate], report_multiple_bugs=False)(
+        given(*HISTORIES)(run_history)
     )
-    with mock.patch.object(Balancer, name, planted), pytest.raises(AssertionError, match="has gone"):
-        find()
+    with (
+        mock.patch.object(Balancer, method_name, faulty_method),
+        pytest.raises(AssertionError, match="has gone"),
+    ):
+        run_histories()
 
 
 @pytest.mark.parametrize("cancelled", [True, False])
-def test_a_cancel_on_the_wire_ends_what_is_held_and_what_would_be_repeated(cancelled: bool) -> None:
+def test_a_cancellation_on_the_wire_ends_held_and_retried_requests(cancelled: bool) -> None:
     def cancel(number: int) -> list[bytes]:
         return [f.client_gone_event(number)] if cancelled else []
 
     host, one = wire.host_with_servers(), f.select_instance(3)
     assert not wire.sent_attempts(
         wire.handle_records(host, 1.0, one, f.request_event(1))
-    )  # held: there is no server
+    )  # held, as there is no server
     wire.handle_records(host, 2.0, one, *cancel(1))
     servers = f.define_server_list(1, f.list_entry(f.ADDRESS_A), f.list_entry(f.ADDRESS_B))
     found = wire.sent_attempts(wire.handle_records(host, 3.0, one, servers, f.server_list_event(1, 2)))
@@ -206,26 +225,29 @@
     ((_, server),) = wire.sent_attempts(wire.handle_records(host, 4.0, one, f.request_event(2)))
     found = wire.sent_attempts(
         wire.handle_records(host, 5.0, one, *cancel(2), f.outcome_event(2, server, 302))
-    )  # turned away unseen
+    )  # rejected without having run
     assert bool(found) is not cancelled
 
 
-# The look
+# The check for a closed connection
 
 
 @pytest.mark.parametrize("shape", ["plain", "long"])
 @pytest.mark.parametrize("pool", [True, False])
-def test_no_turn_of_the_loop_passes_between_the_look_and_the_first_byte(
+def test_the_client_is_checked_in_the_loop_iteration_that_writes_the_first_byte(
     shape: str, pool: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A busy loop makes such a turn as long as it likes; a long body's head was once written a turn later."""
+    """In a busy loop an iteration may take long.
+
+    The head of a request with a long body was once written one iteration after the check.
+    """
     order: list[str] = []
-    look, hand_over = Connection.has_peer_closed, IOStream.write_to_fd
+    has_peer_closed, write_to_fd = Connection.has_peer_closed, IOStream.write_to_fd
 
-    def looked(connection: Connection) -> bool:
+    def record_check(connection: Connection) -> bool:
         order.append("look")
         asyncio.get_running_loop().call_soon(order.append, "turn")
-        return look(connection)
+        return has_peer_closed(connection)
 
     async def work() -> None:
         one = b.Endpoint("s-1")
@@ -234,13 +256,13 @@
             if pool:
                 await x.pooled(bed, client)
 
-            def handed_over(stream: IOStream, data: memoryview) -> int:
+            def record_write(stream: IOStream, data: memoryview) -> int:
                 if stream.socket.getpeername()[1] == one.port:
                     order.append("bytes")
-                return hand_over(stream, data)
+                return write_to_fd(stream, data)
 
-            monkeypatch.setattr(Connection, "has_peer_closed", looked)
-            monkeypatch.setattr(IOStream, "write_to_fd", handed_over)
+            monkeypatch.setattr(Connection, "has_peer_closed", record_check)
+            monkeypatch.setattr(IOStream, "write_to_fd", record_write)
             x.ask(client, shape)
             await b.until(lambda: "bytes" in order)
             first = order.index("bytes")
@@ -250,8 +272,8 @@
 
 
 @pytest.mark.parametrize("pool", [True, False])
-def test_a_client_that_left_costs_no_connection(pool: bool) -> None:
-    """Each that had left closed the idle connection that was taken for it, or had one made for nothing."""
+def test_a_client_that_has_gone_uses_up_no_endpoint_connection(pool: bool) -> None:
+    """Guards against closing the pooled connection taken for its attempt, or opening a new one in vain."""
 
     async def work() -> None:
         one = b.Endpoint("s-1")
@@ -271,165 +293,173 @@
     b.run(work())
 
 
-def pair(descriptors: DescriptorBudget) -> tuple[Connection, socket.socket]:
-    ours, theirs = socket.socketpair()
-    ours.setblocking(False)
+def connected_pair(descriptors: DescriptorBudget) -> tuple[Connection, socket.socket]:
+    local_end, remote_end = socket.socketpair()
+    local_end.setblocking(False)
     assert descriptors.acquire(SocketUse.CLIENT)
-    return Connection(IOStream(ours), descriptors, SocketUse.CLIENT), theirs
+    return Connection(IOStream(local_end), descriptors, SocketUse.CLIENT), remote_end
 
 
-class Looks:
-    """Counts system calls of looks."""
+class CheckCounter:
+    """Counts poll objects and single connection checks."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.polls = self.singly = 0
-        poll, has_ended = select.poll, Connection.has_peer_closed
+        self.polls = self.single_checks = 0
+        poll, has_peer_closed = select.poll, Connection.has_peer_closed
 
-        def polled() -> Any:
+        def count_poll() -> Any:
             self.polls += 1
             return poll()
 
-        def looked(connection: Connection) -> bool:
-            self.singly += 1
-            return has_ended(connection)
+        def count_check(connection: Connection) -> bool:
+            self.single_checks += 1
+            return has_peer_closed(connection)
 
-        monkeypatch.setattr(select, "poll", polled)
-        monkeypatch.setattr(Connection, "has_peer_closed", looked)
+        monkeypatch.setattr(select, "poll", count_poll)
+        monkeypatch.setattr(Connection, "has_peer_closed", count_check)
 
 
-def test_one_look_is_one_call_for_all_and_one_more_for_each_with_something_to_tell(
+def test_one_poll_covers_all_connections_and_only_those_with_events_are_checked(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def work() -> None:
-        pairs = [pair(descriptors) for _ in range(200)]
-        watch, told = CloseWatcher(), list[int]()
+        pairs = [connected_pair(descriptors) for _ in range(200)]
+        watcher, reported = CloseWatcher(), list[int]()
         for index, (connection, _) in enumerate(pairs):
-            within.enter_context(watch.watch(connection, partial(told.append, index)))
+            exit_stack.enter_context(watcher.watch(connection, partial(reported.append, index)))
         for index in range(10):
             if index % 2:
                 pairs[index][1].send(b"unread")
             pairs[index][1].shutdown(socket.SHUT_WR)
         for index in range(10, 15):
             pairs[index][1].send(b"unread, but it stays")
-        looks = Looks(monkeypatch)
-        watch._poll()
-        assert sorted(told) == list(range(10)) and len(watch) == 190
-        assert looks.singly == 15 and looks.polls == 1 + 10  # a second call where bytes are unread
-        watch._poll()
-        assert len(told) == 10 and looks.singly == 20
-        for connection, theirs in pairs:
+        counter = CheckCounter(monkeypatch)
+        watcher._poll()
+        assert sorted(reported) == list(range(10)) and len(watcher) == 190
+        assert (
+            counter.single_checks == 15 and counter.polls == 1 + 10
+        )  # another poll for each connection with unread bytes
+        watcher._poll()
+        assert len(reported) == 10 and counter.single_checks == 20
+        for connection, remote_end in pairs:
             connection.close()
-            theirs.close()
-        watch._poll()
-        assert len(told) == 200 and not len(watch)
+            remote_end.close()
+        watcher._poll()
+        assert len(reported) == 200 and not len(watcher)
 
     descriptors = DescriptorBudget(1024)
-    with ExitStack() as within:
+    with ExitStack() as exit_stack:
         b.run(work())
 
 
-def test_a_number_that_is_anothers_by_now_is_not_taken_for_the_closed_ones() -> None:
+def test_a_reused_descriptor_is_not_taken_for_the_closed_connection() -> None:
     async def work() -> None:
-        old, theirs = pair(descriptors)
-        watch, told = CloseWatcher(), list[str]()
-        within.enter_context(watch.watch(old, partial(told.append, "old")))
-        number = old.stream.socket.fileno()
+        old, remote_end = connected_pair(descriptors)
+        watcher, reported = CloseWatcher(), list[str]()
+        exit_stack.enter_context(watcher.watch(old, partial(reported.append, "old")))
+        descriptor = old.stream.socket.fileno()
         old.close()
-        new, others = pair(descriptors)
-        assert new.stream.socket.fileno() == number
-        with watch.watch(new, partial(told.append, "new")):
-            watch._poll()
-            assert told == ["old"]
-            others.close()
-            watch._poll()
-            assert told == ["old", "new"]
-        theirs.close()
+        new, new_remote_end = connected_pair(descriptors)
+        assert new.stream.socket.fileno() == descriptor
+        with watcher.watch(new, partial(reported.append, "new")):
+            watcher._poll()
+            assert reported == ["old"]
+            new_remote_end.close()
+            watcher._poll()
+            assert reported == ["old", "new"]
+        remote_end.close()
         new.close()
 
     descriptors = DescriptorBudget(64)
-    with ExitStack() as within:
+    with ExitStack() as exit_stack:
         b.run(work())
 
 
-def test_without_such_a_call_an_end_shows_where_nothing_is_unread(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_without_poll_a_close_is_detected_if_no_bytes_are_unread(monkeypatch: pytest.MonkeyPatch) -> None:
     async def work() -> None:
         monkeypatch.delattr(select, "poll")
-        watch, told = CloseWatcher(), list[int]()
-        pairs = [pair(descriptors) for _ in range(3)]
+        watcher, reported = CloseWatcher(), list[int]()
+        pairs = [connected_pair(descriptors) for _ in range(3)]
         for index, (connection, _) in enumerate(pairs):
-            within.enter_context(watch.watch(connection, partial(told.append, index)))
+            exit_stack.enter_context(watcher.watch(connection, partial(reported.append, index)))
         pairs[1][1].send(b"unread")
-        for _, theirs in pairs[:2]:
-            theirs.close()
-        watch._poll()
-        assert told == [0]  # the second one's end stands behind what it sent, as far as can be told
-        for connection, theirs in pairs:
+        for _, remote_end in pairs[:2]:
+            remote_end.close()
+        watcher._poll()
+        assert reported == [0]  # the second close is hidden behind its unread bytes
+        for connection, remote_end in pairs:
             connection.close()
-            theirs.close()
+            remote_end.close()
 
     descriptors = DescriptorBudget(64)
-    with ExitStack() as within:
+    with ExitStack() as exit_stack:
         b.run(work())
 
 
 @pytest.mark.parametrize("sent", [False, True])
 @pytest.mark.parametrize("shape", ["plain", "ahead"])
-def test_a_thousand_that_leave_at_one_moment_are_each_left_out(
+def test_a_thousand_clients_that_leave_at_once_get_no_attempt(
     shape: str, sent: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Also those whose turn comes at that very moment; and none of them is looked at again and again."""
+    """Covers requests that are sent at that very moment. No client is checked over and over again."""
 
     async def work() -> None:
         one = b.Endpoint("s-1")
-        async with b.bed(one, sockets=4 * MANY) as bed:
-            clients = [await bed.client() for _ in range(MANY)]
-            waiting, looks = x.Waiting(bed), Looks(monkeypatch)
+        async with b.bed(one, sockets=4 * MANY_CLIENTS) as bed:
+            clients = [await bed.client() for _ in range(MANY_CLIENTS)]
+            waiting, counter = x.Waiting(bed), CheckCounter(monkeypatch)
             for client in clients:
                 x.ask(client, shape)
-            await b.until(lambda: len(waiting.seen(api.Request)) == MANY)
+            await b.until(lambda: len(waiting.seen(api.Request)) == MANY_CLIENTS)
             if shape == "ahead":
-                await b.until(lambda: len(bed.sidecar.clients._close_watch) == MANY)
-            looks.singly = 0
+                await b.until(lambda: len(bed.sidecar.clients._close_watch) == MANY_CLIENTS)
+            counter.single_checks = 0
             for index, client in enumerate(clients):
                 x.leave(client, ("closed", "reset", "half-closed")[index % 3])
             if sent:
                 waiting.say(*(api.Send(request.id, b"s-1") for request in waiting.seen(api.Request)))
             await b.until(lambda: not bed.sidecar.clients.open)
             counters = bed.sidecar.counters
-            assert (counters.gone_before_send, counters.sends, counters.connects) == (MANY, 0, 0)
+            assert (counters.gone_before_send, counters.sends, counters.connects) == (MANY_CLIENTS, 0, 0)
             assert counters.crashed == 0 and not one.connections_opened
-            # Where a read is pending the loop tells it without a look; each attempt looks once.
-            assert MANY * (sent + (shape == "ahead")) >= looks.singly >= MANY * (sent or shape == "ahead")
+            # With a pending read the loop reports the close without a check. Each attempt makes one check.
+            assert (
+                MANY_CLIENTS * (sent + (shape == "ahead"))
+                >= counter.single_checks
+                >= MANY_CLIENTS * (sent or shape == "ahead")
+            )
 
     b.run(work())
 
 
-# What it waits for
+# Where the request waits
 
 
 @pytest.mark.parametrize("shape", ["plain", "ahead"])
-@pytest.mark.parametrize("how", ["closed", "reset", "half-closed"])
-def test_a_client_that_left_while_its_key_had_another_turn(how: str, shape: str) -> None:
+@pytest.mark.parametrize("way_of_leaving", ["closed", "reset", "half-closed"])
+def test_a_client_that_leaves_while_queued_behind_its_key_gets_no_attempt(
+    way_of_leaving: str, shape: str
+) -> None:
     async def work() -> None:
         gate = asyncio.Event()
-        leaver: b.Client
+        leaving_client: b.Client
 
-        async def leave_and_answer(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
+        async def leave_and_respond(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
             await gate.wait()
             if len(one.requests) == 1:
-                x.leave(leaver, how)
-            await b.respond_ok(endpoint, request, writer)  # the turn is over in the moment in which it leaves
+                x.leave(leaving_client, way_of_leaving)
+            await b.respond_ok(endpoint, request, writer)  # the key becomes free just as the client leaves
 
-        one = b.Endpoint("s-1", leave_and_answer)
+        one = b.Endpoint("s-1", leave_and_respond)
         async with b.bed(one, grades=IN_TURN) as bed:
-            first, leaver, third = [await bed.client() for _ in range(3)]
-            first.send("book", 8.0, "", KEY, SAME)
+            first, leaving_client, third = [await bed.client() for _ in range(3)]
+            first.send("book", 8.0, "", KEY_LINE, OBJECT_KEY_LINE)
             await b.until(lambda: len(one.requests) == 1)
-            leaver.send("book", 8.0, "", KEY, SAME)
+            leaving_client.send("book", 8.0, "", KEY_LINE, OBJECT_KEY_LINE)
             if shape == "ahead":
-                leaver.writer.write(b"GET /view HTTP/1.1\r\n")
+                leaving_client.writer.write(b"GET /view HTTP/1.1\r\n")
             await b.until(lambda: bed.sidecar.counters.taken == 2)
-            third.send("book", 8.0, "", KEY, SAME)
+            third.send("book", 8.0, "", KEY_LINE, OBJECT_KEY_LINE)
             await b.until(lambda: bed.sidecar.counters.taken == 3)
             gate.set()
             assert (await first.read_response()).status == (await third.read_response()).status == 200
@@ -441,7 +471,7 @@
 
 @pytest.mark.parametrize("shape", ["plain", "old", "ahead"])
 @pytest.mark.parametrize("failure", [b.respond_declined, b.close_connection])
-def test_a_client_that_left_as_its_attempt_failed_gets_no_further_one(
+def test_a_client_that_leaves_as_its_attempt_fails_gets_no_retry(
     failure: b.EndpointBehavior, shape: str
 ) -> None:
     async def work() -> None:
@@ -462,16 +492,18 @@
     b.run(work())
 
 
-@pytest.mark.parametrize("how", ["closed", "reset"])
-def test_a_client_that_left_while_the_process_was_replaced(tmp_path: Path, how: str) -> None:
-    """Its request waits for its turn in the process that ends; the next one has taken over."""
+@pytest.mark.parametrize("way_of_leaving", ["closed", "reset"])
+def test_a_client_that_leaves_while_the_process_is_replaced_gets_no_attempt(
+    tmp_path: Path, way_of_leaving: str
+) -> None:
+    """Its request is queued behind its key in the old process, and the new process has taken over."""
 
     async def work() -> None:
         gate = asyncio.Event()
-        ran: list[bytes | None] = []
+        executed_ids: list[bytes | None] = []
 
         async def wait(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
-            ran.append(request.fields.get_single(b"req-id"))
+            executed_ids.append(request.fields.get_single(b"req-id"))
             if request.target.startswith(b"/book"):
                 await gate.wait()
             await b.respond_ok(endpoint, request, writer)
@@ -487,22 +519,24 @@
             path.write_text(json.dumps(file))
             old = await world.run()
             await world.said(old, "ready")
-            first, leaver = [b.Client(*await asyncio.open_connection(*world.place)) for _ in range(2)]
-            assert (await leaver.call("view")).status == 200  # its connection is the old process's
-            first.send("book", 8.0, "", KEY, SAME)
-            await b.until(lambda: len(ran) == 2)
-            leaver.send("book", 8.0, "", KEY, SAME)
-            leaver.writer.write(b"GET /view HTTP/1.1\r\n")
+            first, leaving_client = [b.Client(*await asyncio.open_connection(*world.place)) for _ in range(2)]
+            assert (
+                await leaving_client.call("view")
+            ).status == 200  # the connection belongs to the old process
+            first.send("book", 8.0, "", KEY_LINE, OBJECT_KEY_LINE)
+            await b.until(lambda: len(executed_ids) == 2)
+            leaving_client.send("book", 8.0, "", KEY_LINE, OBJECT_KEY_LINE)
+            leaving_client.writer.write(b"GET /view HTTP/1.1\r\n")
             new = await world.run()
             await world.said(new, "ready")
             old.send_signal(signal.SIGTERM)
-            x.leave(leaver, how)
+            x.leave(leaving_client, way_of_leaving)
             gate.set()
             assert (await first.read_response()).status == 200
             counters = await world.said(old, "counters")
             assert await old.wait() == 0
             assert (counters["clients_gone"], counters["sends"], counters["crashed"]) == (1, 2, 0)
-            assert len(ran) == 2
+            assert len(executed_ids) == 2
         finally:
             await world.end()
 
