--- a/larkcrank/protocol/discovery.py
+++ b/larkcrank/protocol/discovery.py
@@ -93,7 +93,7 @@
 def parse_host_port(text: str, min_port: int = 1) -> tuple[str, int]:
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not min_port <= int(port) < 65536:
-        raise ValueError(f"{text!r} is no host:port")
+        raise ValueError(f"{text!r} is not in the form host:port")
     return host, int(port)
 
 
--- a/larkcrank/protocol/http1.py
+++ b/larkcrank/protocol/http1.py
@@ -151,7 +151,7 @@
 
 def _is_keep_alive(major: bytes, minor: bytes, fields: Fields) -> bool:
     if major != b"1":
-        raise MessageError(505, "not HTTP/1")
+        raise MessageError(505, "unsupported HTTP version")
     options = fields.get_list(b"connection")
     return b"close" not in options and (minor != b"0" or b"keep-alive" in options)
 
@@ -217,7 +217,7 @@
             return True
         end = buffer.find(b"\r\n")
         if end > _MAX_CHUNK_LINE_BYTES or (end < 0 and len(buffer) > _MAX_CHUNK_LINE_BYTES + 1):
-            raise MessageError(400, "overlong line in a chunked body")
+            raise MessageError(400, "line too long in a chunked body")
         if end < 0:
             return False
         line = bytes(buffer[:end])
@@ -233,7 +233,7 @@
             self._state = "data" if self._bytes_left else "trailer"
         elif self._state == "end":
             if line:
-                raise MessageError(400, "chunk longer than its size")
+                raise MessageError(400, "chunk is longer than its size")
             self._state = "size"
         elif line:  # trailers are ignored
             self._trailer_bytes += len(line)
@@ -352,9 +352,9 @@
         keep_alive = _is_keep_alive(match[3], match[4], fields)
         is_http10 = match[4] == b"0"
         if len(fields.get_all(b"host")) != 1 and not is_http10:
-            raise MessageError(400, "not one Host header")
+            raise MessageError(400, "missing or repeated Host header")
         if is_http10 and fields.get_all(b"transfer-encoding"):
-            raise MessageError(400, "chunks in HTTP/1.0")
+            raise MessageError(400, "Transfer-Encoding in an HTTP/1.0 request")
         content_length = None if _is_chunked(fields) else _content_length(fields) or 0
         self._body_decoder = _BodyDecoder(content_length, self._max_body_bytes, 413)
         expectations = fields.get_list(b"expect")
--- a/larkcrank/protocol/ops.py
+++ b/larkcrank/protocol/ops.py
@@ -27,7 +27,7 @@
         self._buffer += data
         line, newline, _ = self._buffer.partition(b"\n")
         if len(line) > MAX_LINE_BYTES:
-            raise CallError(f"a call is a line of at most {MAX_LINE_BYTES} bytes")
+            raise CallError(f"a call must be a line of at most {MAX_LINE_BYTES} bytes")
         if not newline:
             return None
         name = bytes(line.removesuffix(b"\r"))
@@ -35,7 +35,7 @@
             return Call(name)
         except ValueError:
             known = ", ".join(call.value.decode() for call in Call)
-            raise CallError(f"unknown call; known are {known}") from None
+            raise CallError(f"unknown call; known calls are {known}") from None
 
 
 def encode_answer(succeeded: bool, text: str) -> bytes:
--- a/larkcrank/protocol/platform.py
+++ b/larkcrank/protocol/platform.py
@@ -63,7 +63,7 @@
     fields = request.fields
     request_id = fields.get_single(_ID_HEADER)
     if not request_id:
-        raise http1.MessageError(400, "no Req-Id")
+        raise http1.MessageError(400, "missing Req-Id header")
     kind = fields.get_single(_KIND_HEADER)
     return CallInfo(
         id=request_id.decode("latin-1"),
@@ -85,7 +85,7 @@
     if value is None:
         return 0
     if not _OBJECT_KEY_PATTERN.fullmatch(value) or int(value) >= 1 << 64:
-        raise http1.MessageError(400, "item in Req-Extra is no whole number below 2**64")
+        raise http1.MessageError(400, "item in Req-Extra is not an integer below 2**64")
     return int(value)
 
 
@@ -101,7 +101,7 @@
     # float() alone would also accept 1_0, nan and other forms that the header does not allow.
     seconds = float(value) if _SECONDS_PATTERN.fullmatch(value) else math.inf
     if seconds > _MAX_DEADLINE_S:
-        raise http1.MessageError(400, "Req-Deadline is no number of seconds")
+        raise http1.MessageError(400, "Req-Deadline is not a valid number of seconds")
     return seconds * 1000.0
 
 
--- a/larkcrank/transport/listener.py
+++ b/larkcrank/transport/listener.py
@@ -29,7 +29,7 @@
     is_tcp = sock.family == socket.AF_INET and sock.type == socket.SOCK_STREAM
     if not is_tcp or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
         sock.detach()  # this process does not own the descriptor and must not close it
-        raise PassedSocketError(f"PROXY_PASSED_SOCKET: descriptor {descriptor} is no listening TCP socket")
+        raise PassedSocketError(f"PROXY_PASSED_SOCKET: descriptor {descriptor} is not a listening TCP socket")
     return sock
 
 
