--- a/tests/gone_play.py
+++ b/tests/gone_play.py
@@ -265,7 +265,8 @@
         f"{scenario:16} {load} left {len(left_at):3} gone before {counters.gone_before_send:3} "
         f"begun {len(attempts):3} after the close {len(delays_s):3} over 0.1 s {violations:3} "
         f"worst {worst_ms:6.1f} ms served {served:2} of {CLIENT_COUNT - len(left_at):2} "
-        f"connects {counters.connects:3} taken {counters.taken} bad {counters.bad_requests} crashed {counters.crashed}"
+        f"connects {counters.connects:3} taken {counters.taken} "
+        f"bad {counters.bad_requests} crashed {counters.crashed}"
     )
 
 
