--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -197,10 +197,10 @@
 @click.argument("place")
 def fleet_view(place: str) -> None:
     """Print the fleet as seen by the sidecar whose operators' address is PLACE (host:port)."""
-    from larkcrank.protocol.discovery import host_port
+    from larkcrank.protocol.discovery import parse_host_port
 
     try:
-        host, port = host_port(place)
+        host, port = parse_host_port(place)
         with socket.create_connection((host, port), timeout=VIEW_TIMEOUT_S) as sock:
             sock.sendall(b"VIEW\n")
             answer = b"".join(iter(lambda: sock.recv(65536), b"")).decode("utf-8", "replace")
--- a/larkcrank/program/ops.py
+++ b/larkcrank/program/ops.py
@@ -13,7 +13,7 @@
 from larkcrank.protocol.ops import Call, CallError, CallParser
 from larkcrank.routing.life import Lifecycle
 from larkcrank.transport.connection import Connection, ConnectionLostError
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 CALL_TIMEOUT_S = 2.0  # for receiving the complete call
 LINGER_S = 0.2  # further input is read before the close, which could otherwise discard the answer
@@ -25,7 +25,7 @@
     def __init__(
         self,
         lifecycle: Lifecycle,
-        descriptors: Descriptors,
+        descriptors: DescriptorBudget,
         on_call: Callable[[Call, bool], None],
         on_exception: Callable[[str, BaseException], None],
         fleet_view: Callable[[], str | None],
@@ -39,7 +39,7 @@
         self._on_exception = on_exception
         self._open_connections: OrderedDict[Connection, None] = OrderedDict()  # the oldest first
         self._tasks: set[asyncio.Task[None]] = set()
-        descriptors.add_spare(Use.OPERATOR, self._close_oldest)
+        descriptors.register_evictor(SocketUse.OPERATOR, self._close_oldest)
 
     def accept(self, connection: Connection) -> None:
         self._open_connections[connection] = None
@@ -67,7 +67,7 @@
                 answer = await self._answer(connection)
             async with asyncio.timeout(LINGER_S):
                 await connection.write(answer)
-                connection.stop_sending()
+                connection.shutdown_write()
                 while True:
                     await connection.read()
         except (ConnectionLostError, TimeoutError):
@@ -84,14 +84,14 @@
             while (call := parser.feed(await connection.read())) is None:
                 pass
         except CallError as error:
-            return ops.answer(False, str(error))
+            return ops.encode_answer(False, str(error))
         if call is Call.VIEW:
             view = self._fleet_view()
             self._on_call(call, view is not None)
-            return ops.answer(view is not None, view or "no view of the fleet is kept")
+            return ops.encode_answer(view is not None, view or "no view of the fleet is kept")
         succeeded = self._execute(call)
         self._on_call(call, succeeded)
-        return ops.answer(succeeded, self._lifecycle.phase.value)
+        return ops.encode_answer(succeeded, self._lifecycle.phase.value)
 
     def _execute(self, call: Call) -> bool:
         match call:
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -17,17 +17,17 @@
 from larkcrank.program.counters import Counters
 from larkcrank.program.log import Log
 from larkcrank.program.ops import OperatorServer
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.protocol.ops import Call
 from larkcrank.routing.clients import ClientConnections
 from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.driver import Driver
 from larkcrank.routing.life import Lifecycle, Phase
 from larkcrank.routing.servers import AttemptExecutor
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from larkcrank.transport.listener import Listener
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.pool import ConnectionPool
 
 if TYPE_CHECKING:
     from larkcrank.program.together import FleetMember
@@ -62,9 +62,9 @@
         self._clock = Clock()
         self._rng = Random(config.seed)
         site = config.site
-        self.descriptors = Descriptors(config.sockets, operators=config.ops is not None)
-        self.budget = Budget(config.memory_mb * (1 << 20))
-        self.pool = Pool(self.descriptors, site.keepalive_ms)
+        self.descriptors = DescriptorBudget(config.sockets, has_operators=config.ops is not None)
+        self.budget = BufferBudget(config.memory_mb * (1 << 20))
+        self.pool = ConnectionPool(self.descriptors, site.keepalive_ms)
         self._servers = servers = AttemptExecutor(
             self.pool,
             self.descriptors,
@@ -77,7 +77,7 @@
             log.log_exception,
             site.decisions.only_draining_binds,
         )
-        self._names = Names(list(site.zones), list(site.kinds))
+        self._names = NameTable(list(site.zones), list(site.kinds))
         self._discovery = DiscoveryClient(
             config.discovery,
             self.descriptors,
@@ -118,7 +118,9 @@
             self.counters,
             log.log_exception,
         )
-        self._listener = Listener(config.listen, self.descriptors, self.clients.accept, passed=passed_socket)
+        self._listener = Listener(
+            config.listen, self.descriptors, self.clients.accept, passed_socket=passed_socket
+        )
         # Numbers of other live processes of this sidecar: predecessors, successors.
         self._other_processes = [0, 0]
         self._predecessor: handover.Predecessor | None = None
@@ -132,7 +134,7 @@
                 log.log_exception,
                 self._fleet_view,
             )
-            self._ops_listener = Listener(config.ops, self.descriptors, ops_server.accept, Use.OPERATOR)
+            self._ops_listener = Listener(config.ops, self.descriptors, ops_server.accept, SocketUse.OPERATOR)
         self._idle_close_task: asyncio.Task[None] | None = None
         self._fleet_member = self._make_fleet_member()
         self._always_watch = not site.decisions.must_ask
@@ -142,12 +144,12 @@
 
     @property
     def listen_address(self) -> tuple[str, int]:
-        return self._listener.place
+        return self._listener.host_port
 
     @property
     def ops_address(self) -> tuple[str, int]:
         assert self._ops_listener is not None
-        return self._ops_listener.place
+        return self._ops_listener.host_port
 
     async def start_serving(self) -> None:
         """Start serving as soon as a sufficiently current server list is available.
@@ -156,7 +158,7 @@
         exists but its message is missing or unusable, this one waits for discovery, for a limited time: a
         slow discovery service must not keep the sidecar from serving.
         """
-        if not self._listener.is_passed:
+        if not self._listener.uses_passed_socket:
             self.start_without_handover()
             return
         if self._ops_listener is not None:
@@ -215,8 +217,8 @@
         The limits apply to the sidecar as a whole: its live processes share them evenly.
         """
         self._other_processes[position] = count
-        self.descriptors.share_with(sum(self._other_processes))
-        self.budget.share_with(sum(self._other_processes))
+        self.descriptors.set_other_processes(sum(self._other_processes))
+        self.budget.set_other_processes(sum(self._other_processes))
         self.log.event("processes", beside=sum(self._other_processes))
 
     def _on_predecessor_exit(self) -> None:
@@ -255,7 +257,7 @@
         self._start_accepting()
 
     def _load_initial_servers(self, message: handover.HandoverMessage | None) -> None:
-        listing: Listing | None = None
+        listing: ListUpdate | None = None
         # Beside a predecessor, this process calls discovery without coordinating with the fleet.
         if self._fleet_member is not None and self._predecessor is None:
             self._fleet_member.attach(self._discovery)
@@ -263,7 +265,7 @@
             self._balancer.import_state(message.learnt)
             self._names.zones[:], self._names.kinds[:] = message.zones, message.kinds
             endpoints = tuple(server.endpoint for server in message.learnt.servers)
-            listing = Listing(message.generation or 0, True, endpoints, message.places)
+            listing = ListUpdate(message.generation or 0, True, endpoints, message.places)
             self._discovery.set_generation(message.generation)
             # The predecessor may have lost contact with discovery recently.
             self._discovery.mark_availability_unknown()
@@ -275,7 +277,7 @@
                 listing = self._fleet_member.initial_list(listing)
                 self._discovery.set_generation(listing.generation if listing is not None else None)
         if listing is None:
-            listing = Listing(0, True, ())
+            listing = ListUpdate(0, True, ())
         # An empty list is passed on too: on its first event the balancer sets its timer for discovery calls.
         self._driver.receive_list(listing, cached=True)
         if self._always_watch:
@@ -392,7 +394,7 @@
 
         Where descriptors run out, each answered request releases one for the next connection.
         """
-        while not self._listener.finish():
+        while not self._listener.accept_remaining_and_close():
             await asyncio.sleep(POLL_INTERVAL_S)
             self.clients.close_idle()
 
@@ -423,19 +425,19 @@
         answer_limit_ms = min(longest_deadline_ms, MAX_DEADLINE_WAIT_MS) + ANSWER_MARGIN_MS
         self.lifecycle.begin_shutdown(self._clock() + answer_limit_ms)
         self._driver.limit_deadlines(self.lifecycle.latest_deadline)
-        if self._listener.is_passed:
+        if self._listener.uses_passed_socket:
             await (
                 self.stop_listening()
             )  # connections that arrive later on the passed socket go to the successor
         while (elapsed := loop.time() - started_at) < (
-            HANDOVER_CLOSE_DELAY_S if self._listener.is_passed else SHUTDOWN_ACCEPT_S
+            HANDOVER_CLOSE_DELAY_S if self._listener.uses_passed_socket else SHUTDOWN_ACCEPT_S
         ):
             await asyncio.sleep(POLL_INTERVAL_S)
-            if elapsed >= IDLE_CLOSE_DELAY_S and not self._listener.is_passed:
+            if elapsed >= IDLE_CLOSE_DELAY_S and not self._listener.uses_passed_socket:
                 # A client whose request crosses the close can reconnect: the listener is still open.
                 self.clients.close_idle(MIN_IDLE_S)
         await self.stop_listening()
-        min_idle_s = MIN_IDLE_S if self._listener.is_passed else 0.0
+        min_idle_s = MIN_IDLE_S if self._listener.uses_passed_socket else 0.0
         while self.clients.open_count:
             await asyncio.sleep(POLL_INTERVAL_S)  # first read the requests on the connections accepted last
             self.clients.close_idle(min_idle_s)
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -20,7 +20,7 @@
 from larkcrank.fleet.restart import RestartKind, classify_restart
 from larkcrank.fleet.speaker import FleetProtocol
 from larkcrank.fleet.wire import ServerEntry
-from larkcrank.protocol.discovery import Listing, Names, host_port
+from larkcrank.protocol.discovery import ListUpdate, NameTable, parse_host_port
 from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.driver import Driver, EventLog
 
@@ -35,7 +35,7 @@
     def __init__(
         self,
         config: Config,
-        names: Names,
+        names: NameTable,
         clock: Callable[[], float],
         log: EventLog,
         driver: Driver,
@@ -70,7 +70,7 @@
             self._is_attached = True
             self._recovery.attach(discovery)
 
-    def initial_list(self, configured: Listing | None) -> Listing | None:
+    def initial_list(self, configured: ListUpdate | None) -> ListUpdate | None:
         """The server list to start with: `configured`, or the snapshot's if that is newer."""
         return configured if self._recovery is None else self._recovery.initial_list(configured)
 
@@ -124,7 +124,7 @@
         self,
         config: Config,
         recovery: RecoveryConfig,
-        names: Names,
+        names: NameTable,
         clock: Callable[[], float],
         log: EventLog,
         driver: Driver,
@@ -150,7 +150,7 @@
         self._initial_list: tuple[list[ServerEntry], int, float] = [], -1, -1.0
         # Draining and removed servers of the snapshot, by name: start time, state, since when this was known.
         self._gone: dict[str, tuple[float, State, float]] = {}
-        self._forward_list: Callable[[Listing], None] = driver.receive_list
+        self._forward_list: Callable[[ListUpdate], None] = driver.receive_list
         self._forward_failure: Callable[[str], None] = lambda reason: None
         self._is_disabled = False
         self._saved_content: object = None  # identifies the content of the last snapshot written
@@ -185,7 +185,7 @@
 
     # Lists from discovery, and permission to call it
 
-    def _on_list(self, listing: Listing) -> None:
+    def _on_list(self, listing: ListUpdate) -> None:
         now = self._clock()
         self._asking.on_success()
         lines = self._lines_of(listing)
@@ -193,13 +193,13 @@
             if not self._is_disabled:
                 self._early_lists = [
                     *self._early_lists,
-                    (now, lines, listing.generation, listing.whole),
+                    (now, lines, listing.generation, listing.is_full),
                 ][-MAX_EARLY_LISTS:]
             self._forward_list(listing)
             return
-        accepted = self._lists.on_discovery_list(now, lines, listing.generation, listing.whole)
+        accepted = self._lists.on_discovery_list(now, lines, listing.generation, listing.is_full)
         self._forward_list(
-            listing if accepted == lines else self._listing_of(listing.generation, listing.whole, accepted)
+            listing if accepted == lines else self._listing_of(listing.generation, listing.is_full, accepted)
         )
 
     def _on_failure(self, reason: str) -> None:
@@ -264,7 +264,7 @@
 
     # The snapshot
 
-    def initial_list(self, listing: Listing | None) -> Listing | None:
+    def initial_list(self, listing: ListUpdate | None) -> ListUpdate | None:
         """Read the snapshot, and return the newer of its list and the configured `listing`.
 
         Also keeps the snapshot's member addresses and removed servers.
@@ -375,11 +375,11 @@
 
     # Conversion between discovery's listings and the fleet's lines
 
-    def _lines_of(self, listing: Listing) -> list[ServerEntry]:
+    def _lines_of(self, listing: ListUpdate) -> list[ServerEntry]:
         return [self._line_of(endpoint, listing) for endpoint in listing.endpoints]
 
-    def _line_of(self, endpoint: Endpoint, listing: Listing) -> ServerEntry:
-        host_and_port = listing.places.get(endpoint.address)
+    def _line_of(self, endpoint: Endpoint, listing: ListUpdate) -> ServerEntry:
+        host_and_port = listing.host_ports.get(endpoint.address)
         return ServerEntry(
             endpoint.address.decode(),
             int(endpoint.state),
@@ -393,15 +393,15 @@
 
     def _listing_of(
         self, generation: int, is_complete: bool, lines: "list[ServerEntry] | tuple[ServerEntry, ...]"
-    ) -> Listing:
+    ) -> ListUpdate:
         endpoints, places = [], {}
         for line in lines:
             state, address = State(line.state), line.name.encode()
             try:
-                places[address] = host_port(line.host_port)
+                places[address] = parse_host_port(line.host_port)
             except ValueError:  # as for such a line from discovery: the server gets no new requests
                 state = State.GONE if state is State.GONE else State.DRAINING
-            zone = Names.number(self._names.zones, line.zone)
-            kind = Names.number(self._names.kinds, line.kind)
+            zone = NameTable.number_of(self._names.zones, line.zone)
+            kind = NameTable.number_of(self._names.kinds, line.kind)
             endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_at_ms))
-        return Listing(generation, is_complete, tuple(endpoints), places)
+        return ListUpdate(generation, is_complete, tuple(endpoints), places)
--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -12,10 +12,10 @@
 from larkcrank.protocol import http1, platform
 from larkcrank.routing.exchange import BufferedResponse, Exchange, StreamedResponse, Upload
 from larkcrank.routing.life import Lifecycle
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.closewatch import CloseWatch
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.closewatch import CloseWatcher
 from larkcrank.transport.connection import Connection, ConnectionLostError
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 # Limit on receiving a request head, counted from the accept for a connection's first request. After the head,
 # `REQUEST_PROGRESS_BYTES` of the body, or its end, must arrive within each such interval in which the body is
@@ -65,8 +65,8 @@
         request_handler: RequestHandler,
         lifecycle: Lifecycle,
         arrival_time: Callable[[], float],
-        descriptors: Descriptors,
-        budget: Budget,
+        descriptors: DescriptorBudget,
+        budget: BufferBudget,
         max_body: int,
         counters: ClientCounters,
         report_failure: Callable[[str, BaseException], None],
@@ -88,12 +88,12 @@
         # Idle after at least one response.
         self._idle_served: OrderedDict[_ClientSession, None] = OrderedDict()
         self._active_request_ids: set[str] = set()  # Ids of the requests being handled.
-        self._close_watch = CloseWatch()
+        self._close_watch = CloseWatcher()
         self._sweep_timer: asyncio.TimerHandle | None = None
         self._descriptors = descriptors
         self._budget = budget
         self._max_body = max_body
-        descriptors.add_spare(Use.CLIENT, self._evict_idle, self._longest_idle_since)
+        descriptors.register_evictor(SocketUse.CLIENT, self._evict_idle, self._longest_idle_since)
 
     @property
     def open_count(self) -> int:
@@ -124,7 +124,7 @@
     def abort_all(self) -> None:
         """Abort every connection. A client can tell that a response cut off this way is incomplete."""
         for session in self._sessions.values():
-            session.connection.break_off()
+            session.connection.abort()
             if session.task is not None:
                 session.task.cancel()
 
@@ -153,7 +153,7 @@
         """Close the longest idle connection if it has been idle since `idle_since` or earlier."""
         while idle_sessions and (session := next(iter(idle_sessions))).last_progress_at <= idle_since:
             del idle_sessions[session]  # If not quiet, it has data that is about to be read.
-            if session.lingering or session.connection.is_quiet():
+            if session.lingering or session.connection.is_idle():
                 session.connection.close()
                 return True
         return False
@@ -179,16 +179,16 @@
                 continue
             if now - session.last_progress_at < REQUEST_PROGRESS_TIMEOUT_S:
                 continue
-            if session.parser.begun:
+            if session.parser.has_partial_request:
                 self._counters.bad_requests += 1
-                session.connection.write_last(
+                session.connection.write_and_close(
                     _error_response(http1.MessageError(408, "request not whole in time"))
                 )
-            elif session.connection.is_quiet():
+            elif session.connection.is_idle():
                 session.connection.close()
-        while self._descriptors.share(Use.CLIENT) > IDLE_CLOSE_THRESHOLD and self._close_longest_idle(
-            self._idle_served, now - MIN_KEEPALIVE_S
-        ):
+        while self._descriptors.used_share(
+            SocketUse.CLIENT
+        ) > IDLE_CLOSE_THRESHOLD and self._close_longest_idle(self._idle_served, now - MIN_KEEPALIVE_S):
             pass
         self._sweep_timer = (
             asyncio.get_running_loop().call_later(SWEEP_INTERVAL_S, self._sweep) if self._sessions else None
@@ -227,16 +227,16 @@
         parser, connection = session.parser, session.connection
         has_head = False
         while (request := parser.next()) is None:
-            if parser.has_head and not has_head:
+            if parser.awaits_body and not has_head:
                 has_head, session.progress_bytes, session.last_progress_at = (
                     True,
                     0,
                     asyncio.get_running_loop().time(),
                 )
-            if parser.wants_continue:
-                parser.wants_continue = False
-                await connection.write(http1.CONTINUE)
-            if parser.begun:
+            if parser.expects_continue:
+                parser.expects_continue = False
+                await connection.write(http1.CONTINUE_RESPONSE)
+            if parser.has_partial_request:
                 await self._read_some(session)
                 continue
             self._mark_idle(session)
@@ -247,8 +247,8 @@
         return request
 
     async def _read_some(self, session: "_ClientSession") -> None:
-        had_head = session.parser.has_head
-        data = await session.connection.read(self._budget.step)
+        had_head = session.parser.awaits_body
+        data = await session.connection.read(self._budget.read_size)
         session.parser.feed(data)
         session.data_arrived_at = self._arrival_time()
         if had_head:  # The data read belongs to the body.
@@ -331,16 +331,16 @@
         """Read the body of an upload. Its last byte starts the request's time."""
         parser = session.parser
         try:
-            if parser.wants_continue:
-                await session.connection.write(http1.CONTINUE)
-            while parser.passing:
-                data = await session.connection.read(self._budget.step)
+            if parser.expects_continue:
+                await session.connection.write(http1.CONTINUE_RESPONSE)
+            while parser.is_streaming:
+                data = await session.connection.read(self._budget.read_size)
                 parser.feed(data)
-                body_part = parser.part()
+                body_part = parser.take_part()
                 session.data_arrived_at = self._arrival_time()
                 upload.append(body_part)
                 self._record_progress(session, len(data))
-                if parser.passing and upload.is_full:
+                if parser.is_streaming and upload.is_full:
                     session.reading_paused = True
                     with self._watch_for_close(session, exchange):
                         await upload.wait_for_room()
@@ -374,7 +374,7 @@
         connection, response_future = session.connection, exchange.response_future()
         while not response_future.done():
             # The client has pipelined its next request; nothing more is read until this one is answered.
-            if session.parser.begun:
+            if session.parser.has_partial_request:
                 with self._watch_for_close(session, exchange):
                     await asyncio.wait((response_future,))
                 break
@@ -407,7 +407,9 @@
         body: bytes,
     ) -> bool:
         close_after = self._should_close(session, request)
-        response_text = http1.response_bytes(status, header_lines, body, close_after, kept=request.is_old)
+        response_text = http1.encode_response(
+            status, header_lines, body, close_after, announce_keep_alive=request.is_http10
+        )
         await self._write_bytes(session.connection, response_text)
         return not close_after
 
@@ -420,27 +422,33 @@
     ) -> bool:
         close_after = self._should_close(session, request)
         connection = session.connection
-        chunked = response.content_length is None and not request.is_old
-        framing = b"" if response.content_length is None else http1.length_line(response.content_length)
+        chunked = response.content_length is None and not request.is_http10
+        framing = (
+            b"" if response.content_length is None else http1.content_length_line(response.content_length)
+        )
         if chunked:
-            framing = http1.CHUNKED
+            framing = http1.CHUNKED_LINE
         # HTTP/1.0 has no chunked encoding, so closing the connection marks the end of the body.
         close_after = close_after or not framing
         # Otherwise the task that reads the upload notices the end of the connection.
         if not session.answered_early:
             connection.start_read().add_done_callback(lambda _: connection.closed and exchange.abandon())
-        head = http1.stream_head_bytes(
-            response.status, response.header_lines, framing, close_after, kept=request.is_old
+        head = http1.encode_response_head(
+            response.status,
+            response.header_lines,
+            framing,
+            close_after,
+            announce_keep_alive=request.is_http10,
         )
         await self._write_bytes(connection, head)
         while (part := await exchange.next_stream_part()) is not None:
             if part:
-                await self._write_bytes(connection, http1.chunk_bytes(part) if chunked else part)
+                await self._write_bytes(connection, http1.encode_chunk(part) if chunked else part)
         if exchange.stream_broken:
-            connection.break_off()  # The client can tell that the body is incomplete, whatever its framing.
+            connection.abort()  # The client can tell that the body is incomplete, whatever its framing.
             return False
         if chunked:
-            await self._write_bytes(connection, http1.chunk_bytes(b""))
+            await self._write_bytes(connection, http1.encode_chunk(b""))
         return not close_after
 
     @staticmethod
@@ -456,11 +464,11 @@
         """Whether the connection closes after this response: the client or the lifecycle asks for it, an
         upload was answered early, or another connection needs its descriptor.
         """
-        must_close = self._lifecycle.closes_connections or self._descriptors.wanted
+        must_close = self._lifecycle.closes_connections or self._descriptors.has_waiters
         return must_close or session.answered_early or not request.keep_alive
 
     def _create_exchange(self, request: http1.Request, session: "_ClientSession") -> Exchange:
-        call_info = platform.read_call(request)
+        call_info = platform.read_call_info(request)
         class_index, request_class = self._find_class(request, call_info)
         # Responses to two requests with one id could not be told apart.
         if call_info.id in self._active_request_ids:
@@ -468,7 +476,9 @@
         _validate_request(request_class.effect, call_info, request)
         if self._tenants and call_info.owner and call_info.owner not in self._tenants:
             raise http1.MessageError(400, "unknown Req-Owner")
-        timeout_ms = request_class.deadline_ms if call_info.wait_ms is None else call_info.wait_ms
+        timeout_ms = (
+            request_class.deadline_ms if call_info.client_timeout_ms is None else call_info.client_timeout_ms
+        )
         arrived_at = session.data_arrived_at
         return Exchange(
             id=self._request_handler.next_request_id(),
@@ -477,21 +487,21 @@
             request=request,
             arrived_at=arrived_at,
             deadline=min(arrived_at + timeout_ms, self._lifecycle.latest_deadline)
-            if request.whole
+            if request.is_complete
             else math.inf,
             streaming=request_class.streaming,
             tenant_index=self._tenants.get(call_info.owner, 0),
-            upload=None if request.whole else Upload(request.body, self._budget),
+            upload=None if request.is_complete else Upload(request.body, self._budget),
             client_timeout_ms=timeout_ms,
-            key=platform.subject_of(request) if request_class.in_turn or self._warm_keys else 0,
-            has_client_ended=session.connection.has_ended,
+            key=platform.read_object_key(request) if request_class.in_turn or self._warm_keys else 0,
+            has_client_ended=session.connection.has_peer_closed,
         )
 
-    def _find_class(self, request: http1.Request, call_info: platform.Call) -> tuple[int, RequestClass]:
+    def _find_class(self, request: http1.Request, call_info: platform.CallInfo) -> tuple[int, RequestClass]:
         request_class = self._classes.get(call_info.kind)
         if request_class is None:
             raise http1.MessageError(404, "unknown class of request")
-        class_by_path = self._classes.get(platform.first_part(request.target), request_class)
+        class_by_path = self._classes.get(platform.first_path_segment(request.target), request_class)
         # With the wrong class, a request that must not be repeated could be retried.
         if class_by_path is not request_class:
             raise http1.MessageError(400, "Req-Kind and path name two classes")
@@ -507,13 +517,13 @@
         session.lingering, session.last_progress_at = True, 0.0
         self._idle_unserved[session] = None
         self._idle_unserved.move_to_end(session, last=False)
-        if not session.parser.begun and connection.is_quiet():
-            connection.write_last(_error_response(error))
+        if not session.parser.has_partial_request and connection.is_idle():
+            connection.write_and_close(_error_response(error))
             return
         try:
             async with asyncio.timeout(LINGER_TIMEOUT_S):
                 await connection.write(_error_response(error))
-                connection.stop_sending()
+                connection.shutdown_write()
                 discarded_bytes = 0
                 while discarded_bytes < MAX_LINGER_BYTES:
                     discarded_bytes += len(await connection.read())
@@ -522,20 +532,20 @@
 
 
 def _error_response(error: http1.MessageError) -> bytes:
-    return http1.response_bytes(error.status, (), str(error).encode(), close=True)
+    return http1.encode_response(error.status, (), str(error).encode(), close=True)
 
 
-def _validate_request(effect: Effect, call_info: platform.Call, request: http1.Request) -> None:
+def _validate_request(effect: Effect, call_info: platform.CallInfo, request: http1.Request) -> None:
     """Check that method, body and idempotency key fit the class. Otherwise a server could treat the request
     differently from what the class promises.
     """
     if request.method != (b"GET" if effect is Effect.SAFE else b"POST"):
         raise http1.MessageError(405, "method does not fit the class")
-    if effect is Effect.SAFE and (request.body or not request.whole):
+    if effect is Effect.SAFE and (request.body or not request.is_complete):
         raise http1.MessageError(400, "body on a request of a class that is safe to repeat")
-    if effect is Effect.KEYED and not call_info.has_key:
+    if effect is Effect.KEYED and not call_info.has_idempotency_key:
         raise http1.MessageError(400, "no Idempotency-Key on a request of a keyed class")
-    if effect is Effect.UNSAFE and call_info.has_key:
+    if effect is Effect.UNSAFE and call_info.has_idempotency_key:
         raise http1.MessageError(400, "Idempotency-Key on a request of a class that has none")
 
 
@@ -593,4 +603,6 @@
         self.task: asyncio.Task[None] | None = None
 
     def is_idle(self) -> bool:
-        return not self.has_active_request and not self.parser.begun and self.connection.is_quiet()
+        return (
+            not self.has_active_request and not self.parser.has_partial_request and self.connection.is_idle()
+        )
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -7,9 +7,14 @@
 from typing import TYPE_CHECKING, Protocol
 
 from larkcrank.protocol import discovery, http1
-from larkcrank.protocol.discovery import Listing, Names
-from larkcrank.transport.connection import Connecting, Connection, ConnectionLostError, NoRoomError
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.protocol.discovery import ListUpdate, NameTable
+from larkcrank.transport.connection import (
+    Connection,
+    ConnectionLostError,
+    NoDescriptorError,
+    PendingConnection,
+)
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 if TYPE_CHECKING:
     from larkcrank.routing.places import AddressFailover
@@ -61,8 +66,8 @@
     def __init__(
         self,
         host_port: tuple[str, int],
-        descriptors: Descriptors,
-        names: Names,
+        descriptors: DescriptorBudget,
+        names: NameTable,
         connect_timeout_ms: float,
         watch_after_move: bool,
         rng: Random,
@@ -102,17 +107,17 @@
         self._moved = False  # Whether the address is another one than configured at startup.
         self._fetch_task: asyncio.Task[None] | None = None
         self._closed = False
-        self.on_list: Callable[[Listing], None] = lambda _: None
+        self.on_list: Callable[[ListUpdate], None] = lambda _: None
         self.on_failure: Callable[[str], None] = lambda _: None
         # Whether a call is allowed now. If set, it alone controls the timing: a failed watch waits until it
         # allows the next call.
         self.may_call: Callable[[], bool] | None = None
 
-    def load_list(self, encoded_list: bytes) -> Listing | None:
+    def load_list(self, encoded_list: bytes) -> ListUpdate | None:
         """Decode a stored list. Returns None if it is unreadable."""
         try:
-            listing = discovery.parse(encoded_list, self._names)
-        except discovery.ListError:
+            listing = discovery.parse_list(encoded_list, self._names)
+        except discovery.ServerListError:
             return None
         self.set_generation(listing.generation)
         return listing
@@ -325,9 +330,9 @@
             response = await self._get_with_retry(connection, call_kind)
             if response.status != 200:
                 raise ConnectionLostError(f"answered {response.status}")
-            listing = discovery.parse(response.body, self._names)
-            if asks_full_list and not listing.whole:
-                listing = Listing(listing.generation, True, listing.endpoints, listing.places)
+            listing = discovery.parse_list(response.body, self._names)
+            if asks_full_list and not listing.is_full:
+                listing = ListUpdate(listing.generation, True, listing.endpoints, listing.host_ports)
             self._counters.lists += 1
             self._availability_unknown = False
             if call_kind is not CallKind.FULL_LIST:
@@ -346,10 +351,10 @@
             self.on_list(listing)
         except (
             ConnectionLostError,
-            NoRoomError,
+            NoDescriptorError,
             TimeoutError,
             http1.MessageError,
-            discovery.ListError,
+            discovery.ServerListError,
         ) as error:
             connection.close()
             self._counters.discovery_failures += 1
@@ -423,7 +428,7 @@
     """A connection to discovery, kept open between calls."""
 
     def __init__(
-        self, host_port: tuple[str, int], descriptors: Descriptors, connect_timeout_ms: float
+        self, host_port: tuple[str, int], descriptors: DescriptorBudget, connect_timeout_ms: float
     ) -> None:
         self.host_port, self._descriptors, self._connect_timeout_ms = (
             host_port,
@@ -437,7 +442,7 @@
         next call opens a new one.
         """
         loop = asyncio.get_running_loop()
-        if self._connection is not None and self._connection.is_quiet():
+        if self._connection is not None and self._connection.is_idle():
             began_at = loop.time()
             try:
                 return await self._get(self._connection, target)
@@ -449,14 +454,14 @@
                 self.close()
                 raise _StaleConnectionError(str(error)) from None
         self.close()
-        connecting = Connecting(self.host_port, self._descriptors, Use.DISCOVERY)
+        connecting = PendingConnection(self.host_port, self._descriptors, SocketUse.DISCOVERY)
         self._connection = connecting.connection
         return await self._get(await connecting.wait(self._connect_timeout_ms), target)
 
     async def _get(self, connection: Connection, target: bytes) -> http1.Response:
         host = b"Host: %s:%d" % (self.host_port[0].encode(), self.host_port[1])
-        await connection.write(http1.request_bytes(b"GET", target, (host,)))
-        parser = http1.ResponseParser(max_body=MAX_LIST_BYTES)
+        await connection.write(http1.encode_request(b"GET", target, (host,)))
+        parser = http1.ResponseParser(max_body_bytes=MAX_LIST_BYTES)
         parser.feed(await connection.read())
         async with asyncio.timeout(RESPONSE_READ_TIMEOUT_S):
             while not parser.complete:
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -34,7 +34,7 @@
     Watch,
 )
 from larkcrank.protocol import platform
-from larkcrank.protocol.discovery import Listing
+from larkcrank.protocol.discovery import ListUpdate
 from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.exchange import Exchange
 from larkcrank.routing.servers import Attempt, AttemptExecutor
@@ -176,12 +176,12 @@
 
     # Callbacks of the server side and of discovery
 
-    def receive_list(self, server_list: Listing, cached: bool = False) -> None:
+    def receive_list(self, server_list: ListUpdate, cached: bool = False) -> None:
         self._attempt_executor.apply_list(server_list)
         if self._discovery_down and not cached:
             self._discovery_down = False
             self._event_log.event("discovery_answers", generation=server_list.generation)
-        self.dispatch(ServerList(server_list.endpoints, server_list.whole, cached, server_list.generation))
+        self.dispatch(ServerList(server_list.endpoints, server_list.is_full, cached, server_list.generation))
 
     def _discovery_failed(self, reason: str) -> None:
         if not self._discovery_down:  # Only changes of state are logged.
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass, field
 
 from larkcrank.protocol import http1
-from larkcrank.protocol.platform import Call
-from larkcrank.transport.budget import Budget
+from larkcrank.protocol.platform import CallInfo
+from larkcrank.transport.budget import BufferBudget
 from larkcrank.transport.connection import ConnectionLostError
 
 # Limit on the part of a body that its endpoint has not read yet, while memory is plentiful.
@@ -43,7 +43,7 @@
     bodies held in memory.
     """
 
-    def __init__(self, first_part: bytes, budget: Budget) -> None:
+    def __init__(self, first_part: bytes, budget: BufferBudget) -> None:
         self._budget = budget
         self._parts: deque[bytes] = deque()
         self._buffered_bytes = 0
@@ -67,7 +67,7 @@
         if data and not self.discarded:
             self._parts.append(data)
             self._buffered_bytes += len(data)
-            self._budget.hold(len(data))
+            self._budget.reserve(len(data))
             self._drop_taken_parts()
             self._changed.set()
 
@@ -79,7 +79,8 @@
         is buffered here for a slow endpoint as long as memory allows.
         """
         return (
-            self._buffered_bytes > (http1.HELD if self._budget.is_short else UPLOAD_BUFFER_BYTES)
+            self._buffered_bytes
+            > (http1.MAX_BUFFERED_BODY_BYTES if self._budget.is_used_up else UPLOAD_BUFFER_BYTES)
             and not self.discarded
         )
 
@@ -95,7 +96,7 @@
     def release(self) -> None:
         """Drop the body. This is the only place where its remaining bytes are returned to the budget."""
         self.discarded = True
-        self._budget.give_back(self._buffered_bytes)
+        self._budget.release(self._buffered_bytes)
         self._buffered_bytes = 0
         self._parts.clear()
         self._changed.set()
@@ -121,11 +122,13 @@
         return part
 
     def _drop_taken_parts(self) -> None:
-        while self._buffered_bytes > http1.HELD and self._taken_parts > self._dropped_parts:
+        while (
+            self._buffered_bytes > http1.MAX_BUFFERED_BODY_BYTES and self._taken_parts > self._dropped_parts
+        ):
             dropped_bytes = len(self._parts.popleft())
             self._dropped_parts += 1
             self._buffered_bytes -= dropped_bytes
-            self._budget.give_back(dropped_bytes)
+            self._budget.release(dropped_bytes)
             self._changed.set()
 
 
@@ -139,7 +142,7 @@
 
     id: int
     class_index: int
-    call_info: Call
+    call_info: CallInfo
     request: http1.Request
     arrived_at: float  # In ms of the process clock.
     deadline: float  # In ms of the process clock.
--- a/larkcrank/routing/servers.py
+++ b/larkcrank/routing/servers.py
@@ -8,12 +8,17 @@
 
 from larkcrank.core.interface import Address, Result, State
 from larkcrank.protocol import http1, platform
-from larkcrank.protocol.discovery import Listing
+from larkcrank.protocol.discovery import ListUpdate
 from larkcrank.routing.exchange import Exchange, Upload
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.connection import Connecting, Connection, ConnectionLostError, NoRoomError
-from larkcrank.transport.descriptors import Descriptors, Use
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.connection import (
+    Connection,
+    ConnectionLostError,
+    NoDescriptorError,
+    PendingConnection,
+)
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
+from larkcrank.transport.pool import ConnectionPool
 
 # An endpoint that does not accept one part of a body within this time is treated as failed.
 BODY_WRITE_TIMEOUT_S = 10.0
@@ -88,12 +93,12 @@
 
     def __init__(
         self,
-        pool: Pool,
-        descriptors: Descriptors,
+        pool: ConnectionPool,
+        descriptors: DescriptorBudget,
         connect_timeout_ms: float,
         load_fields: tuple[str, ...],
         max_body: int,
-        budget: Budget,
+        budget: BufferBudget,
         clock: Callable[[], float],
         counters: ServerCounters,
         report_failure: Callable[[str, BaseException], None],
@@ -129,14 +134,14 @@
         """Return host and port of each server, as last listed."""
         return dict(self._host_ports)
 
-    def apply_list(self, server_list: Listing) -> None:
+    def apply_list(self, server_list: ListUpdate) -> None:
         """Apply a server list: update the addresses of servers and which of them accept requests."""
-        if server_list.whole and not self._only_draining_binds:
+        if server_list.is_full and not self._only_draining_binds:
             listed_addresses = {endpoint.address for endpoint in server_list.endpoints}
             for address in self._ready - listed_addresses:
                 self._retire(address)
         for endpoint in server_list.endpoints:
-            address, host_port = endpoint.address, server_list.places.get(endpoint.address)
+            address, host_port = endpoint.address, server_list.host_ports.get(endpoint.address)
             if endpoint.state is State.GONE and self._only_draining_binds:
                 # A server that vanished without draining may still be used. One that drained was retired when
                 # it began to drain.
@@ -148,7 +153,7 @@
                 self._started_at.get(address, endpoint.started_at) != endpoint.started_at
             ):
                 # The address now belongs to another process; connections to the old one are useless.
-                self._pool.close_to(address)
+                self._pool.close_address(address)
             self._ready.add(address)
             self._started_at[address] = endpoint.started_at
             if host_port is not None:
@@ -156,7 +161,7 @@
 
     def _retire(self, address: Address) -> None:
         self._ready.discard(address)
-        self._pool.close_to(address)
+        self._pool.close_address(address)
 
     def start_attempt(
         self,
@@ -206,11 +211,11 @@
             attempt = self._attempts.get((exchange.id, attempt_index))
             if attempt is not None and not attempt.fully_written:
                 if attempt.writing_started and attempt.connection is not None:
-                    attempt.connection.break_off()  # The endpoint must not take the body as complete.
+                    attempt.connection.abort()  # The endpoint must not take the body as complete.
                 self.cancel(exchange.id, attempt_index)
 
     def close_idle(self, address: Address) -> None:
-        self._pool.close_to(address)
+        self._pool.close_address(address)
 
     def probe(self, address: Address) -> None:
         self._start_task(self._run_probe(address))
@@ -234,7 +239,7 @@
             # Whatever ended one connection has probably ended all of them, and a machine that does not
             # respond may be gone. A request written to an old connection may have run; a failing new
             # connection proves that it has not.
-            self._pool.close_to(attempt.address)
+            self._pool.close_address(attempt.address)
         self.on_outcome(attempt, result, load)
 
     @staticmethod
@@ -246,7 +251,7 @@
     async def _run_attempt(self, attempt: Attempt, stop_at_ms: float) -> None:
         try:
             await self._perform_attempt(attempt, stop_at_ms)
-        except NoRoomError:
+        except NoDescriptorError:
             attempt.end(Result.NOT_SENT)
         except ConnectionLostError:
             # If the connection broke before the last byte was sent, the request never ran; after that it may
@@ -272,7 +277,7 @@
         self._counters.sends += 1
         attempt.writing_started = True
         wait_ms = exchange.client_timeout_ms if stop_at_ms == math.inf else stop_at_ms - self._clock()
-        head = platform.request_to_endpoint(exchange.request, wait_ms)
+        head = platform.encode_endpoint_request(exchange.request, wait_ms)
         await connection.write(head)
         if exchange.upload is None:
             self._mark_written(attempt)
@@ -312,7 +317,7 @@
         The attempt counts as fully written just before its last byte is sent. Whether the kernel accepted
         that byte could become known only after the reading side has seen the connection break.
         """
-        bytes_left = attempt.exchange.request.length
+        bytes_left = attempt.exchange.request.content_length
         try:
             while (part := await upload.next_part()) is not None:
                 if bytes_left is not None:
@@ -320,13 +325,13 @@
                     if not bytes_left:
                         self._mark_written(attempt)
                 async with asyncio.timeout(BODY_WRITE_TIMEOUT_S):
-                    await connection.write(http1.chunk_bytes(part) if bytes_left is None else part)
+                    await connection.write(http1.encode_chunk(part) if bytes_left is None else part)
             if bytes_left is None:
                 self._mark_written(attempt)
-                await connection.write(http1.chunk_bytes(b""))
+                await connection.write(http1.encode_chunk(b""))
         except (ConnectionLostError, TimeoutError):
             if upload.aborted or upload.discarded:
-                connection.break_off()  # The endpoint must not take the body as complete.
+                connection.abort()  # The endpoint must not take the body as complete.
                 attempt.end(Result.NOT_SENT)  # This says nothing about the server.
             attempt.end(Result.RESET if attempt.fully_written else Result.CONNECT_FAILED)
 
@@ -337,12 +342,12 @@
         parser = http1.ResponseParser(math.inf if exchange.streaming else self._max_body)
         while parser.head is None:
             parser.feed(await connection.read())
-        result = platform.result_of(parser.head)
+        result = platform.classify_response(parser.head)
         if send_task is not None and not send_task.done():
             # The endpoint responds before it has read everything: it gets no more data, and the connection is
             # not reused.
             send_task.cancel()
-        is_long = (parser.head.length or 0) > http1.HELD
+        is_long = (parser.head.content_length or 0) > http1.MAX_BUFFERED_BODY_BYTES
         if result is not Result.OK and is_long:
             attempt.end(result)
             return
@@ -350,9 +355,9 @@
             try:
                 parser.feed(await connection.read())
             except ConnectionLostError as error:
-                if not error.in_order or not parser.end():
+                if not error.is_clean_close or not parser.handle_clean_close():
                     raise
-            is_long = parser.held > http1.HELD
+            is_long = parser.buffered_bytes > http1.MAX_BUFFERED_BODY_BYTES
         if attempt.ended:
             return
         if result is Result.OK and (exchange.streaming or not parser.complete):
@@ -366,8 +371,8 @@
             attempt.connection = None
             self._pool.put(address, connection)
         if result is Result.OK:
-            exchange.respond(200, response.fields.passed_on(), response.body)
-        attempt.end(result, platform.load_of(response.fields, self._load_fields))
+            exchange.respond(200, response.fields.forwarded_lines(), response.body)
+        attempt.end(result, platform.read_load_report(response.fields, self._load_fields))
 
     def _take_pooled(self, attempt: Attempt) -> Connection | None:
         attempt.connection = self._pool.take(attempt.address, self._host_ports[attempt.address])
@@ -376,7 +381,9 @@
 
     async def _open_connection(self, attempt: Attempt) -> Connection:
         self._counters.connects += 1
-        connecting = Connecting(self._host_ports[attempt.address], self._descriptors, Use.ATTEMPT)
+        connecting = PendingConnection(
+            self._host_ports[attempt.address], self._descriptors, SocketUse.ATTEMPT
+        )
         attempt.connection = connecting.connection
         return await connecting.wait(self._connect_timeout_ms)
 
@@ -389,7 +396,7 @@
         exchange, head = attempt.exchange, parser.head
         if attempt.ended or head is None:
             return
-        if not exchange.begin_stream(200, head.fields.passed_on(), head.length):
+        if not exchange.begin_stream(200, head.fields.forwarded_lines(), head.content_length):
             attempt.end(Result.CANCELLED)
             return
         if attempt.timer is not None:
@@ -406,10 +413,10 @@
                 if parser.complete:
                     break
                 async with asyncio.timeout(STREAM_READ_TIMEOUT_S):
-                    data = await connection.read(self._budget.step)
+                    data = await connection.read(self._budget.read_size)
                 parser.feed(data)
         except ConnectionLostError as error:
-            if not (error.in_order and parser.end()):
+            if not (error.is_clean_close and parser.handle_clean_close()):
                 exchange.end_stream(complete=False)
                 attempt.end(Result.RESET)
                 return
@@ -418,10 +425,10 @@
             attempt.end(Result.RESET)
             return
         exchange.end_stream(complete=True)
-        if head.keep_alive and not parser.left_over:
+        if head.keep_alive and not parser.has_extra_bytes:
             attempt.connection = None
             self._pool.put(attempt.address, connection)
-        attempt.end(Result.OK, platform.load_of(head.fields, self._load_fields))
+        attempt.end(Result.OK, platform.read_load_report(head.fields, self._load_fields))
 
     async def _relay_part(self, exchange: Exchange, data: bytes) -> None:
         """Pass a part to the client side. It counts against the memory budget until the client side accepts
@@ -429,11 +436,11 @@
         """
         if not data:
             return
-        self._budget.hold(len(data))
+        self._budget.reserve(len(data))
         try:
             await exchange.add_stream_part(data)
         finally:
-            self._budget.give_back(len(data))
+            self._budget.release(len(data))
 
     async def _run_probe(self, address: Address) -> None:
         started_at, result = self._clock(), Result.NOT_SENT
@@ -445,20 +452,20 @@
             if host_port is not None:
                 async with asyncio.timeout(PROBE_TIMEOUT_FACTOR * self._connect_timeout_ms / 1000.0):
                     result = Result.CONNECT_FAILED
-                    connecting = Connecting(host_port, self._descriptors, Use.ATTEMPT)
+                    connecting = PendingConnection(host_port, self._descriptors, SocketUse.ATTEMPT)
                     connection = connecting.connection
                     await connecting.wait(self._connect_timeout_ms)
-                    await connection.write(http1.request_bytes(b"GET", target, (b"Host: " + address,)))
+                    await connection.write(http1.encode_request(b"GET", target, (b"Host: " + address,)))
                     result = Result.RESET
-                    parser = http1.ResponseParser(http1.HELD)
+                    parser = http1.ResponseParser(http1.MAX_BUFFERED_BODY_BYTES)
                     while not parser.complete:
                         parser.feed(await connection.read())
                     response = parser.response()
-                    result = platform.result_of(response)
-                    load = platform.load_report(response.body, self._load_fields)
+                    result = platform.classify_response(response)
+                    load = platform.parse_load_report(response.body, self._load_fields)
         except TimeoutError:
             result = Result.TIMEOUT
-        except NoRoomError:
+        except NoDescriptorError:
             result = Result.NOT_SENT
         except ConnectionLostError:
             pass
--- a/larkcrank/tiers/asking.py
+++ b/larkcrank/tiers/asking.py
@@ -39,7 +39,7 @@
         once more on a new connection.
         """
         host = b"Host: %s:%d" % (self._address[0].encode(), self._address[1])
-        request = http1.request_bytes(b"GET", target, (host, *header_lines))
+        request = http1.encode_request(b"GET", target, (host, *header_lines))
         try:
             async with asyncio.timeout(timeout_s):
                 response = await self._call(request, retry_if_closed)
@@ -83,12 +83,12 @@
         reader, writer = self._streams
         writer.write(request)
         self.bytes_sent += len(request)
-        parser = http1.ResponseParser(max_body=self._max_body_bytes)
+        parser = http1.ResponseParser(max_body_bytes=self._max_body_bytes)
         response_begun = False
         while not parser.complete:
             data = await reader.read(READ_BYTES)
             if not data:
-                if parser.end():
+                if parser.handle_clean_close():
                     break
                 raise (
                     OSError("ended in an answer")
--- a/larkcrank/tiers/config.py
+++ b/larkcrank/tiers/config.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from larkcrank.protocol.discovery import host_port
+from larkcrank.protocol.discovery import parse_host_port
 
 HostPort = tuple[str, int]
 ALL_SERVICES = "*"
@@ -201,6 +201,6 @@
 
 def _parse_address(key: str, text: str, min_port: int = 1) -> HostPort:
     try:
-        return host_port(text, min_port)
+        return parse_host_port(text, min_port)
     except ValueError as error:
         raise ConfigError(f"{key}: {error}") from None
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -498,14 +498,14 @@
 
     def _read_summary(self, receiver: Receiver, fields: http1.Fields) -> None:
         """Take the child's summary from the headers, and note whether the caller is a tier."""
-        values = fields.all(SUMMARY_HEADER.lower())
+        values = fields.get_all(SUMMARY_HEADER.lower())
         summary = held.decode(values[0]) if values else None
         if summary is not None:
             receiver.is_tier = True
             self._child_summaries.add(summary, self._loop.time())
         elif values:
             self.bad_summaries += 1
-        receiver.is_tier = receiver.is_tier or bool(fields.all(CHECK_HEADER.lower()))
+        receiver.is_tier = receiver.is_tier or bool(fields.get_all(CHECK_HEADER.lower()))
 
     def sidecar_progress(self) -> held.SidecarProgress:
         """What the sidecars of this tier and of the tiers below hold, in this tier's sequence numbers."""
@@ -546,7 +546,7 @@
         table = self.table
         sequence = table.sequence if generation is None else table.sequence_of(generation)
         if sequence is None:
-            return False, "not a generation of this tier's running process"
+            return False, "no generation of this tier, or of an earlier life of it"
         progress = self.sidecar_progress()
         holding = progress.holding(sequence)
         report = {
@@ -713,7 +713,7 @@
             return self.propagation_report(int(argument) if argument else None)
         if command == "STATE" and not argument:
             return True, msgspec.json.encode(self.status()).decode()
-        return False, "unknown call; the known ones are PING, HELD [generation], STATE"
+        return False, "unknown call; known are PING, HELD [generation], STATE"
 
     def status(self) -> dict[str, Any]:
         """The answer to the operators' call STATE."""
@@ -803,7 +803,7 @@
         if self._transport is None or self._transport.is_closing():
             return
         if len(line) > OPS_MAX_LINE_BYTES:
-            self._reply(False, f"a call is one line of at most {OPS_MAX_LINE_BYTES} bytes")
+            self._reply(False, f"a call is a line of at most {OPS_MAX_LINE_BYTES} bytes")
         elif newline:
             try:
                 self._reply(*self._tier.operator_call(line.removesuffix(b"\r").decode("ascii", "replace")))
--- a/larkcrank/tiers/receivers.py
+++ b/larkcrank/tiers/receivers.py
@@ -118,7 +118,7 @@
                 provisional,
                 self.reports_stale,
             )
-        return http1.response_bytes(200, _CONTENT_TYPE, body)
+        return http1.encode_response(200, _CONTENT_TYPE, body)
 
 
 class ReceiverHandler(Protocol):
@@ -186,12 +186,12 @@
         self._handler.receiver_blocked(self, False)
 
     def data_received(self, data: bytes) -> None:
-        parser = self._parser or http1.RequestParser(max_body=0)
+        parser = self._parser or http1.RequestParser(max_body_bytes=0)
         try:
             parser.feed(data)
             request = parser.next()
-            if self.is_calling or (request is not None and parser.begun):
-                raise http1.MessageError(400, "a call before the previous one was answered")
+            if self.is_calling or (request is not None and parser.has_partial_request):
+                raise http1.MessageError(400, "a call while one is under way")
         except http1.MessageError as error:
             self.send_error(error.status, close=True)
             return
@@ -223,7 +223,7 @@
     def send_error(self, status: int, close: bool = False) -> None:
         self.listener.waiting.discard(self)
         header_lines = (b"Retry-After: 1",) if status == 503 else ()
-        self.send(http1.response_bytes(status, header_lines, b"", close=close), close)
+        self.send(http1.encode_response(status, header_lines, b"", close=close), close)
 
     def abort(self) -> None:
         if self.transport is not None:
--- a/tests/crossing.py
+++ b/tests/crossing.py
@@ -21,10 +21,10 @@
 from larkcrank.core import interface as api
 from larkcrank.program.counters import Counters
 from larkcrank.protocol import http1
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.routing.discovery import DiscoveryClient
-from larkcrank.transport.connection import Connecting, Connection
-from larkcrank.transport.descriptors import Descriptors
+from larkcrank.transport.connection import Connection, PendingConnection
+from larkcrank.transport.descriptors import DescriptorBudget
 from tests import bed as testbed
 
 
@@ -122,15 +122,15 @@
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.started_count = 0
         self.released = asyncio.Event()
-        original_wait = Connecting.wait
+        original_wait = PendingConnection.wait
 
-        async def delayed_wait(connecting: Connecting, timeout_ms: float) -> Connection:
+        async def delayed_wait(connecting: PendingConnection, timeout_ms: float) -> Connection:
             self.started_count += 1
             connection = await original_wait(connecting, timeout_ms)
             await self.released.wait()
             return connection
 
-        monkeypatch.setattr(Connecting, "wait", delayed_wait)
+        monkeypatch.setattr(PendingConnection, "wait", delayed_wait)
 
 
 @dataclass(frozen=True)
@@ -191,7 +191,7 @@
         response_body = msgspec.json.encode(
             {"generation": generation, "reset": is_full_list, "instances": [list_entry]}
         )
-        self.calls[index][1].write(http1.response_bytes(200, (), response_body))
+        self.calls[index][1].write(http1.encode_response(200, (), response_body))
 
     async def wait_for_call(self, count: int) -> bytes:
         await testbed.until(lambda: len(self.calls) >= count)
@@ -207,7 +207,7 @@
 
     def __init__(self, watch_after_move: bool = True) -> None:
         self.server, self.watch_after_move = ScriptedDiscovery(), watch_after_move
-        self.lists: list[Listing] = []
+        self.lists: list[ListUpdate] = []
         self.failures: list[str] = []
 
     async def __aenter__(self) -> "DiscoveryHarness":
@@ -216,8 +216,8 @@
         self.counters = Counters()
         self.discovery = DiscoveryClient(
             host_port,
-            Descriptors(256),
-            Names([], []),
+            DescriptorBudget(256),
+            NameTable([], []),
             5000.0,
             self.watch_after_move,
             Random(1),
@@ -233,4 +233,4 @@
         self.server.stop()
 
     def received_lists(self) -> list[tuple[int, bool]]:
-        return [(listing.generation, listing.whole) for listing in self.lists]
+        return [(listing.generation, listing.is_full) for listing in self.lists]
--- a/tests/test_crossings_attempts.py
+++ b/tests/test_crossings_attempts.py
@@ -8,9 +8,9 @@
 
 from larkcrank.core import interface as api
 from larkcrank.protocol import http1
-from larkcrank.protocol.discovery import Listing
-from larkcrank.transport.connection import Connecting, Connection
-from larkcrank.transport.descriptors import Use
+from larkcrank.protocol.discovery import ListUpdate
+from larkcrank.transport.connection import Connection, PendingConnection
+from larkcrank.transport.descriptors import SocketUse
 from tests import bed as testbed
 from tests import crossing
 
@@ -43,7 +43,7 @@
     async def scenario() -> None:
         async with crossing.connecting_request(monkeypatch, lambda client: client.send("view")) as pending:
             draining_endpoint = api.Endpoint(b"s-1", state=api.State.DRAINING)
-            pending.bed.sidecar._driver.receive_list(Listing(2, False, (draining_endpoint,)))
+            pending.bed.sidecar._driver.receive_list(ListUpdate(2, False, (draining_endpoint,)))
             pending.delayed_connects.released.set()
             assert (
                 await pending.wait_for_outcomes() == [api.Result.NOT_SENT] and not pending.endpoint.requests
@@ -56,9 +56,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The timer closed the connection before the waiting task continued. Nothing was written or run."""
-    original_wait = Connecting.wait
+    original_wait = PendingConnection.wait
 
-    async def timed_out(connecting: Connecting, timeout_ms: float) -> Connection:
+    async def timed_out(connecting: PendingConnection, timeout_ms: float) -> Connection:
         connection = await original_wait(connecting, timeout_ms)
         connection.close()
         return connection
@@ -66,7 +66,7 @@
     async def scenario() -> None:
         endpoint = testbed.Endpoint("s-1")
         async with testbed.bed(endpoint, discovery_up=False) as bed:
-            monkeypatch.setattr(Connecting, "wait", timed_out)
+            monkeypatch.setattr(PendingConnection, "wait", timed_out)
             client = await bed.client()
             balancer = crossing.ManualBalancer(bed)
             client.send("take", 8.0, "POST", body=b"ink")
@@ -76,7 +76,7 @@
                 balancer.events_of(api.Outcome)[0].result is api.Result.CONNECT_FAILED
                 and not endpoint.requests
             )
-            assert bed.sidecar.descriptors._used[Use.ATTEMPT] == 0
+            assert bed.sidecar.descriptors._used[SocketUse.ATTEMPT] == 0
 
     testbed.run(scenario())
 
@@ -93,7 +93,7 @@
                 endpoint: testbed.Endpoint, _: http1.Request, writer: testbed.Writer
             ) -> None:
                 (attempt,) = bed.sidecar._servers._attempts.values()
-                await testbed.say_ok(endpoint, _, writer)  # The response is now in the kernel.
+                await testbed.respond_ok(endpoint, _, writer)  # The response is now in the kernel.
                 if not timer_first:
                     await testbed.until(lambda: attempt.ended)
                 bed.sidecar._servers._attempt_timed_out(attempt)
@@ -105,7 +105,7 @@
             await testbed.until(lambda: bool(balancer.events_of(api.Outcome)))
             if timer_first:
                 balancer.decide(api.Refuse(request_id))
-            assert (await client.answer()).status == (503 if timer_first else 200)
+            assert (await client.read_response()).status == (503 if timer_first else 200)
             await testbed.until(lambda: bed.sidecar._servers.active_attempts == 0)
             expected_result = api.Result.TIMEOUT if timer_first else api.Result.OK
             assert [outcome.result for outcome in balancer.events_of(api.Outcome)] == [expected_result]
@@ -120,12 +120,12 @@
 
     async def scenario() -> None:
         endpoint = testbed.Endpoint("s-1")
-        second_response = http1.response_bytes(200, (), b"of another")
+        second_response = http1.encode_response(200, (), b"of another")
 
         async def respond_twice(
             endpoint: testbed.Endpoint, request: http1.Request, writer: testbed.Writer
         ) -> None:
-            await testbed.say_ok(endpoint, request, writer)
+            await testbed.respond_ok(endpoint, request, writer)
             if sent_together:
                 writer.write(second_response)
 
@@ -137,7 +137,7 @@
                 # It reaches the kernel before the next request does.
                 endpoint.writers[0].write(second_response)
             assert (await client.call("view")).body == b"made by /view/1"
-            assert endpoint.opened == 2
-            await testbed.until(lambda: endpoint.ended >= 1)
+            assert endpoint.connections_opened == 2
+            await testbed.until(lambda: endpoint.connections_ended >= 1)
 
     testbed.run(scenario())
--- a/tests/test_crossings_clients.py
+++ b/tests/test_crossings_clients.py
@@ -87,7 +87,7 @@
             for index, client in enumerate(leaving_clients):
                 crossing.disconnect(client, "reset" if index % 2 else "closed")
             balancer.decide(*(api.Send(request.id, b"s-1") for request in balancer.events_of(api.Request)))
-            assert (await staying_client.answer()).status == 200
+            assert (await staying_client.read_response()).status == 200
             await testbed.until(lambda: len(balancer.events_of(api.ClientGone)) == 8)
             assert len(endpoint.requests) == 2 and bed.sidecar.counters.gone_before_send == 8
 
@@ -114,7 +114,7 @@
             crossing.disconnect(client, "reset")
             await testbed.until(lambda: bool(balancer.events_of(api.ClientGone)))
             await testbed.until(lambda: not bed.sidecar.clients.open_count)
-            assert not endpoint.requests and bed.sidecar.budget.held == 0
+            assert not endpoint.requests and bed.sidecar.budget.held_bytes == 0
 
     testbed.run(scenario())
 
@@ -164,12 +164,12 @@
             endpoint: testbed.Endpoint, request: http1.Request, writer: testbed.Writer
         ) -> None:
             crossing.disconnect(client, "closed")
-            await testbed.say_declined(endpoint, request, writer)
+            await testbed.respond_declined(endpoint, request, writer)
 
         endpoint = testbed.Endpoint("s-1")
         async with testbed.bed(endpoint, second_endpoint) as bed:
             client = await bed.client()
-            endpoint.serve = second_endpoint.serve = testbed.say_ok
+            endpoint.serve = second_endpoint.serve = testbed.respond_ok
             while len(bed.sidecar.pool) < 2:
                 assert (await client.call("view")).status == 200
             requests_before = len(second_endpoint.requests)
@@ -192,7 +192,7 @@
 
     async def scenario() -> None:
         may_respond = asyncio.Event()
-        endpoint = testbed.Endpoint("s-1", testbed.after(may_respond))
+        endpoint = testbed.Endpoint("s-1", testbed.respond_after(may_respond))
         async with testbed.bed(endpoint) as bed:
             balancer = crossing.ManualBalancer(bed)
             first, second = await bed.client(), await bed.client()
@@ -201,9 +201,9 @@
                 balancer.decide(api.Send(await balancer.wait_for_request(count), b"s-1"))
             await testbed.until(lambda: len(endpoint.requests) == 2)
             may_respond.set()
-            assert (await first.answer()).status == (await second.answer()).status == 200
+            assert (await first.read_response()).status == (await second.read_response()).status == 200
             await testbed.until(lambda: len(bed.sidecar.pool) == 2)
-            endpoint.serve = testbed.say_nothing
+            endpoint.serve = testbed.never_respond
             first.send("view")
             balancer.decide(api.Send(request_id := await balancer.wait_for_request(3), b"s-1"))
             await testbed.until(lambda: len(endpoint.requests) == 3)
--- a/tests/test_crossings_life.py
+++ b/tests/test_crossings_life.py
@@ -53,13 +53,13 @@
     monkeypatch.setattr(sidecar, "ANSWER_MARGIN_MS", 1.0)
 
     async def scenario() -> None:
-        endpoint = b.Endpoint("s-1", b.say_nothing)
+        endpoint = b.Endpoint("s-1", b.never_respond)
         async with b.bed(endpoint) as bed:
             client = await bed.client()
             client.send("take", 3000.0, "POST")
             await b.until(lambda: len(endpoint.requests) == 1)
             await bed.sidecar.shut_down()
-            assert (await client.answer()).status == 504
+            assert (await client.read_response()).status == 504
             assert bed.sidecar.clients.open_count == 0
 
     b.run(scenario())
@@ -112,7 +112,7 @@
         passed_socket = socket.create_server(("127.0.0.1", 0))
         async with b.bed(discovery_up=False) as bed:
             starting = sidecar.Sidecar(
-                bed.read(), Log("n0", log := io.BytesIO()), bed.read, passed_socket.dup()
+                bed.load_config(), Log("n0", log := io.BytesIO()), bed.load_config, passed_socket.dup()
             )
             run_task = asyncio.create_task(starting.run())
             await connected.wait()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -15,14 +15,14 @@
 from larkcrank.program.counters import Counters
 from larkcrank.program.log import MAX_LINES_PER_SECOND, Log
 from larkcrank.protocol import http1, platform
-from larkcrank.protocol.discovery import Listing, Names
+from larkcrank.protocol.discovery import ListUpdate, NameTable
 from larkcrank.routing.discovery import DiscoveryClient
 from larkcrank.routing.driver import Driver
 from larkcrank.routing.exchange import BufferedResponse, Exchange
 from larkcrank.routing.servers import AttemptExecutor
-from larkcrank.transport.budget import Budget
-from larkcrank.transport.descriptors import Descriptors, Use
-from larkcrank.transport.pool import Pool
+from larkcrank.transport.budget import BufferBudget
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
+from larkcrank.transport.pool import ConnectionPool
 from tests import bed as testbed
 
 DecideFunction = Callable[[api.Event], list[api.Action]]
@@ -75,15 +75,15 @@
         self.log = io.BytesIO()
         self.clock = Clock()
         log = Log("test", self.log)
-        descriptors = Descriptors(256)
-        self.pool = Pool(descriptors, 60000.0)
+        descriptors = DescriptorBudget(256)
+        self.pool = ConnectionPool(descriptors, 60000.0)
         self.attempt_executor = AttemptExecutor(
             self.pool,
             descriptors,
             250.0,
             (),
             65536,
-            Budget(1 << 26),
+            BufferBudget(1 << 26),
             self.clock,
             self.counters,
             log.log_exception,
@@ -91,7 +91,7 @@
         discovery = DiscoveryClient(
             ("127.0.0.1", 1),
             descriptors,
-            Names([], []),
+            NameTable([], []),
             250.0,
             False,
             Random(1),
@@ -107,14 +107,14 @@
     def announce(self, *endpoints: testbed.Endpoint, state: api.State = api.State.READY) -> None:
         listed = tuple(api.Endpoint(endpoint.name.encode(), state) for endpoint in endpoints)
         host_ports = {endpoint.name.encode(): ("127.0.0.1", endpoint.port) for endpoint in endpoints}
-        self.driver.receive_list(Listing(1, False, listed, host_ports))
+        self.driver.receive_list(ListUpdate(1, False, listed, host_ports))
 
     def start_request(self, time_left_ms: float = 5000.0) -> Exchange:
         now_ms = self.clock()
         request = http1.Request(
             b"GET", b"/view", http1.Fields((http1.Field(b"host", b"a", b"Host: a"),)), b"", True
         )
-        call_info = platform.Call("id", "view", time_left_ms, False, False, "")
+        call_info = platform.CallInfo("id", "view", time_left_ms, False, False, "")
         exchange = Exchange(
             self.driver.next_request_id(), 0, call_info, request, now_ms, now_ms + time_left_ms, False
         )
@@ -239,7 +239,7 @@
 
 def test_cancel_closes_the_connection_before_the_next_attempt_starts() -> None:
     async def scenario() -> None:
-        endpoint, second_endpoint = testbed.Endpoint("s-1", testbed.say_nothing), testbed.Endpoint("s-2")
+        endpoint, second_endpoint = testbed.Endpoint("s-1", testbed.never_respond), testbed.Endpoint("s-2")
         await endpoint.start()
         await second_endpoint.start()
 
@@ -260,7 +260,7 @@
         harness.driver.dispatch(api.TimerFired(0))
         answer = await exchange.response_future()
         assert isinstance(answer, BufferedResponse) and answer.body == b"made by /view"
-        await testbed.until(lambda: endpoint.ended == 1)
+        await testbed.until(lambda: endpoint.connections_ended == 1)
         await endpoint.stop()
         await second_endpoint.stop()
 
@@ -269,7 +269,7 @@
 
 def test_attempt_times_out_at_stop_time() -> None:
     async def scenario() -> None:
-        endpoint = testbed.Endpoint("s-1", testbed.say_nothing)
+        endpoint = testbed.Endpoint("s-1", testbed.never_respond)
         await endpoint.start()
 
         harness = DriverHarness(send_with_timeout(20.0), endpoint)
@@ -294,7 +294,7 @@
         if hanging_step == "write":
             monkeypatch.setattr("larkcrank.transport.connection.Connection.write", hang)
         else:
-            monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", hang)
+            monkeypatch.setattr("larkcrank.transport.connection.PendingConnection.wait", hang)
         endpoint = testbed.Endpoint("s-1")
         await endpoint.start()
 
@@ -318,7 +318,7 @@
 
         endpoint = testbed.Endpoint("s-1")
         await endpoint.start()
-        monkeypatch.setattr("larkcrank.transport.connection.Connecting.wait", raise_error)
+        monkeypatch.setattr("larkcrank.transport.connection.PendingConnection.wait", raise_error)
         harness = DriverHarness(
             lambda event: [api.Probe(b"s-1")] if isinstance(event, api.TimerFired) else [], endpoint
         )
@@ -356,18 +356,18 @@
 
 async def start_discovery_client(
     host_port: tuple[str, int], watch_after_move: bool
-) -> tuple[DiscoveryClient, list[Listing], list[str]]:
+) -> tuple[DiscoveryClient, list[ListUpdate], list[str]]:
     discovery = DiscoveryClient(
         host_port,
-        Descriptors(256),
-        Names([], []),
+        DescriptorBudget(256),
+        NameTable([], []),
         250.0,
         watch_after_move,
         Random(1),
         Counters(),
         lambda *_: None,
     )
-    lists: list[Listing] = []
+    lists: list[ListUpdate] = []
     failures: list[str] = []
     discovery.on_list = lists.append
     discovery.on_failure = failures.append
@@ -378,20 +378,20 @@
     async def scenario() -> None:
         endpoint = testbed.Endpoint("s-1")
         endpoint.port = 9
-        discovery_server = testbed.ToyDiscovery([endpoint])
+        discovery_server = testbed.FakeDiscovery([endpoint])
         await discovery_server.start()
         discovery, lists, _ = await start_discovery_client(
             ("127.0.0.1", discovery_server.port), watch_after_move=False
         )
         discovery.watch()
         # The full list, then the wait for changes.
-        await testbed.until(lambda: len(discovery_server.targets) == 2)
+        await testbed.until(lambda: len(discovery_server.request_targets) == 2)
         discovery.watch()
-        discovery_server.tell(endpoint)
-        await testbed.until(lambda: len(discovery_server.targets) == 3)
-        assert [(listing.generation, listing.whole) for listing in lists] == [(1, True), (2, False)]
-        assert discovery_server.targets[0] == b"/registry/instances"
-        assert discovery_server.targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
+        discovery_server.announce(endpoint)
+        await testbed.until(lambda: len(discovery_server.request_targets) == 3)
+        assert [(listing.generation, listing.is_full) for listing in lists] == [(1, True), (2, False)]
+        assert discovery_server.request_targets[0] == b"/registry/instances"
+        assert discovery_server.request_targets[2].startswith(b"/registry/instances?after=2&wait_ms=")
         discovery.close()
         tasks_before = asyncio.all_tasks()
         discovery.watch()
@@ -426,13 +426,13 @@
     """Otherwise the watch would have ended and nothing would restart it."""
 
     async def scenario() -> None:
-        discovery_server = testbed.ToyDiscovery([])
+        discovery_server = testbed.FakeDiscovery([])
         await discovery_server.start()
         discovery, _, failures = await start_discovery_client(
             ("127.0.0.1", discovery_server.port), watch_after_move=False
         )
 
-        def raise_error(listing: Listing) -> None:
+        def raise_error(listing: ListUpdate) -> None:
             raise ZeroDivisionError
 
         discovery.on_list = raise_error
@@ -451,9 +451,11 @@
 
         harness = DriverHarness(send_to_only_server, endpoint)
         harness.pool.close()
-        harness.attempt_executor._pool = harness.pool = Pool(Descriptors(256), keepalive_ms=40.0)
+        harness.attempt_executor._pool = harness.pool = ConnectionPool(
+            DescriptorBudget(256), keepalive_ms=40.0
+        )
         await harness.start_request().response_future()
-        await testbed.until(lambda: endpoint.ended == 1)
+        await testbed.until(lambda: endpoint.connections_ended == 1)
         assert len(harness.pool) == 0
         await endpoint.stop()
 
@@ -465,7 +467,7 @@
         may_respond = asyncio.Event()
 
         old_endpoint, new_endpoint = (
-            testbed.Endpoint("s-1", testbed.after(may_respond)),
+            testbed.Endpoint("s-1", testbed.respond_after(may_respond)),
             testbed.Endpoint("s-1"),
         )
         await old_endpoint.start()
@@ -486,16 +488,16 @@
 
 
 def test_descriptor_uses_do_not_starve_each_other() -> None:
-    descriptors = Descriptors(132)
-    assert sum(descriptors.take(Use.CLIENT) for _ in range(200)) == 85
-    assert sum(descriptors.take(Use.ATTEMPT) for _ in range(200)) == 13
-    assert sum(descriptors.take(Use.DISCOVERY) for _ in range(200)) == 2
-    assert not descriptors.take(Use.CLIENT) and descriptors.used == 100
+    descriptors = DescriptorBudget(132)
+    assert sum(descriptors.acquire(SocketUse.CLIENT) for _ in range(200)) == 85
+    assert sum(descriptors.acquire(SocketUse.ATTEMPT) for _ in range(200)) == 13
+    assert sum(descriptors.acquire(SocketUse.DISCOVERY) for _ in range(200)) == 2
+    assert not descriptors.acquire(SocketUse.CLIENT) and descriptors.used == 100
     wakeups: list[int] = []
-    descriptors.when_free(lambda: wakeups.append(1))
-    assert descriptors.wanted
-    descriptors.give_back(Use.CLIENT)
-    assert wakeups == [1] and not descriptors.wanted and descriptors.take(Use.CLIENT)
+    descriptors.on_next_release(lambda: wakeups.append(1))
+    assert descriptors.has_waiters
+    descriptors.release(SocketUse.CLIENT)
+    assert wakeups == [1] and not descriptors.has_waiters and descriptors.acquire(SocketUse.CLIENT)
 
 
 def test_log_limits_lines_per_second() -> None:
@@ -553,10 +555,10 @@
         first, second = harness.start_request(), harness.start_request()
         await asyncio.gather(first.response_future(), second.response_future())
         assert len(harness.pool) == 2
-        endpoint.serve = testbed.say_nothing
+        endpoint.serve = testbed.never_respond
         harness.start_request()
         await testbed.until(lambda: len(harness.balancer.events_of(api.Outcome)) == 3)
-        await testbed.until(lambda: endpoint.ended == 2)
+        await testbed.until(lambda: endpoint.connections_ended == 2)
         assert len(harness.pool) == 0
         await endpoint.stop()
 
@@ -569,8 +571,8 @@
             driver = bed.sidecar._driver
             driver._discovery_failed("down")
             driver._discovery_failed("still down")
-            driver.receive_list(Listing(3, False, ()))
-            assert [name for name in bed.events() if name.startswith("discovery")] == [
+            driver.receive_list(ListUpdate(3, False, ()))
+            assert [name for name in bed.log_events() if name.startswith("discovery")] == [
                 "discovery_failed",
                 "discovery_answers",
             ]
@@ -581,9 +583,9 @@
 @pytest.mark.parametrize(
     "response",
     [
-        http1.response_bytes(503, (), b""),
-        http1.response_bytes(200, (), b"no list"),
-        http1.response_bytes(200, (), b'{"generation":1,"instances":[{"instanceId":"a"}]}'),
+        http1.encode_response(503, (), b""),
+        http1.encode_response(200, (), b"no list"),
+        http1.encode_response(200, (), b'{"generation":1,"instances":[{"instanceId":"a"}]}'),
         b"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\nshort",
         b"nonsense\r\n\r\n",
     ],
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -115,8 +115,8 @@
     async def check_without_fleet() -> None:
         endpoint = b.Endpoint("e")
         async with b.bed(endpoint, ops="127.0.0.1:0") as bed:
-            assert await bed.operator(b"VIEW\n") == b"400 no view of the fleet is kept\n"
-            assert "fleet_off" not in bed.events()
+            assert await bed.call_operator(b"VIEW\n") == b"400 no view of the fleet is kept\n"
+            assert "fleet_off" not in bed.log_events()
 
     b.run(check_without_fleet())
     config = {
--- a/tests/test_kept.py
+++ b/tests/test_kept.py
@@ -80,7 +80,7 @@
             if saved_ms is not None:
                 kept.write(path, time.time() * 1000.0 - 1000.0, classes, [saved_ms] * len(classes))
                 bed.sidecar._restore_learned_state(str(path))
-                assert "kept_taken" in bed.events()
+                assert "kept_taken" in bed.log_events()
                 target_times = [request_class.aim_ms for request_class in classes]
                 answer_times = bed.sidecar._balancer.usual_answer_times()
                 assert all(
@@ -103,7 +103,7 @@
 
     async def scenario() -> None:
         async with b.bed(b.Endpoint("s-1"), kept=str(path)) as bed:
-            assert bed.events().count("kept_unusable") == 1
+            assert bed.log_events().count("kept_unusable") == 1
             client = await bed.client()
             assert (await client.call("view")).status == 200
             bed.sidecar.save_learned_state()
@@ -111,6 +111,6 @@
             request_class["name"] for request_class in b.CLASSES
         }
         async with b.bed(b.Endpoint("s-1"), kept=str(path)) as bed:
-            assert "kept_taken" in bed.events()
+            assert "kept_taken" in bed.log_events()
 
     b.run(scenario())
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -24,7 +24,7 @@
     """Discovery that queues calls, and answers or rejects them only when the test says so."""
 
     def __init__(self, endpoints: list[b.Endpoint]) -> None:
-        self.toy_discovery = b.ToyDiscovery(endpoints)
+        self.toy_discovery = b.FakeDiscovery(endpoints)
         self.pending_calls: list[tuple[bytes, b.Writer]] = []
         self.calls = 0
 
@@ -44,13 +44,15 @@
         for _ in range(min(count, len(self.pending_calls))):
             _, writer = self.pending_calls.pop(0)
             writer.write(
-                http1.response_bytes(200, (), self.toy_discovery.text(self.toy_discovery.endpoints, True))
+                http1.encode_response(
+                    200, (), self.toy_discovery.list_body(self.toy_discovery.endpoints, True)
+                )
             )
 
     def reject_all(self) -> None:
         """Answer all pending calls with 503."""
         while self.pending_calls:
-            self.pending_calls.pop(0)[1].write(http1.response_bytes(503, (), b""))
+            self.pending_calls.pop(0)[1].write(http1.encode_response(503, (), b""))
 
     def stop(self) -> None:
         self._server.close()
@@ -78,13 +80,13 @@
     if failure == "down":
         discovery.stop()
     async with b.bed(endpoint, known=known, discovery_up=False, **bed_options) as bed:
-        bed.file["discovery"] = f"127.0.0.1:{discovery.port}"
+        bed.config_file["discovery"] = f"127.0.0.1:{discovery.port}"
         yield bed, discovery
     discovery.stop()
 
 
 def make_sidecar(bed: b.Bed, passed_socket: socket.socket | None = None) -> Sidecar:
-    return Sidecar(bed.read(), Log("n1", bed._log), bed.read, passed_socket)
+    return Sidecar(bed.load_config(), Log("n1", bed._log), bed.load_config, passed_socket)
 
 
 @pytest.mark.parametrize("known", [True, False])
@@ -203,7 +205,7 @@
         async with bed_with_failing_discovery(
             "hangs", b.Endpoint("s-1"), known, bounds=BOUNDS, ordinal=3
         ) as (bed, discovery):
-            bed.file["fleet"] = fleet_config
+            bed.config_file["fleet"] = fleet_config
             sidecar = make_sidecar(bed)
             await sidecar.start_serving()
             assert sidecar._discovery.may_call is not None and not sidecar._discovery.may_call()
--- a/tests/test_replace.py
+++ b/tests/test_replace.py
@@ -23,7 +23,7 @@
 from larkcrank.program import handover
 from larkcrank.program.handover import HandoverError, HandoverMessage
 from larkcrank.protocol import http1
-from larkcrank.transport.descriptors import Descriptors, Use
+from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 from tests import bed as b
 from tests.frames import CONFIG
 from tests.test_program import ROOT, next_event, running_process
@@ -172,14 +172,14 @@
 
 
 def test_concurrent_processes_share_the_descriptors() -> None:
-    descriptors = Descriptors(1024)
-    limit_alone = sum(descriptors.take(Use.DISCOVERY) for _ in range(2000))
+    descriptors = DescriptorBudget(1024)
+    limit_alone = sum(descriptors.acquire(SocketUse.DISCOVERY) for _ in range(2000))
     for _ in range(limit_alone):
-        descriptors.give_back(Use.DISCOVERY)
-    descriptors.share_with(1)
-    assert sum(descriptors.take(Use.DISCOVERY) for _ in range(2000)) <= limit_alone // 2
-    descriptors.share_with(0)
-    assert descriptors.take(Use.DISCOVERY)
+        descriptors.release(SocketUse.DISCOVERY)
+    descriptors.set_other_processes(1)
+    assert sum(descriptors.acquire(SocketUse.DISCOVERY) for _ in range(2000)) <= limit_alone // 2
+    descriptors.set_other_processes(0)
+    assert descriptors.acquire(SocketUse.DISCOVERY)
 
 
 # Two real processes
@@ -191,7 +191,7 @@
     def __init__(self, directory: Path) -> None:
         self.directory = directory
         self.endpoints = [b.Endpoint("s-1", self.serve), b.Endpoint("s-2", self.serve)]
-        self.discovery = b.ToyDiscovery(self.endpoints)
+        self.discovery = b.FakeDiscovery(self.endpoints)
         self.passed_socket = socket.create_server(("127.0.0.1", 0), backlog=512)
         self.address = self.passed_socket.getsockname()
         self.processes: list[Process] = []
@@ -202,7 +202,7 @@
     @staticmethod
     async def serve(endpoint: b.Endpoint, request: http1.Request, writer: b.Writer) -> None:
         await asyncio.sleep(0.01)
-        await b.say_ok(endpoint, request, writer)
+        await b.respond_ok(endpoint, request, writer)
 
     async def start(self) -> None:
         for endpoint in self.endpoints:
@@ -213,7 +213,7 @@
             "listen": "{}:{}".format(*self.address),
             "discovery": f"127.0.0.1:{self.discovery.port}",
             "ops": "127.0.0.1:0",
-            "known": json.loads(self.discovery.text(self.endpoints, True)),
+            "known": json.loads(self.discovery.list_body(self.endpoints, True)),
             "settings": SETTINGS,
         }
         (self.directory / "config.json").write_text(json.dumps(config))
@@ -255,7 +255,7 @@
                     client = b.Client(*await asyncio.open_connection(*self.address))
                 client.send("take", 8.0, "POST")
                 try:
-                    answer = await client.answer()
+                    answer = await client.read_response()
                 except ConnectionError:  # closed while idle: retry once, on a new connection
                     assert not is_retry
                     self.closed_without_answer += 1
@@ -281,7 +281,7 @@
     def executions(self) -> Counter[bytes]:
         """How often the endpoints executed each request id."""
         return Counter(
-            request.fields.one(b"req-id") or b""
+            request.fields.get_single(b"req-id") or b""
             for endpoint in self.endpoints
             for request in endpoint.requests
         )
@@ -352,7 +352,7 @@
             new = await environment.start_process()
             assert (await environment.next_event(new, "handover_unusable"))["message"] == "silent"
             await environment.next_event(new, "ready")
-            assert environment.discovery.targets  # called before the process was ready
+            assert environment.discovery.request_targets  # called before the process was ready
         finally:
             silent_server.close()
             await environment.stop_all()
--- a/tests/test_tiers_sidecar.py
+++ b/tests/test_tiers_sidecar.py
@@ -15,9 +15,9 @@
 from larkcrank.config import sidecar as config
 from larkcrank.core.interface import State
 from larkcrank.program.counters import Counters
-from larkcrank.protocol.discovery import Listing, Names, host_port
+from larkcrank.protocol.discovery import ListUpdate, NameTable, parse_host_port
 from larkcrank.routing import discovery
-from larkcrank.transport.descriptors import Descriptors
+from larkcrank.transport.descriptors import DescriptorBudget
 from tests import virtual_loop
 from tests.bed import until
 from tests.frames import CONFIG
@@ -48,12 +48,12 @@
     """A sidecar's discovery client, with the server states that its balancer would hold."""
 
     def __init__(self, *addresses: str, watch_ms: int | None = 1000, seed: int = 1) -> None:
-        first, *others = map(host_port, addresses)
+        first, *others = map(parse_host_port, addresses)
         self.counters = Counters()
         self.discovery = discovery.DiscoveryClient(
             first,
-            Descriptors(100),
-            Names([], []),
+            DescriptorBudget(100),
+            NameTable([], []),
             500.0,
             True,
             Random(seed),
@@ -70,9 +70,9 @@
         self.full_lists = 0
         self.discovery.on_list = self._apply
 
-    def _apply(self, listing: Listing) -> None:
+    def _apply(self, listing: ListUpdate) -> None:
         now = asyncio.get_running_loop().time()
-        if listing.whole:
+        if listing.is_full:
             self.full_lists += 1
             listed = {endpoint.address for endpoint in listing.endpoints}
             self.gone |= self.states.keys() - listed
--- a/tests/test_told_after.py
+++ b/tests/test_told_after.py
@@ -189,10 +189,10 @@
                 _reset_connection(writer)
                 return False
             case "503":
-                writer.write(http1.response_bytes(503, (), b""))
+                writer.write(http1.encode_response(503, (), b""))
                 return True
             case "no list":
-                writer.write(http1.response_bytes(200, (), b'{"generation":"?"}'))
+                writer.write(http1.encode_response(200, (), b'{"generation":"?"}'))
                 return True
             case "endless":
                 writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -240,7 +240,7 @@
                 "reset": True,
                 "instances": [*first_entry, _list_entry(1, "Ready")],
             }
-        writer.write(http1.response_bytes(200, (), json.dumps(response_body).encode()))
+        writer.write(http1.encode_response(200, (), json.dumps(response_body).encode()))
         self.answer_count += 1
         return True
 
--- a/tests/tiers_bed.py
+++ b/tests/tiers_bed.py
@@ -85,7 +85,7 @@
                     original_body = await self._answer(target)
                     body = self.transform_body(original_body)
                     if body is not None:
-                        writer.write(http1.response_bytes(self.status, (), body))
+                        writer.write(http1.encode_response(self.status, (), body))
         except (ConnectionError, asyncio.CancelledError):
             pass  # the loop may end while a watch waits
         finally:
