--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -138,9 +138,9 @@
     budget.set_other_processes(20)
     assert upload.is_full
     budget.set_other_processes(0)
-    upload.put(b"x" * UPLOAD_BUFFER_BYTES)
+    upload.append(b"x" * UPLOAD_BUFFER_BYTES)
     assert upload.is_full
-    upload.end()
+    upload.release()
     assert (upload.is_full, budget.held_bytes) == (False, 0)
 
 
