--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -97,7 +97,7 @@
     _wrap(
         AttemptExecutor, "start_attempt", lambda _, exchange, *rest: _mark(exchange.call_info.id, "decided")
     )
-    _wrap(platform, "request_to_endpoint", lambda request, wait: _mark(number_of(request), "going"))
+    _wrap(platform, "encode_endpoint_request", lambda request, wait: _mark(number_of(request), "going"))
     _wrap(AttemptExecutor, "_mark_written", lambda attempt: _mark(attempt.exchange.call_info.id, "written"))
     AttemptExecutor._mark_written = staticmethod(AttemptExecutor._mark_written)  # type: ignore[method-assign]
     _wrap(Exchange, "respond", answered)
--- a/tests/test_ready_again.py
+++ b/tests/test_ready_again.py
@@ -95,7 +95,7 @@
     failure: str, known: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A ready sidecar serves or refuses requests. No start may wait for an answer from discovery."""
-    monkeypatch.setattr(b, "LONG_S", 120.0)
+    monkeypatch.setattr(b, "TEST_TIMEOUT_S", 120.0)
 
     async def scenario() -> None:
         endpoint = b.Endpoint("s-1")
