--- a/larkcrank/lab/bench.py
+++ b/larkcrank/lab/bench.py
@@ -24,38 +24,38 @@
 from larkcrank.core.interface import RequestClass
 from larkcrank.lab import rules
 from larkcrank.lab.clients import Clients
-from larkcrank.lab.endpoints import Endpoint, Keys
+from larkcrank.lab.endpoints import Endpoint, IdempotencyKeys
 from larkcrank.lab.ledger import Ledger
-from larkcrank.lab.links import DatagramRelay, Link, Way, datagram_relays
-from larkcrank.lab.processes import Child, ProcessError
+from larkcrank.lab.links import DatagramRelay, Link, LinkDirection, open_datagram_relays
+from larkcrank.lab.processes import ProcessError, SidecarProcess
 from larkcrank.lab.registry import Registry
-from larkcrank.lab.scenario import LINK_WORDS, FaultLine, Own, Scenario, Settle, members
-from larkcrank.lab.settings import SETTINGS, merged
+from larkcrank.lab.scenario import LINK_FAULTS, Fault, ProcessOverride, Scenario, SettleCheck, resolve_members
+from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 
 Node = tuple[str, int]
-LAG_BEAT_S = 0.02
-STARTS_AT_ONCE = 8  # processes that start side by side: a crowded machine makes all of them late
-POLL_S = 0.05
-FOLDER = "larkcrank-fleet-"  # in the temporary directory, then the bench's own process id
-EVERYONE = -1  # the near end of a link that all processes share
-OWN_PORTS = (20000, 32000)  # of members, for datagrams
-OWN_NET = 64
-SEEDS = 3  # the first members, which others may be told to begin with
-MOST_DESCRIPTORS = 1 << 16
+LAG_SAMPLE_INTERVAL_S = 0.02
+MAX_CONCURRENT_STARTS = 8  # processes that start side by side: a crowded machine makes all of them late
+SETTLE_POLL_INTERVAL_S = 0.05
+TEMP_FOLDER_PREFIX = "larkcrank-fleet-"  # in the temporary directory, then the bench's own process id
+SHARED_LINK = -1  # the near end of a link that all processes share
+DATAGRAM_PORT_RANGE = (20000, 32000)  # of members, for datagrams
+LOOPBACK_SUBNET_START = 64
+SEED_MEMBERS = 3  # the first members, which others may be told to begin with
+MAX_DESCRIPTORS = 1 << 16
 
 
 class BenchError(Exception):
     """The bench itself failed: what it counted means nothing."""
 
 
-class Settled(msgspec.Struct, frozen=True):
+class SettleResult(msgspec.Struct, frozen=True):
     at: float
     call: str
     took: float  # seconds; infinite: not within its bound
     course: list[tuple[float, float]] = []  # when, and the share of those asked who agreed then
 
 
-class Use(msgspec.Struct, frozen=True):
+class ResourceUsage(msgspec.Struct, frozen=True):
     """What the fleet took of the machine."""
 
     processes: int
@@ -66,13 +66,13 @@
     bench_mb: float
 
 
-class Played(msgspec.Struct):
+class RunOutcome(msgspec.Struct):
     """What a run brought; `report.py` reads it."""
 
     ledger: Ledger
     breaches: list[rules.Breach]
-    settled: list[Settled]
-    use: Use
+    settled: list[SettleResult]
+    use: ResourceUsage
     counters: dict[str, Any]  # of the processes that live at the end, added up
     lag_s: float  # the latest that the bench's own loop was
     most_connections: int  # at one endpoint
@@ -85,91 +85,104 @@
         self._scenario, self._folder, self._progress = scenario, folder, progress
         self._rng = Random(scenario.seed)
         self._ledger = Ledger()
-        settings = merged(SETTINGS, scenario.fleet.settings)
+        settings = merge_settings(BASE_SETTINGS, scenario.fleet.settings)
         settings |= {"n-instances": scenario.fleet.processes, "zones": scenario.fleet.zones}
         self._settings = settings
         self._site = convert(settings)
         self._classes: dict[str, RequestClass] = {cls.name: cls for cls in self._site.decisions.classes}
-        self._ways: dict[tuple[Node, Node], Way] = {}
-        self._faults: dict[tuple[Node, Node], list[FaultLine]] = {}  # those that act on a way now
+        self._directions: dict[tuple[Node, Node], LinkDirection] = {}
+        self._active_faults: dict[tuple[Node, Node], list[Fault]] = {}  # those that act on a way now
         self._links: dict[tuple[int, Node], Link] = {}
         self._endpoints: list[Endpoint] = []
-        self._children: list[Child] = []
-        self._clients: list[Clients] = []
-        self._known: dict[int, dict[str, Any]] = {}
-        self._replaced = 0
-        self._lag_s = 0.0
-        self._settled: list[Settled] = []
-        self._counted = 0  # waits for a counter that are not over
-        self._failures: list[str] = []
+        self._children: list[SidecarProcess] = []
+        self._client_groups: list[Clients] = []
+        self._lists_at_exit: dict[int, dict[str, Any]] = {}
+        self._replacement_count = 0
+        self._max_lag_s = 0.0
+        self._settle_results: list[SettleResult] = []
+        self._pending_counter_checks = 0  # waits for a counter that are not over
+        self._loop_errors: list[str] = []
         self._relays: list[DatagramRelay] = []
-        self._undoing: list[asyncio.Task[Any]] = []
-        began = time.time()
-        self._registry = Registry(scenario.discovery.work_ms, self._port, self._ledger, began)
+        self._undo_tasks: list[asyncio.Task[Any]] = []
+        unix_start_time = time.time()
+        self._registry = Registry(scenario.discovery.work_ms, self._port, self._ledger, unix_start_time)
 
-    async def play(self) -> Played:
+    async def run(self) -> RunOutcome:
         """Raises `ProcessError` where a process does not start or ends by itself."""
         try:
-            return await self._play()
+            return await self._run()
         finally:
             await self._close()
 
-    async def _play(self) -> Played:
+    async def _run(self) -> RunOutcome:
         scenario, loop = self._scenario, asyncio.get_running_loop()
-        _raise_descriptors()
-        loop.set_exception_handler(self._failed)
+        _raise_descriptor_limit()
+        loop.set_exception_handler(self._record_loop_error)
         self._build()
         if scenario.fleet.datagrams:
-            self._relays = await datagram_relays(
-                scenario.fleet.processes, lambda i, j: self._way(("sidecars", i), ("sidecars", j))
+            self._relays = await open_datagram_relays(
+                scenario.fleet.processes,
+                lambda source_index, target_index: self._direction(
+                    ("sidecars", source_index), ("sidecars", target_index)
+                ),
             )
-        began = loop.time()
+        started_at = loop.time()
         self._progress(f"starting {scenario.fleet.processes} processes")
-        gate = asyncio.Semaphore(STARTS_AT_ONCE)
+        start_slots = asyncio.Semaphore(MAX_CONCURRENT_STARTS)
 
-        async def start(child: Child) -> None:
-            async with gate:
-                known = self._registry.whole(child.index) if scenario.discovery.known else None
-                await self._start(child, known)
+        async def start(child: SidecarProcess) -> None:
+            async with start_slots:
+                initial_list = self._registry.initial_list(child.index) if scenario.discovery.known else None
+                await self._start_sidecar(child, initial_list)
 
-        await self._all([start(child) for child in self._children[: scenario.fleet.at_first or None]])
-        ready_s = loop.time() - began
+        await self._run_concurrently(
+            [start(child) for child in self._children[: scenario.fleet.at_first or None]]
+        )
+        ready_s = loop.time() - started_at
         self._restart_clock()
-        cpu = sum(child.usage()[1] for child in self._children)
-        own = psutil.Process()
-        own_cpu = sum(own.cpu_times()[:2])
+        cpu_s = sum(child.usage()[1] for child in self._children)
+        bench_process = psutil.Process()
+        bench_cpu_s = sum(bench_process.cpu_times()[:2])
         self._progress(f"ready after {ready_s:.1f} s; load for {scenario.seconds:g} s")
-        await self._load()
+        await self._run_load()
         usages = [child.usage() for child in self._children]
-        memory, cpu = sum(one[0] for one in usages), sum(one[1] for one in usages) - cpu
-        use = Use(
+        memory_mb, cpu_s = sum(usage[0] for usage in usages), sum(usage[1] for usage in usages) - cpu_s
+        resource_usage = ResourceUsage(
             scenario.fleet.processes,
             ready_s,
-            memory,
-            max(cpu, 0.0),
-            sum(own.cpu_times()[:2]) - own_cpu,
-            own.memory_info().rss / (1 << 20),
+            memory_mb,
+            max(cpu_s, 0.0),
+            sum(bench_process.cpu_times()[:2]) - bench_cpu_s,
+            bench_process.memory_info().rss / (1 << 20),
+        )
+        counters = await self._total_counters()
+        self._ledger.datagrams = sum(relay.forwarded_count for relay in self._relays)
+        if self._loop_errors:
+            raise BenchError("; ".join(self._loop_errors[:3]))
+        breaches = self._check_rules()
+        most_connections = max(endpoint.most_connections for endpoint in self._endpoints)
+        return RunOutcome(
+            self._ledger,
+            breaches,
+            self._settle_results,
+            resource_usage,
+            counters,
+            self._max_lag_s,
+            most_connections,
         )
-        counters = await self._counters()
-        self._ledger.datagrams = sum(relay.passed for relay in self._relays)
-        if self._failures:
-            raise BenchError("; ".join(self._failures[:3]))
-        breaches = self._check()
-        most = max(endpoint.most_connections for endpoint in self._endpoints)
-        return Played(self._ledger, breaches, self._settled, use, counters, self._lag_s, most)
-
-    def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-        self._failures.append(repr(context.get("exception") or context.get("message")))
+
+    def _record_loop_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+        self._loop_errors.append(repr(context.get("exception") or context.get("message")))
         loop.default_exception_handler(context)
 
-    def _check(self) -> list[rules.Breach]:
+    def _check_rules(self) -> list[rules.Breach]:
         decisions, scenario = self._site.decisions, self._scenario
         return rules.check(
             self._ledger,
             self._classes,
             scenario.grace_ms / 1000.0,
             # What the bench saw late itself, it can't hold against the processes.
-            max(scenario.slack_ms / 1000.0, 2 * self._lag_s),
+            max(scenario.slack_ms / 1000.0, 2 * self._max_lag_s),
             decisions.only_draining_binds,
             decisions.key_quiet_ms / 1000.0,
             decisions.second_copies,
@@ -177,7 +190,7 @@
 
     def _build(self) -> None:
         scenario, zones = self._scenario, self._scenario.fleet.zones
-        keys = Keys()
+        idempotency_keys = IdempotencyKeys()
         for index in range(scenario.endpoints.count):
             zone = zones[index % len(zones)]
             rng = Random(self._rng.getrandbits(64))
@@ -187,67 +200,80 @@
                 zone,
                 scenario.endpoints,
                 self._classes,
-                keys,
+                idempotency_keys,
                 rng,
                 self._ledger,
-                self._stood,
+                self._update_endpoint_links,
             )
             self._endpoints.append(endpoint)
         for index in range(scenario.fleet.processes):
-            command = next((own.command for own in self._own(index) if own.command), scenario.fleet.command)
-            self._children.append(Child(index, self._folder, command, self._ledger.event))
-            self._link(index, ("discovery", 0), lambda c, i=index: self._registry.accept(c, i))  # type: ignore[misc]
-            near = self._near(index)
+            command = next(
+                (override.command for override in self._overrides_for(index) if override.command),
+                scenario.fleet.command,
+            )
+            self._children.append(SidecarProcess(index, self._folder, command, self._ledger.record_event))
+            self._add_link(
+                index,
+                ("discovery", 0),
+                lambda connection, sidecar=index: self._registry.accept(connection, sidecar),  # type: ignore[misc]
+            )
+            link_owner = self._link_owner(index)
             for endpoint in self._endpoints:
-                far = ("endpoints", endpoint.index)
-                if (near, far) not in self._links:
-                    self._link(near, far, lambda c, i=near, e=endpoint: e.accept(c, i))  # type: ignore[misc]
+                endpoint_node = ("endpoints", endpoint.index)
+                if (link_owner, endpoint_node) not in self._links:
+                    self._add_link(
+                        link_owner,
+                        endpoint_node,
+                        lambda connection, sidecar=link_owner, target=endpoint: target.accept(  # type: ignore[misc]
+                            connection, sidecar
+                        ),
+                    )
             child = self._children[-1]
             rng = Random(self._rng.getrandbits(64))
-            place = lambda child=child: child.place  # noqa: E731
+            client_address = lambda child=child: child.client_address  # noqa: E731
             slack_s = scenario.slack_ms / 1000.0
             load = scenario.load
             if load.heavy_one_in and index % load.heavy_one_in == 0:
                 load = msgspec.structs.replace(load, rate=load.rate * load.heavy_times)
-            clients = Clients(index, load, self._classes, place, rng, self._ledger, slack_s)
-            self._clients.append(clients)
+            clients = Clients(index, load, self._classes, client_address, rng, self._ledger, slack_s)
+            self._client_groups.append(clients)
         for endpoint in self._endpoints:
             self._registry.change(endpoint, "Ready")
 
-    def _link(self, sidecar: int, far: Node, connect: Callable[[Any], Any]) -> None:
-        near: Node = ("sidecars", sidecar)
-        up, down = self._way(near, far), self._way(far, near)
-        self._links[sidecar, far] = Link(up, down, connect, self._ledger.now)
+    def _add_link(self, sidecar: int, far_node: Node, make_handler: Callable[[Any], Any]) -> None:
+        near_node: Node = ("sidecars", sidecar)
+        forward, backward = self._direction(near_node, far_node), self._direction(far_node, near_node)
+        self._links[sidecar, far_node] = Link(forward, backward, make_handler, self._ledger.now)
 
-    def _near(self, sidecar: int) -> int:
+    def _link_owner(self, sidecar: int) -> int:
         """The near end of a sidecar's links to endpoints."""
-        return EVERYONE if self._scenario.endpoints.shared else sidecar
+        return SHARED_LINK if self._scenario.endpoints.shared else sidecar
 
     def _links_to(self, endpoint: int) -> list[Link]:
-        return [link for (_, far), link in self._links.items() if far == ("endpoints", endpoint)]
+        return [link for (_, far_node), link in self._links.items() if far_node == ("endpoints", endpoint)]
 
-    def _way(self, source: Node, to: Node) -> Way:
-        if (source, to) not in self._ways:
-            self._ways[source, to] = Way(Random(self._rng.getrandbits(64)))
-        return self._ways[source, to]
+    def _direction(self, source: Node, target: Node) -> LinkDirection:
+        if (source, target) not in self._directions:
+            self._directions[source, target] = LinkDirection(Random(self._rng.getrandbits(64)))
+        return self._directions[source, target]
 
-    def _port(self, sidecar: int, endpoint: int, place: int) -> int:
-        return self._links[self._near(sidecar), ("endpoints", endpoint)].ports[place]
+    def _port(self, sidecar: int, endpoint: int, address_index: int) -> int:
+        return self._links[self._link_owner(sidecar), ("endpoints", endpoint)].ports[address_index]
 
     def _restart_clock(self) -> None:
         """The load begins at nought; what was told at the starts belongs to before it."""
-        before = self._ledger.now()
-        self._ledger.begin()
-        self._registry.unix_at_nought = time.time()
-        for told in self._ledger.tolds:
-            told.at -= before
+        elapsed_s = self._ledger.now()
+        self._ledger.restart_clock()
+        self._registry.unix_start_time = time.time()
+        for delivered_list in self._ledger.tolds:
+            delivered_list.at -= elapsed_s
         for event in self._ledger.events:
-            event.at -= before
-        self._registry.shift(before)
+            event.at -= elapsed_s
+        self._registry.shift_clock(elapsed_s)
         self._ledger.list_calls.clear()
         self._ledger.connections = 0
 
-    def _config(self, child: Child, known: dict[str, Any] | None) -> dict[str, Any]:
+    def _config(self, child: SidecarProcess, initial_list: dict[str, Any] | None) -> dict[str, Any]:
         fleet, index = self._scenario.fleet, child.index
         settings = self._settings | {"ordinal": index, "az": index % len(fleet.zones)}
         port = self._links[index, ("discovery", 0)].ports[-1]
@@ -256,171 +282,189 @@
             "discovery": f"127.0.0.1:{port}",
             "seed": f"{self._scenario.seed * 1000 + index:x}",
             "limits": {"sockets": 1024},
-            "kept": str(child.kept),
-            "settings": merged(settings, fleet.config.get("settings", {})),
+            "kept": str(child.kept_path),
+            "settings": merge_settings(settings, fleet.config.get("settings", {})),
         }
-        if known is not None:
-            config["known"] = known
-        names = {"i": str(index), "files": str(child.kept)}
+        if initial_list is not None:
+            config["known"] = initial_list
+        placeholders = {"i": str(index), "files": str(child.kept_path)}
         if self._relays:
-            names["own"] = "{}:{}".format(*(self._relays[index].member or ()))
-            names["public"] = "{}:{}".format(*self._relays[index].place)
-            names |= {f"seed{i}": "{}:{}".format(*one.place) for i, one in enumerate(self._relays[:SEEDS])}
-            names["all"] = ",".join("{}:{}".format(*relay.place) for relay in self._relays)
-        more = {key: value for key, value in fleet.config.items() if key != "settings"}
-        config = merged(config, _filled(more, names))
-        for own in self._own(index):
-            config = merged(config, _filled(own.config, names))
+            placeholders["own"] = "{}:{}".format(*(self._relays[index].member_address or ()))
+            placeholders["public"] = "{}:{}".format(*self._relays[index].public_address)
+            placeholders |= {
+                f"seed{i}": "{}:{}".format(*seed_relay.public_address)
+                for i, seed_relay in enumerate(self._relays[:SEED_MEMBERS])
+            }
+            placeholders["all"] = ",".join("{}:{}".format(*relay.public_address) for relay in self._relays)
+        extra_config = {key: value for key, value in fleet.config.items() if key != "settings"}
+        config = merge_settings(config, _substitute(extra_config, placeholders))
+        for override in self._overrides_for(index):
+            config = merge_settings(config, _substitute(override.config, placeholders))
         return config
 
-    def _own(self, index: int) -> list[Own]:
-        owns = self._scenario.fleet.own
-        return [own for own in owns if index in members(own.who, self._scenario)["sidecars"]]
+    def _overrides_for(self, index: int) -> list[ProcessOverride]:
+        overrides = self._scenario.fleet.own
+        return [
+            override
+            for override in overrides
+            if index in resolve_members(override.who, self._scenario)["sidecars"]
+        ]
 
-    async def _start(self, child: Child, known: dict[str, Any] | None) -> None:
+    async def _start_sidecar(self, child: SidecarProcess, initial_list: dict[str, Any] | None) -> None:
         if self._relays:  # anew each time: nobody holds the port of a process that is dead
-            self._relays[child.index].member = _free_datagram_port()
-        await child.start(self._config(child, known))
+            self._relays[child.index].member_address = _free_datagram_address()
+        await child.start(self._config(child, initial_list))
 
-    async def _load(self) -> None:
+    async def _run_load(self) -> None:
         scenario, loop = self._scenario, asyncio.get_running_loop()
         # What a counter is waited for may need the load: on a slow machine it goes on until that is settled.
-        self._counted = sum(bool(settle.counter) for settle in scenario.settles)
-        goes_on = lambda: self._counted > 0  # noqa: E731
-        works = [clients.run(scenario.seconds, goes_on) for clients in self._clients]
-        works += [self._play_fault(fault) for fault in scenario.faults]
-        works += [self._settle(settle) for settle in scenario.settles]
-        lag = loop.create_task(self._watch_lag())
-        telling = loop.create_task(self._tell_progress())
+        self._pending_counter_checks = sum(bool(check.counter) for check in scenario.settles)
+        keep_going = lambda: self._pending_counter_checks > 0  # noqa: E731
+        jobs = [clients.run(scenario.seconds, keep_going) for clients in self._client_groups]
+        jobs += [self._play_fault(fault) for fault in scenario.faults]
+        jobs += [self._run_settle_check(check) for check in scenario.settles]
+        lag_task = loop.create_task(self._watch_lag())
+        progress_task = loop.create_task(self._report_progress())
         crashes: list[asyncio.Future[Any]] = [child.crashed for child in self._children]
-        every = loop.create_task(self._all([*works, self._until(scenario.seconds)]))
+        all_jobs = loop.create_task(self._run_concurrently([*jobs, self._sleep_until(scenario.seconds)]))
         try:
-            waited: list[asyncio.Future[Any]] = [every, *crashes]
-            await asyncio.wait(waited, return_when=asyncio.FIRST_COMPLETED)
+            awaited: list[asyncio.Future[Any]] = [all_jobs, *crashes]
+            await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
             for crash in crashes:
                 if crash.done():
                     raise ProcessError(crash.result())
-            await every
-            for clients in self._clients:
+            await all_jobs
+            for clients in self._client_groups:
                 await clients.finish()
         finally:
-            for task in (every, lag, telling):
+            for task in (all_jobs, lag_task, progress_task):
                 task.cancel()
-            await asyncio.gather(every, lag, telling, return_exceptions=True)
+            await asyncio.gather(all_jobs, lag_task, progress_task, return_exceptions=True)
 
-    async def _all(self, works: Iterable[Any]) -> None:
+    async def _run_concurrently(self, coroutines: Iterable[Any]) -> None:
         async with asyncio.TaskGroup() as group:
-            for work in works:
-                group.create_task(work)
+            for coroutine in coroutines:
+                group.create_task(coroutine)
 
-    async def _until(self, at: float) -> None:
+    async def _sleep_until(self, at: float) -> None:
         await asyncio.sleep(max(at - self._ledger.now(), 0.0))
 
     async def _watch_lag(self) -> None:
         while True:
-            before = time.monotonic()
-            await asyncio.sleep(LAG_BEAT_S)
-            self._lag_s = max(self._lag_s, time.monotonic() - before - LAG_BEAT_S)
+            slept_at = time.monotonic()
+            await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
+            self._max_lag_s = max(self._max_lag_s, time.monotonic() - slept_at - LAG_SAMPLE_INTERVAL_S)
 
-    async def _tell_progress(self) -> None:
+    async def _report_progress(self) -> None:
         while True:
             await asyncio.sleep(5.0)
             asks = self._ledger.asks
             served = sum(ask.status == 200 for ask in asks)
             self._progress(f"{self._ledger.now():6.1f} s: {len(asks)} asked, {served} served")
 
-    async def _settle(self, settle: Settle) -> None:
-        await self._until(settle.at)
-        waiting = set(members(settle.who, self._scenario)["sidecars"])
-        everyone, course = len(waiting), list[tuple[float, float]]()
-        while waiting and self._ledger.now() - settle.at < settle.within:
-            ordered = sorted(waiting)
-            saying = await asyncio.gather(*(self._says(self._children[i], settle) for i in ordered))
-            heads = Counter(" ".join(said.split()[: settle.alike]) for said in saying if said)
-            agree = max(heads.values(), default=0) if settle.alike else sum(heads.values())
-            if not settle.alike:
-                waiting -= {index for index, said in zip(ordered, saying, strict=True) if said}
-                agree = everyone - len(waiting)
-            elif agree == everyone:
-                waiting.clear()
-            share = agree / everyone
-            if not course or course[-1][1] != share:
-                course.append((self._ledger.now(), share))
-            if waiting:
-                await asyncio.sleep(POLL_S)
-        self._counted -= bool(settle.counter)
-        took = math.inf if waiting else self._ledger.now() - settle.at
-        self._settled.append(Settled(settle.at, settle.counter or settle.call, took, course))
-
-    async def _says(self, child: Child, settle: Settle) -> str:
+    async def _run_settle_check(self, check: SettleCheck) -> None:
+        await self._sleep_until(check.at)
+        unsettled = set(resolve_members(check.who, self._scenario)["sidecars"])
+        total, agreement = len(unsettled), list[tuple[float, float]]()
+        while unsettled and self._ledger.now() - check.at < check.within:
+            polled = sorted(unsettled)
+            answers = await asyncio.gather(
+                *(self._matching_answer(self._children[sidecar], check) for sidecar in polled)
+            )
+            prefix_counts = Counter(" ".join(answer.split()[: check.alike]) for answer in answers if answer)
+            agreeing = max(prefix_counts.values(), default=0) if check.alike else sum(prefix_counts.values())
+            if not check.alike:
+                unsettled -= {index for index, answer in zip(polled, answers, strict=True) if answer}
+                agreeing = total - len(unsettled)
+            elif agreeing == total:
+                unsettled.clear()
+            share = agreeing / total
+            if not agreement or agreement[-1][1] != share:
+                agreement.append((self._ledger.now(), share))
+            if unsettled:
+                await asyncio.sleep(SETTLE_POLL_INTERVAL_S)
+        self._pending_counter_checks -= bool(check.counter)
+        took = math.inf if unsettled else self._ledger.now() - check.at
+        self._settle_results.append(SettleResult(check.at, check.counter or check.call, took, agreement))
+
+    async def _matching_answer(self, child: SidecarProcess, check: SettleCheck) -> str:
         """What it says if that is what was waited for; empty if not."""
-        if not settle.counter:
-            said = await child.call(settle.call)
-            return said if said.startswith(settle.answer) else ""
+        if not check.counter:
+            answer = await child.call_ops(check.call)
+            return answer if answer.startswith(check.answer) else ""
         try:
-            found = _flat(await child.ask_counters()).get(settle.counter)
+            counter_value = _flatten_counters(await child.read_counters()).get(check.counter)
         except TimeoutError:
             return ""
-        return str(found) if found is not None and found >= settle.least else ""
+        return str(counter_value) if counter_value is not None and counter_value >= check.least else ""
 
     # Faults
 
-    async def _play_fault(self, fault: FaultLine) -> None:
-        await self._until(fault.at)
-        names = fault.who or [" ".join(side) for side in fault.between]
-        self._ledger.event("fault", " / ".join(names), fault.what)
-        self._progress(f"{self._ledger.now():6.1f} s: {fault.what} {' / '.join(names)}")
-        if fault.what in LINK_WORDS or fault.what == "silence":
-            self._bind_ways(fault, True)
-            undo: Callable[[], Any] | None = lambda: self._bind_ways(fault, False)  # noqa: E731
+    async def _play_fault(self, fault: Fault) -> None:
+        await self._sleep_until(fault.at)
+        affected = fault.who or [" ".join(side) for side in fault.between]
+        self._ledger.record_event("fault", " / ".join(affected), fault.what)
+        self._progress(f"{self._ledger.now():6.1f} s: {fault.what} {' / '.join(affected)}")
+        if fault.what in LINK_FAULTS or fault.what == "silence":
+            self._set_link_fault(fault, True)
+            undo: Callable[[], Any] | None = lambda: self._set_link_fault(fault, False)  # noqa: E731
         else:
-            undo = await self._befall(fault)
+            undo = await self._apply_member_fault(fault)
         if undo is not None and fault.last < math.inf:
-            await self._until(fault.at + fault.last)
-            self._ledger.event("over", " / ".join(names), fault.what)
+            await self._sleep_until(fault.at + fault.last)
+            self._ledger.record_event("over", " / ".join(affected), fault.what)
             undo()
 
-    def _pairs(self, fault: FaultLine) -> list[tuple[Node, Node]]:
+    def _affected_directions(self, fault: Fault) -> list[tuple[Node, Node]]:
         if fault.what == "silence":
-            far = [("endpoints", i) for i in members(fault.who, self._scenario)["endpoints"]]
-            near = [
-                ("sidecars", i)
-                for i in sorted({self._near(i) for i in range(self._scenario.fleet.processes)})
+            endpoint_nodes = [
+                ("endpoints", endpoint)
+                for endpoint in resolve_members(fault.who, self._scenario)["endpoints"]
             ]
-            sides = [near, far]
+            sidecar_nodes = [
+                ("sidecars", sidecar)
+                for sidecar in sorted(
+                    {self._link_owner(sidecar) for sidecar in range(self._scenario.fleet.processes)}
+                )
+            ]
+            sides = [sidecar_nodes, endpoint_nodes]
         else:
             sides = []
             for side in fault.between:
-                named = members(side, self._scenario)
-                sides.append([(kind, index) for kind in named for index in sorted(named[kind])])
-        pairs = [(one, other) for one in sides[0] for other in sides[1] if one != other]
+                members_by_kind = resolve_members(side, self._scenario)
+                sides.append(
+                    [(kind, index) for kind in members_by_kind for index in sorted(members_by_kind[kind])]
+                )
+        pairs = [(source, target) for source in sides[0] for target in sides[1] if source != target]
         if self._scenario.endpoints.shared:
-            pairs = list(dict.fromkeys((_shared(*pair), _shared(*pair[::-1])) for pair in pairs))
+            pairs = list(
+                dict.fromkeys((_shared_link_node(*pair), _shared_link_node(*pair[::-1])) for pair in pairs)
+            )
         if not fault.one_way:
-            pairs += [(other, one) for one, other in pairs]
+            pairs += [(target, source) for source, target in pairs]
         return pairs
 
-    def _bind_ways(self, fault: FaultLine, begins: bool) -> None:
+    def _set_link_fault(self, fault: Fault, starts: bool) -> None:
         """Ways are what their faults make of them together; one that ends leaves the others."""
-        for pair in self._pairs(fault):
-            acting = self._faults.setdefault(pair, [])
-            if begins:
-                acting.append(fault)
+        for pair in self._affected_directions(fault):
+            active = self._active_faults.setdefault(pair, [])
+            if starts:
+                active.append(fault)
             else:
-                acting.remove(fault)
-            way = self._way(*pair)
-            way.clear()
-            for one in acting:
-                _add(way, one)
-            (kind, index), far = sorted(pair, key=lambda node: node[0] != "sidecars")
-            if kind == "sidecars" and (link := self._links.get((index, far))) is not None:
-                link.follow()
-
-    async def _befall(self, fault: FaultLine) -> Callable[[], Any] | None:
+                active.remove(fault)
+            direction = self._direction(*pair)
+            direction.clear()
+            for active_fault in active:
+                _add_fault(direction, active_fault)
+            (kind, index), far_node = sorted(pair, key=lambda node: node[0] != "sidecars")
+            if kind == "sidecars" and (link := self._links.get((index, far_node))) is not None:
+                link.apply_faults()
+
+    async def _apply_member_fault(self, fault: Fault) -> Callable[[], Any] | None:
         """Carry out a fault on members; what undoes it where it lasts, None where it is done."""
-        found = members(fault.who or ["discovery"], self._scenario)
-        children = [self._children[i] for i in sorted(found["sidecars"])]
-        endpoints = [self._endpoints[i] for i in sorted(found["endpoints"])]
+        members_by_kind = resolve_members(fault.who or ["discovery"], self._scenario)
+        children = [self._children[index] for index in sorted(members_by_kind["sidecars"])]
+        endpoints = [self._endpoints[index] for index in sorted(members_by_kind["endpoints"])]
         registry = self._registry
         match fault.what:
             case "hush" | "deny":
@@ -431,144 +475,148 @@
             case "empty":
                 return self._set_registry("empty", True, False)
             case "anew":
-                self._registry.anew()
+                self._registry.restart_generations()
             case "lag":
                 return self._set_registry("behind_s", fault.by, registry.behind_s)
             case "hide":
-                callers, unheard = (members(side, self._scenario) for side in fault.between)
-                hidden = dict.fromkeys(callers["sidecars"], unheard["endpoints"])
+                sidecar_side, hidden_side = (resolve_members(side, self._scenario) for side in fault.between)
+                hidden = dict.fromkeys(sidecar_side["sidecars"], hidden_side["endpoints"])
                 return self._set_registry("hidden", hidden, {})
             case "crowd":
                 self._slow_down(endpoints, fault.times)
                 return lambda: self._slow_down(endpoints, 1.0)
             case "drain":
-                await self._one_by_one(fault, endpoints, self._drain)
+                await self._apply_to_each(fault, endpoints, self._drain_endpoint)
             case "replace":
-                await self._one_by_one(fault, endpoints, lambda one: self._replace(one, fault.address))
+                await self._apply_to_each(
+                    fault, endpoints, lambda member: self._replace_endpoint(member, fault.address)
+                )
             case "kill" | "end" | "restart":
-                if found["discovery"]:
-                    registry.start() if fault.what == "restart" else registry.die()
-                    self._follow_discovery()
-                await self._one_by_one(fault, endpoints, lambda one: self._stand(one, fault))
-                await self._one_by_one(fault, children, lambda one: self._live(one, fault))
+                if members_by_kind["discovery"]:
+                    registry.start() if fault.what == "restart" else registry.stop()
+                    self._update_discovery_links()
+                await self._apply_to_each(
+                    fault, endpoints, lambda member: self._change_endpoint(member, fault)
+                )
+                await self._apply_to_each(fault, children, lambda member: self._change_sidecar(member, fault))
                 if fault.what != "restart":
-                    again = msgspec.structs.replace(fault, what="restart", at=0.0)
-                    return lambda: self._later(self._befall(again))
+                    restart = msgspec.structs.replace(fault, what="restart", at=0.0)
+                    return lambda: self._run_in_background(self._apply_member_fault(restart))
             case "stop":
                 for child in children:
-                    child.stop()
-                return lambda: self._go_on(children)
+                    child.pause()
+                return lambda: self._resume(children)
             case "continue":
-                self._go_on(children)
+                self._resume(children)
         return None
 
     @staticmethod
-    def _slow_down(endpoints: list[Endpoint], times: float) -> None:
+    def _slow_down(endpoints: list[Endpoint], slowdown: float) -> None:
         for endpoint in endpoints:
-            endpoint.slower = times
+            endpoint.slowdown = slowdown
 
     @staticmethod
-    def _go_on(children: list[Child]) -> None:
+    def _resume(children: list[SidecarProcess]) -> None:
         for child in children:
-            child.go_on()
+            child.resume()
 
-    def _later(self, work: Any) -> None:
-        task = asyncio.get_running_loop().create_task(work)
-        self._undoing.append(task)
+    def _run_in_background(self, coroutine: Any) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
+        self._undo_tasks.append(task)
 
-    def _set_registry(self, name: str, value: Any, after: Any) -> Callable[[], None]:
-        def put(one: Any) -> None:
-            setattr(self._registry, name, one)
-            self._registry.wake()
+    def _set_registry(self, attribute: str, value: Any, restored_value: Any) -> Callable[[], None]:
+        def assign(new_value: Any) -> None:
+            setattr(self._registry, attribute, new_value)
+            self._registry.notify_waiters()
 
-        put(value)
-        return lambda: put(after)
+        assign(value)
+        return lambda: assign(restored_value)
 
-    async def _one_by_one(self, fault: FaultLine, who: list[Any], do: Callable[[Any], Any]) -> None:
+    async def _apply_to_each(self, fault: Fault, targets: list[Any], action: Callable[[Any], Any]) -> None:
         """Side by side, or spread over the fault's time."""
-        if not fault.spread or len(who) < 2:
-            await asyncio.gather(*(do(one) for one in who))
+        if not fault.spread or len(targets) < 2:
+            await asyncio.gather(*(action(target) for target in targets))
             return
-        gap = fault.spread / (len(who) - 1)
+        interval_s = fault.spread / (len(targets) - 1)
 
-        async def after(wait: float, one: Any) -> None:
-            await asyncio.sleep(wait)
-            await do(one)
+        async def run_after(delay_s: float, target: Any) -> None:
+            await asyncio.sleep(delay_s)
+            await action(target)
 
-        await asyncio.gather(*(after(gap * index, one) for index, one in enumerate(who)))
+        await asyncio.gather(*(run_after(interval_s * index, target) for index, target in enumerate(targets)))
 
-    async def _live(self, child: Child, fault: FaultLine) -> None:
+    async def _change_sidecar(self, child: SidecarProcess, fault: Fault) -> None:
         if fault.what in ("kill", "end") or child.pid is not None:
-            self._known[child.index] = self._registry.known(child.index)
-            await (child.kill() if fault.what == "kill" else child.end())
+            self._lists_at_exit[child.index] = self._registry.last_delivered_list(child.index)
+            await (child.kill() if fault.what == "kill" else child.terminate())
         if fault.what == "restart":
-            known = self._known.get(child.index) if fault.keeps == "list" else None
+            initial_list = self._lists_at_exit.get(child.index) if fault.keeps == "list" else None
             if fault.keeps == "nothing":
-                for path in [child.kept, *self._folder.glob(f"{child.kept.name}.*")]:
+                for path in [child.kept_path, *self._folder.glob(f"{child.kept_path.name}.*")]:
                     path.unlink(missing_ok=True)
-            await self._start(child, known)
+            await self._start_sidecar(child, initial_list)
 
-    async def _stand(self, endpoint: Endpoint, fault: FaultLine) -> None:
+    async def _change_endpoint(self, endpoint: Endpoint, fault: Fault) -> None:
         """An endpoint's process dies, or is back under its name; discovery sees both."""
         if fault.what != "restart":
             self._registry.change(endpoint, "Gone")
-            endpoint.die()
+            endpoint.crash()
             return
-        if endpoint.up:
-            endpoint.die()
+        if endpoint.running:
+            endpoint.crash()
         if fault.address == "new":
-            self._move(endpoint)
+            self._move_endpoint(endpoint)
         endpoint.start()
         self._registry.change(endpoint, "Ready")
 
-    async def _replace(self, endpoint: Endpoint, address: str) -> None:
+    async def _replace_endpoint(self, endpoint: Endpoint, address: str) -> None:
         """Another endpoint under a new name takes its place, at the same address or at a new one."""
         self._registry.change(endpoint, "Gone")
-        endpoint.die()
-        self._replaced += 1
+        endpoint.crash()
+        self._replacement_count += 1
         if address == "new":
-            self._move(endpoint)
-        endpoint.start(f"t-{self._replaced}")
+            self._move_endpoint(endpoint)
+        endpoint.start(f"t-{self._replacement_count}")
         self._registry.change(endpoint, "Ready")
 
-    async def _drain(self, endpoint: Endpoint) -> None:
+    async def _drain_endpoint(self, endpoint: Endpoint) -> None:
         self._registry.change(endpoint, "Terminating")
-        self._ledger.event("draining", endpoint.name)
+        self._ledger.record_event("draining", endpoint.name)
 
-    def _move(self, endpoint: Endpoint) -> None:
+    def _move_endpoint(self, endpoint: Endpoint) -> None:
         for link in self._links_to(endpoint.index):
-            link.move()
-        endpoint.place += 1
+            link.move_to_new_port()
+        endpoint.address_index += 1
 
-    def _stood(self, endpoint: Endpoint) -> None:
+    def _update_endpoint_links(self, endpoint: Endpoint) -> None:
         """An endpoint went down or came up: its links refuse or listen."""
         for link in self._links_to(endpoint.index):
-            link.far_up = endpoint.up
-            link.follow()
+            link.far_end_listening = endpoint.running
+            link.apply_faults()
 
-    def _follow_discovery(self) -> None:
+    def _update_discovery_links(self) -> None:
         for sidecar in range(self._scenario.fleet.processes):
             link = self._links[sidecar, ("discovery", 0)]
-            link.far_up = self._registry.up
-            link.follow()
+            link.far_end_listening = self._registry.running
+            link.apply_faults()
 
-    async def _counters(self) -> dict[str, Any]:
+    async def _total_counters(self) -> dict[str, Any]:
         """The numbers of all that live, added up."""
         total: dict[str, Any] = {}
-        living = [child.ask_counters() for child in self._children if child.pid is not None]
-        for told in await asyncio.gather(*living, return_exceptions=True):
-            if isinstance(told, TimeoutError):
+        reads = [child.read_counters() for child in self._children if child.pid is not None]
+        for counters in await asyncio.gather(*reads, return_exceptions=True):
+            if isinstance(counters, TimeoutError):
                 continue  # it stands still, or is very busy
-            if isinstance(told, BaseException):
-                raise told
-            for key, value in _flat(told).items():
+            if isinstance(counters, BaseException):
+                raise counters
+            for key, value in _flatten_counters(counters).items():
                 total[key] = total.get(key, 0) + value
         return total
 
     async def _close(self) -> None:
-        for task in self._undoing:
+        for task in self._undo_tasks:
             task.cancel()
-        for clients in self._clients:
+        for clients in self._client_groups:
             clients.close()
         await asyncio.gather(*(child.close() for child in self._children), return_exceptions=True)
         for link in self._links.values():
@@ -578,95 +626,103 @@
                 relay.transport.close()
 
 
-def _shared(one: Node, other: Node) -> Node:
+def _shared_link_node(node: Node, peer: Node) -> Node:
     """A sidecar's end of a link to an endpoint that all share."""
-    return ("sidecars", EVERYONE) if one[0] == "sidecars" and other[0] == "endpoints" else one
+    return ("sidecars", SHARED_LINK) if node[0] == "sidecars" and peer[0] == "endpoints" else node
 
 
-def _flat(told: dict[str, Any]) -> dict[str, int]:
+def _flatten_counters(counters: dict[str, Any]) -> dict[str, int]:
     """The whole numbers of what a process counted; those of a part under `part.name`."""
-    found = {key: value for key, value in told.items() if type(value) is int}
-    for part, inner in told.items():
-        if isinstance(inner, dict):
-            found |= {f"{part}.{key}": value for key, value in _flat(inner).items()}
-    return found
+    flattened = {key: value for key, value in counters.items() if type(value) is int}
+    for section, nested in counters.items():
+        if isinstance(nested, dict):
+            flattened |= {f"{section}.{key}": value for key, value in _flatten_counters(nested).items()}
+    return flattened
 
 
-def _free_datagram_port() -> tuple[str, int]:
+def _free_datagram_address() -> tuple[str, int]:
     """A port that was free just now: what is to bind it is told it at once.
 
     Not one of those that the kernel gives away by itself: another process got it before ours had begun. On a
     loopback address of this bench's own: another bench beside it got it while ours was slow to begin.
     """
     pid = os.getpid()
-    own = f"127.{OWN_NET + (pid >> 16)}.{pid >> 8 & 255}.{pid & 255}"  # process ids have 22 bits
+    loopback_host = (
+        f"127.{LOOPBACK_SUBNET_START + (pid >> 16)}.{pid >> 8 & 255}.{pid & 255}"  # process ids have 22 bits
+    )
     while True:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             try:
-                sock.bind((own, OWN_PORTS[0] + secrets.randbelow(OWN_PORTS[1] - OWN_PORTS[0])))
+                sock.bind(
+                    (
+                        loopback_host,
+                        DATAGRAM_PORT_RANGE[0]
+                        + secrets.randbelow(DATAGRAM_PORT_RANGE[1] - DATAGRAM_PORT_RANGE[0]),
+                    )
+                )
             except OSError:
                 continue
             host, port = sock.getsockname()
             return host, port
 
 
-def _filled(value: Any, names: dict[str, str]) -> Any:
+def _substitute(value: Any, placeholders: dict[str, str]) -> Any:
     """The same with the names in its texts replaced."""
     if isinstance(value, str):
-        for name, text in names.items():
-            value = value.replace("{" + name + "}", text)
+        for name, replacement in placeholders.items():
+            value = value.replace("{" + name + "}", replacement)
         return value
     if isinstance(value, dict):
-        return {key: _filled(one, names) for key, one in value.items()}
-    return [_filled(one, names) for one in value] if isinstance(value, list) else value
+        return {key: _substitute(item, placeholders) for key, item in value.items()}
+    return [_substitute(item, placeholders) for item in value] if isinstance(value, list) else value
 
 
-def _add(way: Way, fault: FaultLine) -> None:
+def _add_fault(direction: LinkDirection, fault: Fault) -> None:
     """Faults on one way add up; of two rates the narrower one counts."""
     match fault.what:
         case "cut" | "silence":
-            way.cut = True
+            direction.cut = True
         case "refuse":
-            way.refuse = True
+            direction.refuse = True
         case "slow":
-            way.delay_s += fault.delay_ms / 1000.0
-            way.jitter_s += fault.jitter_ms / 1000.0
+            direction.delay_s += fault.delay_ms / 1000.0
+            direction.jitter_s += fault.jitter_ms / 1000.0
         case "lose":
-            way.loss = 1.0 - (1.0 - way.loss) * (1.0 - fault.share)
+            direction.loss = 1.0 - (1.0 - direction.loss) * (1.0 - fault.share)
         case "duplicate":
-            way.duplicate = max(way.duplicate, fault.share)
+            direction.duplicate = max(direction.duplicate, fault.share)
         case "reorder":
-            way.reorder = max(way.reorder, fault.share)
+            direction.reorder = max(direction.reorder, fault.share)
         case "narrow":
-            way.bytes_per_s = min(way.bytes_per_s or math.inf, fault.bytes_per_s)
+            direction.bytes_per_s = min(direction.bytes_per_s or math.inf, fault.bytes_per_s)
 
 
-def _raise_descriptors() -> None:
+def _raise_descriptor_limit() -> None:
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = hard if hard != resource.RLIM_INFINITY else MOST_DESCRIPTORS
-    if soft < wanted:
-        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted, hard))
+    wanted_limit = hard if hard != resource.RLIM_INFINITY else MAX_DESCRIPTORS
+    if soft < wanted_limit:
+        resource.setrlimit(resource.RLIMIT_NOFILE, (wanted_limit, hard))
 
 
-def _sweep() -> None:
+def _remove_abandoned_folders() -> None:
     """Take away what benches that were killed outright have left: folders whose owner lives no more."""
-    for folder in Path(tempfile.gettempdir()).glob(f"{FOLDER}*-*"):
-        owner = folder.name.removeprefix(FOLDER).partition("-")[0]
-        if owner.isdecimal() and not psutil.pid_exists(int(owner)):
+    for folder in Path(tempfile.gettempdir()).glob(f"{TEMP_FOLDER_PREFIX}*-*"):
+        owner_pid = folder.name.removeprefix(TEMP_FOLDER_PREFIX).partition("-")[0]
+        if owner_pid.isdecimal() and not psutil.pid_exists(int(owner_pid)):
             shutil.rmtree(folder, ignore_errors=True)
 
 
-def play(scenario: Scenario, progress: Callable[[str], None]) -> Played:
+def run_scenario(scenario: Scenario, progress: Callable[[str], None]) -> RunOutcome:
     """One run, in an event loop of its own. Raises `ProcessError`, OSError."""
-    _sweep()
-    with tempfile.TemporaryDirectory(prefix=f"{FOLDER}{os.getpid()}-") as folder:
+    _remove_abandoned_folders()
+    with tempfile.TemporaryDirectory(prefix=f"{TEMP_FOLDER_PREFIX}{os.getpid()}-") as folder:
 
-        async def run() -> Played:
+        async def run_bench() -> RunOutcome:
             loop = asyncio.get_running_loop()
             task = asyncio.current_task()
             assert task is not None
             loop.add_signal_handler(signal.SIGTERM, task.cancel)  # children are reaped on the way out
-            return await Bench(scenario, Path(folder), progress).play()
+            return await Bench(scenario, Path(folder), progress).run()
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            return runner.run(run())
+            return runner.run(run_bench())
--- a/larkcrank/lab/clients.py
+++ b/larkcrank/lab/clients.py
@@ -11,12 +11,12 @@
 
 from larkcrank.core.interface import Effect, RequestClass
 from larkcrank.lab.ledger import Ask, Ledger
-from larkcrank.lab.scenario import Load
+from larkcrank.lab.scenario import LoadSettings
 from larkcrank.protocol import http1
 
-LATE_S = 2.0  # past the slack a client waits so much longer, to tell late from never
-IDLE_MOST = 64
-COME_BACK_S = 0.2  # where a refusal names no time
+LATE_ANSWER_WAIT_S = 2.0  # past the slack a client waits so much longer, to tell late from never
+MAX_IDLE_CONNECTIONS = 64
+DEFAULT_RETRY_AFTER_S = 0.2  # where a refusal names no time
 
 
 class _Connection(asyncio.Protocol):
@@ -24,60 +24,60 @@
         self._clients = clients
         self._transport: asyncio.Transport | None = None
         self._parser = http1.ResponseParser()
-        self.ask: Ask | None = None
+        self.request: Ask | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.used = False  # has brought an answer already
-        self._begun = False  # some of the answer has come
+        self.has_answered = False  # has brought an answer already
+        self._response_started = False  # some of the answer has come
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
 
-    def send(self, ask: Ask, text: bytes) -> None:
+    def send(self, request: Ask, request_bytes: bytes) -> None:
         assert self._transport is not None
-        self.ask, ask.sent_at = ask, self._clients.ledger.now()
-        self._begun = False
-        left = ask.asked_at + ask.deadline + self._clients.patience_s - ask.sent_at
-        self.timer = asyncio.get_running_loop().call_later(max(left, 0.0), self._too_late)
-        self._transport.write(text)
+        self.request, request.sent_at = request, self._clients.ledger.now()
+        self._response_started = False
+        remaining_s = request.asked_at + request.deadline + self._clients.extra_wait_s - request.sent_at
+        self.timer = asyncio.get_running_loop().call_later(max(remaining_s, 0.0), self._on_timeout)
+        self._transport.write(request_bytes)
 
     def data_received(self, data: bytes) -> None:
-        self._begun = True
+        self._response_started = True
         try:
             self._parser.feed(data)
         except http1.MessageError as error:
-            self.end(f"no HTTP: {error}")
+            self.fail(f"no HTTP: {error}")
             return
         if not self._parser.complete:
             return
-        answer = self._parser.response()
-        self._parser, self.used = http1.ResponseParser(), True
-        if (ask := self._free()) is None:
+        response = self._parser.response()
+        self._parser, self.has_answered = http1.ResponseParser(), True
+        if (request := self._detach_request()) is None:
             return
-        ask.status, ask.ended_at = answer.status, self._clients.ledger.now()
-        ask.body = answer.body[:64].decode("latin-1")
-        if answer.status in (429, 503) and (after := answer.fields.one(b"retry-after")) is not None:
-            ask.retry_after = float(after)
-        if not answer.keep_alive:
+        request.status, request.ended_at = response.status, self._clients.ledger.now()
+        request.body = response.body[:64].decode("latin-1")
+        if response.status in (429, 503) and (retry_after := response.fields.one(b"retry-after")) is not None:
+            request.retry_after = float(retry_after)
+        if not response.keep_alive:
             self.close()
         else:
-            self._clients.idle(self)
-        self._clients.answered(ask)
+            self._clients.release(self)
+        self._clients.handle_answer(request)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._clients.dropped(self)
-        if (ask := self._free()) is None:
+        self._clients.connection_closed(self)
+        if (request := self._detach_request()) is None:
             return
-        if self.used and not self._begun and not ask.resent:
-            ask.resent = True  # the end of a connection that had rested crossed the request ...
-            ask.sent_at = -1.0  # ... which nobody has taken: it counts as sent with the new one
-            self._clients.send_again(ask)
+        if self.has_answered and not self._response_started and not request.resent:
+            request.resent = True  # the end of a connection that had rested crossed the request ...
+            request.sent_at = -1.0  # ... which nobody has taken: it counts as sent with the new one
+            self._clients.resend(request)
             return
-        ask.ended_at, ask.why = self._clients.ledger.now(), "cut off"
+        request.ended_at, request.why = self._clients.ledger.now(), "cut off"
 
-    def end(self, why: str) -> None:
-        if (ask := self._free()) is not None:
-            ask.ended_at, ask.why = self._clients.ledger.now(), why
+    def fail(self, reason: str) -> None:
+        if (request := self._detach_request()) is not None:
+            request.ended_at, request.why = self._clients.ledger.now(), reason
         self.close()
 
     def close(self) -> None:
@@ -85,18 +85,18 @@
             self._transport.abort()
 
     @property
-    def usable(self) -> bool:
+    def is_open(self) -> bool:
         return self._transport is not None and not self._transport.is_closing()
 
-    def _too_late(self) -> None:
-        self.end("out of time")
+    def _on_timeout(self) -> None:
+        self.fail("out of time")
 
-    def _free(self) -> Ask | None:
+    def _detach_request(self) -> Ask | None:
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        ask, self.ask = self.ask, None
-        return ask
+        request, self.request = self.request, None
+        return request
 
 
 class Clients:
@@ -105,125 +105,134 @@
     def __init__(
         self,
         sidecar: int,
-        load: Load,
+        load: LoadSettings,
         classes: dict[str, RequestClass],
-        place: Callable[[], tuple[str, int] | None],
+        address: Callable[[], tuple[str, int] | None],
         rng: Random,
         ledger: Ledger,
         slack_s: float,
     ) -> None:
         self.ledger = ledger
-        self.patience_s = slack_s + LATE_S
+        self.extra_wait_s = slack_s + LATE_ANSWER_WAIT_S
         self._sidecar, self._load, self._classes = sidecar, load, classes
-        self._place, self._rng = place, rng
-        self._idle: list[_Connection] = []
-        self._all: set[_Connection] = set()
+        self._address, self._rng = address, rng
+        self._idle_connections: list[_Connection] = []
+        self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._count = 0
-        self._backs: dict[str, int] = {}  # by request: how often its client has come back
-        self._names = list(load.classes)
-        self._shares = [load.classes[name] for name in self._names]
+        self._request_count = 0
+        self._retry_counts: dict[str, int] = {}  # by request: how often its client has come back
+        self._class_names = list(load.classes)
+        self._class_weights = [load.classes[name] for name in self._class_names]
 
-    async def run(self, until: float, goes_on: Callable[[], bool] = lambda: False) -> None:
+    async def run(self, until: float, keep_going: Callable[[], bool] = lambda: False) -> None:
         """Ask until then, on the ledger's clock, and as long as it goes on. What is out then has its time."""
         if self._load.rate <= 0.0:
             return
-        at = 0.0
-        while (at := at + self._rng.expovariate(self._load.rate)) < until or goes_on():
-            wait = at - self.ledger.now()
-            if wait > 0.0:
-                await asyncio.sleep(wait)
-            name = self._rng.choices(self._names, self._shares)[0]
+        send_at = 0.0
+        while (send_at := send_at + self._rng.expovariate(self._load.rate)) < until or keep_going():
+            wait_s = send_at - self.ledger.now()
+            if wait_s > 0.0:
+                await asyncio.sleep(wait_s)
+            class_name = self._rng.choices(self._class_names, self._class_weights)[0]
             subject = self._rng.randrange(1, self._load.subjects + 1) if self._load.subjects else 0
-            self._begin(at, name, subject)
+            self._start_request(send_at, class_name, subject)
 
     async def finish(self) -> None:
         """Wait for all that is out; each has its deadline."""
-        while self._tasks or any(one.ask is not None for one in self._all):
+        while self._tasks or any(connection.request is not None for connection in self._connections):
             await asyncio.sleep(0.05)
 
     def close(self) -> None:
         for task in self._tasks:
             task.cancel()
-        for connection in list(self._all):
+        for connection in list(self._connections):
             connection.close()
 
-    def idle(self, connection: _Connection) -> None:
-        if len(self._idle) < IDLE_MOST:
-            self._idle.append(connection)
+    def release(self, connection: _Connection) -> None:
+        if len(self._idle_connections) < MAX_IDLE_CONNECTIONS:
+            self._idle_connections.append(connection)
         else:
             connection.close()
 
-    def dropped(self, connection: _Connection) -> None:
-        self._all.discard(connection)
-        if connection in self._idle:
-            self._idle.remove(connection)
+    def connection_closed(self, connection: _Connection) -> None:
+        self._connections.discard(connection)
+        if connection in self._idle_connections:
+            self._idle_connections.remove(connection)
 
-    def answered(self, ask: Ask) -> None:
-        back = self._backs.pop(ask.id, 0)
-        if ask.status not in (429, 503) or back >= self._load.repeats:
+    def handle_answer(self, request: Ask) -> None:
+        retry_number = self._retry_counts.pop(request.id, 0)
+        if request.status not in (429, 503) or retry_number >= self._load.repeats:
             return
-        wait = ask.retry_after if ask.retry_after >= 0.0 else COME_BACK_S
-        self._do(self._come_back(ask, wait, back + 1))
+        wait_s = request.retry_after if request.retry_after >= 0.0 else DEFAULT_RETRY_AFTER_S
+        self._spawn(self._retry_after_wait(request, wait_s, retry_number + 1))
 
-    def send_again(self, ask: Ask) -> None:
-        self._do(self._open(ask, self._classes[ask.cls]))
+    def resend(self, request: Ask) -> None:
+        self._spawn(self._connect_and_send(request, self._classes[request.cls]))
 
-    async def _come_back(self, ask: Ask, wait: float, back: int) -> None:
-        await asyncio.sleep(wait)
-        self._begin(self.ledger.now(), ask.cls, ask.subject, ask, back)
+    async def _retry_after_wait(self, request: Ask, wait_s: float, retry_number: int) -> None:
+        await asyncio.sleep(wait_s)
+        self._start_request(self.ledger.now(), request.cls, request.subject, request, retry_number)
 
-    def _begin(self, at: float, name: str, subject: int, before: Ask | None = None, back: int = 0) -> None:
-        self._count += 1
-        key = before.key if before is not None else ""
-        cls = self._classes[name]
-        number = f"{self._sidecar}-{self._count}"
+    def _start_request(
+        self,
+        asked_at: float,
+        class_name: str,
+        subject: int,
+        previous: Ask | None = None,
+        retry_number: int = 0,
+    ) -> None:
+        self._request_count += 1
+        key = previous.key if previous is not None else ""
+        cls = self._classes[class_name]
+        request_id = f"{self._sidecar}-{self._request_count}"
         if cls.effect is Effect.KEYED and not key:
             key = f"{self._rng.getrandbits(96):024x}"
-        ask = Ask(number, self._sidecar, name, at, at, number, key=key, subject=subject)
-        if before is not None:
-            ask.meant_at, ask.first = before.meant_at, before.first
-        ask.deadline = cls.deadline_ms / 1000.0 * self._load.patience
-        if back:
-            self._backs[number] = back
-        self.ledger.asks.append(ask)
-        while self._idle:
-            connection = self._idle.pop()
-            if connection.usable:
-                connection.send(ask, self._text(ask, cls))
+        request = Ask(
+            request_id, self._sidecar, class_name, asked_at, asked_at, request_id, key=key, subject=subject
+        )
+        if previous is not None:
+            request.meant_at, request.first = previous.meant_at, previous.first
+        request.deadline = cls.deadline_ms / 1000.0 * self._load.patience
+        if retry_number:
+            self._retry_counts[request_id] = retry_number
+        self.ledger.asks.append(request)
+        while self._idle_connections:
+            connection = self._idle_connections.pop()
+            if connection.is_open:
+                connection.send(request, self._request_bytes(request, cls))
                 return
-        self._do(self._open(ask, cls))
+        self._spawn(self._connect_and_send(request, cls))
 
-    async def _open(self, ask: Ask, cls: RequestClass) -> None:
-        place = self._place()
+    async def _connect_and_send(self, request: Ask, cls: RequestClass) -> None:
+        address = self._address()
         try:
-            if place is None:
+            if address is None:
                 raise ConnectionRefusedError
-            async with asyncio.timeout(ask.deadline):
+            async with asyncio.timeout(request.deadline):
                 loop = asyncio.get_running_loop()
-                _, connection = await loop.create_connection(lambda: _Connection(self), *place)
+                _, connection = await loop.create_connection(lambda: _Connection(self), *address)
         except (OSError, TimeoutError):
-            ask.ended_at, ask.why = self.ledger.now(), "unreached"
-            self._backs.pop(ask.id, None)
+            request.ended_at, request.why = self.ledger.now(), "unreached"
+            self._retry_counts.pop(request.id, None)
             return
-        self._all.add(connection)
-        if connection.usable:
-            connection.send(ask, self._text(ask, cls))
+        self._connections.add(connection)
+        if connection.is_open:
+            connection.send(request, self._request_bytes(request, cls))
         else:
-            ask.ended_at, ask.why = self.ledger.now(), "unreached"
-
-    def _text(self, ask: Ask, cls: RequestClass) -> bytes:
-        left = max(ask.asked_at + ask.deadline - self.ledger.now(), 0.001)
-        lines = [b"Host: lab", f"Req-Id: {ask.id}".encode(), f"Req-Kind: {cls.name}".encode()]
-        lines.append(b"Req-Deadline: %.3f" % left)
-        if ask.key:
-            lines.append(f"Idempotency-Key: {ask.key}".encode())
-        if ask.subject:
-            lines.append(b"Req-Extra: item=%d" % ask.subject)
+            request.ended_at, request.why = self.ledger.now(), "unreached"
+
+    def _request_bytes(self, request: Ask, cls: RequestClass) -> bytes:
+        remaining_s = max(request.asked_at + request.deadline - self.ledger.now(), 0.001)
+        header_lines = [b"Host: lab", f"Req-Id: {request.id}".encode(), f"Req-Kind: {cls.name}".encode()]
+        header_lines.append(b"Req-Deadline: %.3f" % remaining_s)
+        if request.key:
+            header_lines.append(f"Idempotency-Key: {request.key}".encode())
+        if request.subject:
+            header_lines.append(b"Req-Extra: item=%d" % request.subject)
         method = b"GET" if cls.effect is Effect.SAFE else b"POST"
-        return http1.request_bytes(method, f"/{cls.name}/{ask.id}".encode(), lines, b"")
+        return http1.request_bytes(method, f"/{cls.name}/{request.id}".encode(), header_lines, b"")
 
-    def _do(self, work: "asyncio._CoroutineLike[None]") -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: "asyncio._CoroutineLike[None]") -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/larkcrank/lab/cost.py
+++ b/larkcrank/lab/cost.py
@@ -10,10 +10,10 @@
 import uvloop
 from hdrh.histogram import HdrHistogram
 
-from larkcrank.lab.links import Link, LinkConnection, Way
+from larkcrank.lab.links import Link, LinkConnection, LinkDirection
 
-MOST_US = 10_000_000
-TEXT = b"x" * 200
+MAX_ROUND_TRIP_US = 10_000_000
+MESSAGE = b"x" * 200
 
 
 class Cost(msgspec.Struct, frozen=True):
@@ -24,7 +24,7 @@
     cpu_us: float
 
 
-class _Back(asyncio.Protocol):
+class _EchoProtocol(asyncio.Protocol):
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = transport
 
@@ -32,57 +32,57 @@
         self.transport.write(data)  # type: ignore[attr-defined]
 
 
-class _End:
-    def __init__(self, link: LinkConnection) -> None:
-        self._link = link
+class _EchoHandler:
+    def __init__(self, connection: LinkConnection) -> None:
+        self._connection = connection
 
-    def data(self, data: bytes) -> None:
-        self._link.write(data)
+    def handle_data(self, data: bytes) -> None:
+        self._connection.write(data)
 
-    def lost(self) -> None:
+    def handle_close(self) -> None:
         pass
 
 
-async def _times(port: int, count: int) -> Cost:
+async def _measure_round_trips(port: int, count: int) -> Cost:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
-    taken, process = HdrHistogram(1, MOST_US, 3), psutil.Process()
-    cpu = sum(process.cpu_times()[:2])
+    round_trip_us, process = HdrHistogram(1, MAX_ROUND_TRIP_US, 3), psutil.Process()
+    cpu_s = sum(process.cpu_times()[:2])
     for _ in range(count):
-        began = time.perf_counter()
-        writer.write(TEXT)
-        await reader.readexactly(len(TEXT))
-        taken.record_value(max(int((time.perf_counter() - began) * 1e6), 1))
-    cpu = sum(process.cpu_times()[:2]) - cpu
+        started_at = time.perf_counter()
+        writer.write(MESSAGE)
+        await reader.readexactly(len(MESSAGE))
+        round_trip_us.record_value(max(int((time.perf_counter() - started_at) * 1e6), 1))
+    cpu_s = sum(process.cpu_times()[:2]) - cpu_s
     writer.close()
-    p50, p99 = (taken.get_value_at_percentile(share) for share in (50.0, 99.0))
-    return Cost(float(p50), float(p99), cpu / count * 1e6)
+    p50, p99 = (round_trip_us.get_value_at_percentile(percentile) for percentile in (50.0, 99.0))
+    return Cost(float(p50), float(p99), cpu_s / count * 1e6)
 
 
-async def _without(count: int) -> Cost:
-    server = await asyncio.get_running_loop().create_server(_Back, "127.0.0.1", 0)
+async def _measure_direct(count: int) -> Cost:
+    server = await asyncio.get_running_loop().create_server(_EchoProtocol, "127.0.0.1", 0)
     try:
-        return await _times(server.sockets[0].getsockname()[1], count)
+        return await _measure_round_trips(server.sockets[0].getsockname()[1], count)
     finally:
         server.close()
 
 
-async def _through(count: int) -> Cost:
-    link = Link(Way(Random(1)), Way(Random(2)), _End, time.monotonic)
+async def _measure_through_link(count: int) -> Cost:
+    link = Link(LinkDirection(Random(1)), LinkDirection(Random(2)), _EchoHandler, time.monotonic)
     try:
-        return await _times(link.ports[-1], count)
+        return await _measure_round_trips(link.ports[-1], count)
     finally:
         link.close()
 
 
-def measure(count: int) -> tuple[Cost, Cost]:
+def measure_link_cost(count: int) -> tuple[Cost, Cost]:
     """Without a link and through one, each after a warm-up of a tenth."""
 
-    async def run(what: Callable[[int], Awaitable[Cost]]) -> Cost:
-        await what(max(count // 10, 1))
-        return await what(count)
+    async def run_with_warm_up(measurement: Callable[[int], Awaitable[Cost]]) -> Cost:
+        await measurement(max(count // 10, 1))
+        return await measurement(count)
 
-    def play(what: Callable[[int], Awaitable[Cost]]) -> Cost:
+    def run_in_new_loop(measurement: Callable[[int], Awaitable[Cost]]) -> Cost:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
-            return runner.run(run(what))
+            return runner.run(run_with_warm_up(measurement))
 
-    return play(_without), play(_through)
+    return run_in_new_loop(_measure_direct), run_in_new_loop(_measure_through_link)
--- a/larkcrank/lab/endpoints.py
+++ b/larkcrank/lab/endpoints.py
@@ -14,46 +14,50 @@
 
 from larkcrank.core.interface import Effect, Group, RequestClass
 from larkcrank.lab.ledger import Attempt, Ledger
-from larkcrank.lab.ledger import Effect as Done
+from larkcrank.lab.ledger import Effect as CompletedWork
 from larkcrank.lab.links import LinkConnection
-from larkcrank.lab.scenario import Endpoints
+from larkcrank.lab.scenario import EndpointSettings
 from larkcrank.protocol import http1
 
 
-def excess(calls: float, allowed: float) -> float:
+def excess_in_sqrt_units(calls: float, allowed: float) -> float:
     """Calls beyond N, in roots of N."""
     return (calls - allowed) / math.sqrt(allowed)
 
 
-def nearness(calls: float, allowed: float) -> float:
+def limit_utilisation(calls: float, allowed: float) -> float:
     """Calls, as a share of what N and chance come to: above 1 the rule would be broken."""
     return calls / (allowed + 2.0 * math.sqrt(allowed) + 2.0)
 
 
-class Keys:
+class IdempotencyKeys:
     """Keys that groups have met, each until its window is over."""
 
     def __init__(self) -> None:
-        self._until: dict[tuple[str, str], float] = {}
+        self._expires_at: dict[tuple[str, str], float] = {}
 
-    def is_new(self, group: str, key: str, now: float, window_s: float) -> bool:
+    def add_if_new(self, group: str, key: str, now: float, window_s: float) -> bool:
         """Whether this is no repeat; then it is remembered for the window."""
-        if self._until.get((group, key), -1.0) > now:
+        if self._expires_at.get((group, key), -1.0) > now:
             return False
-        if len(self._until) > 100_000:
-            self._until = {one: until for one, until in self._until.items() if until > now}
-        self._until[group, key] = now + window_s
+        if len(self._expires_at) > 100_000:
+            self._expires_at = {
+                group_key: expires_at
+                for group_key, expires_at in self._expires_at.items()
+                if expires_at > now
+            }
+        self._expires_at[group, key] = now + window_s
         return True
 
 
 @dataclass(slots=True)
-class _Work:
+class _QueuedRequest:
     attempt: Attempt
     key: str
     cls: RequestClass
     connection: "EndpointConnection"
     body: bytes
-    extra_ms: float
+    work_ms: float
 
 
 class Endpoint:
@@ -64,126 +68,141 @@
         index: int,
         name: str,
         zone: str,
-        setting: Endpoints,
+        settings: EndpointSettings,
         classes: dict[str, RequestClass],
-        keys: Keys,
+        keys: IdempotencyKeys,
         rng: Random,
         ledger: Ledger,
-        stood: Callable[["Endpoint"], None],
+        on_running_changed: Callable[["Endpoint"], None],
     ) -> None:
         self.index, self.name, self.zone = index, name, zone
         self.state = "Ready"
-        self.up = True
-        self.place = 0  # which of its links' addresses is its own now
+        self.running = True
+        self.address_index = 0  # which of its links' addresses is its own now
         self.started_at: float | None = None  # on the run's clock; None: long ago
-        self.slower = 1.0
-        self.fell = False
+        self.slowdown = 1.0
+        self.collapsed = False
         self.most_connections = 0
         self.declined = 0
-        self._set, self._classes, self._keys, self._rng, self._ledger = setting, classes, keys, rng, ledger
-        self._stood = stood  # called when it goes down or comes up
-        self._busy = 0
-        self._waiting: deque[_Work] = deque()
-        self._life = 0  # work of an earlier life comes to nothing
-        self._sent: deque[tuple[float, float]] = deque()  # times and works of late, while cold
-        self._open: set[EndpointConnection] = set()
+        self._settings, self._classes, self._keys, self._rng, self._ledger = (
+            settings,
+            classes,
+            keys,
+            rng,
+            ledger,
+        )
+        self._on_running_changed = on_running_changed  # called when it goes down or comes up
+        self._busy_workers = 0
+        self._waiting: deque[_QueuedRequest] = deque()
+        self._incarnation = 0  # work of an earlier life comes to nothing
+        self._recent_cold_work: deque[tuple[float, float]] = deque()  # times and works of late, while cold
+        self._connections: set[EndpointConnection] = set()
 
     def accept(self, connection: LinkConnection, sidecar: int) -> "EndpointConnection":
         handler = EndpointConnection(self, connection, sidecar)
         self._ledger.connections += 1
-        if len(self._open) >= self._set.connections:
+        if len(self._connections) >= self._settings.connections:
             connection.close(reset=False)
             return handler
-        self._open.add(handler)
-        self.most_connections = max(self.most_connections, len(self._open))
+        self._connections.add(handler)
+        self.most_connections = max(self.most_connections, len(self._connections))
         return handler
 
-    def forget(self, connection: "EndpointConnection") -> None:
-        self._open.discard(connection)
+    def remove_connection(self, connection: "EndpointConnection") -> None:
+        self._connections.discard(connection)
 
     def speed(self) -> float:
         """Share of its full speed now."""
-        warm = 1.0
-        if self.started_at is not None and self._set.warm_after_ms > 0:
-            since = (self._ledger.now() - self.started_at) * 1000.0 / self._set.warm_after_ms
-            warm = min(self._set.cold_from + (1.0 - self._set.cold_from) * since, 1.0)
-        return warm / self.slower
+        warm_speed = 1.0
+        if self.started_at is not None and self._settings.warm_after_ms > 0:
+            warm_up_share = (self._ledger.now() - self.started_at) * 1000.0 / self._settings.warm_after_ms
+            warm_speed = min(self._settings.cold_from + (1.0 - self._settings.cold_from) * warm_up_share, 1.0)
+        return warm_speed / self.slowdown
 
-    def die(self) -> None:
+    def crash(self) -> None:
         """The process ends: connections are reset, new ones refused, what it worked on is gone."""
-        self.up = False
-        self._life += 1
-        self._busy = 0
+        self.running = False
+        self._incarnation += 1
+        self._busy_workers = 0
         self._waiting.clear()
-        self._sent.clear()
-        for connection in list(self._open):
+        self._recent_cold_work.clear()
+        for connection in list(self._connections):
             connection.link.close(reset=True)
-        self._open.clear()
-        self._stood(self)
+        self._connections.clear()
+        self._on_running_changed(self)
 
     def start(self, name: str | None = None) -> None:
         """Up again, cold; under another name it is another one to discovery."""
         self.name = name or self.name
-        self.up, self.fell, self.state, self.slower = True, False, "Ready", 1.0
+        self.running, self.collapsed, self.state, self.slowdown = True, False, "Ready", 1.0
         self.started_at = self._ledger.now()
-        self._stood(self)
+        self._on_running_changed(self)
 
-    def take(self, work: _Work) -> None:
-        if self.state != "Ready" or len(self._waiting) >= self._set.queue:
+    def receive(self, queued: _QueuedRequest) -> None:
+        if self.state != "Ready" or len(self._waiting) >= self._settings.queue:
             self.declined += 1
-            work.connection.answer(work, 503, (b"Srv-Declined: 1",), b"")
+            queued.connection.answer(queued, 503, (b"Srv-Declined: 1",), b"")
             return
-        mean = self._set.service_ms
-        took = mean if self._set.spread == "fixed" else self._rng.expovariate(1.0 / mean)
-        work.extra_ms += took
-        self._watch_cold(work.extra_ms)
-        if not self.up:
+        mean_ms = self._settings.service_ms
+        service_ms = mean_ms if self._settings.spread == "fixed" else self._rng.expovariate(1.0 / mean_ms)
+        queued.work_ms += service_ms
+        self._check_cold_overload(queued.work_ms)
+        if not self.running:
             return  # that one was too much
-        self._waiting.append(work)
-        self._begin()
+        self._waiting.append(queued)
+        self._start_queued()
 
-    def _watch_cold(self, work_ms: float) -> None:
+    def _check_cold_overload(self, work_ms: float) -> None:
         """Rule 4: sent too many times what it can do for too long, a cold one falls over and stays down."""
-        speed, now = self.speed() * self.slower, self._ledger.now()
+        speed, now = self.speed() * self.slowdown, self._ledger.now()
         if speed >= 1.0:
-            self._sent.clear()
+            self._recent_cold_work.clear()
             return
-        span = self._set.fall_ms / 1000.0
-        self._sent.append((now, work_ms))
-        while self._sent and self._sent[0][0] < now - span:
-            self._sent.popleft()
-        can = self._set.workers * speed * self._set.fall_ms
-        got = sum(one for _, one in self._sent)
-        self._note_cold(got / self._set.service_ms, self._set.fall_multiple * can / self._set.service_ms)
-        if got > self._set.fall_multiple * can:
-            self.fell = True
-            self._ledger.event("fell", self.name, f"sent over {self._set.fall_multiple} times what it can do")
-            self.die()
-
-    def _note_cold(self, calls: float, allowed: float) -> None:
+        window_s = self._settings.fall_ms / 1000.0
+        self._recent_cold_work.append((now, work_ms))
+        while self._recent_cold_work and self._recent_cold_work[0][0] < now - window_s:
+            self._recent_cold_work.popleft()
+        capacity_ms = self._settings.workers * speed * self._settings.fall_ms
+        received_ms = sum(received_work_ms for _, received_work_ms in self._recent_cold_work)
+        self._record_cold_window(
+            received_ms / self._settings.service_ms,
+            self._settings.fall_multiple * capacity_ms / self._settings.service_ms,
+        )
+        if received_ms > self._settings.fall_multiple * capacity_ms:
+            self.collapsed = True
+            self._ledger.record_event(
+                "fell", self.name, f"sent over {self._settings.fall_multiple} times what it can do"
+            )
+            self.crash()
+
+    def _record_cold_window(self, calls: float, allowed: float) -> None:
         """Keep its worst window; calls and what is allowed are requests of mean work."""
-        worst = self._ledger.cold.get(self.name)
-        if math.isfinite(allowed) and (worst is None or nearness(calls, allowed) > nearness(*worst)):
-            self._ledger.cold[self.name] = calls, allowed
+        worst = self._ledger.worst_cold_windows.get(self.name)
+        if math.isfinite(allowed) and (
+            worst is None or limit_utilisation(calls, allowed) > limit_utilisation(*worst)
+        ):
+            self._ledger.worst_cold_windows[self.name] = calls, allowed
 
-    def _begin(self) -> None:
+    def _start_queued(self) -> None:
         loop = asyncio.get_running_loop()
-        while self._waiting and self._busy < self._set.workers:
-            work = self._waiting.popleft()
-            self._busy += 1
-            loop.call_later(work.extra_ms / 1000.0 / max(self.speed(), 1e-3), self._done, work, self._life)
-
-    def _done(self, work: _Work, life: int) -> None:
-        if life != self._life:
+        while self._waiting and self._busy_workers < self._settings.workers:
+            queued = self._waiting.popleft()
+            self._busy_workers += 1
+            loop.call_later(
+                queued.work_ms / 1000.0 / max(self.speed(), 1e-3), self._finish, queued, self._incarnation
+            )
+
+    def _finish(self, queued: _QueuedRequest, incarnation: int) -> None:
+        if incarnation != self._incarnation:
             return
-        self._busy -= 1
-        cls, now = work.cls, self._ledger.now()
-        group = {Group.ALL: "all", Group.ZONE: self.zone, Group.CELL: str(self.index)}[cls.group]
-        keyed = cls.effect is Effect.KEYED
-        if not keyed or self._keys.is_new(group, work.key, now, cls.window_ms / 1000.0):
-            self._ledger.effects.append(Done(now, work.attempt.request, work.key, self.name))
-        work.connection.answer(work, 200, (), work.body)
-        self._begin()
+        self._busy_workers -= 1
+        cls, now = queued.cls, self._ledger.now()
+        dedup_group = {Group.ALL: "all", Group.ZONE: self.zone, Group.CELL: str(self.index)}[cls.group]
+        is_keyed = cls.effect is Effect.KEYED
+        if not is_keyed or self._keys.add_if_new(dedup_group, queued.key, now, cls.window_ms / 1000.0):
+            self._ledger.effects.append(CompletedWork(now, queued.attempt.request, queued.key, self.name))
+        queued.connection.answer(queued, 200, (), queued.body)
+        self._start_queued()
 
 
 class EndpointConnection:
@@ -195,12 +214,12 @@
         self._parser = http1.RequestParser()
         self._entered_at = -1.0
         self._is_new = True
-        self._open: list[Attempt] = []
-        link.on_near_lost = self._near_lost
+        self._open_attempts: list[Attempt] = []
+        link.on_sidecar_closed = self._sidecar_closed
 
-    def data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         endpoint = self._endpoint
-        if not endpoint.up:
+        if not endpoint.running:
             return
         if self._entered_at < 0.0:
             self._entered_at = self.link.entered_at
@@ -208,50 +227,52 @@
             self._parser.feed(data)
             request = self._parser.next()
         except http1.MessageError as error:
-            endpoint._ledger.event("malformed", endpoint.name, str(error))
+            endpoint._ledger.record_event("malformed", endpoint.name, str(error))
             self.link.close(reset=True)
             return
         if request is None:
             return
-        self._request(request)
+        self._handle_request(request)
 
-    def lost(self) -> None:
-        self._endpoint.forget(self)
+    def handle_close(self) -> None:
+        self._endpoint.remove_connection(self)
 
-    def answer(self, work: _Work, status: int, lines: tuple[bytes, ...], body: bytes) -> None:
-        attempt = work.attempt
+    def answer(self, queued: _QueuedRequest, status: int, lines: tuple[bytes, ...], body: bytes) -> None:
+        attempt = queued.attempt
         attempt.status = status
 
-        def through() -> None:
+        def record_answer_delivered() -> None:
             if attempt.ended_at < 0.0:
                 attempt.ended_at = self._endpoint._ledger.now()
-                self._open.remove(attempt)
+                self._open_attempts.remove(attempt)
 
-        self.link.write(http1.response_bytes(status, lines, body), through)
+        self.link.write(http1.response_bytes(status, lines, body), record_answer_delivered)
 
-    def _request(self, request: http1.Request) -> None:
+    def _handle_request(self, request: http1.Request) -> None:
         endpoint, ledger = self._endpoint, self._endpoint._ledger
-        number = (request.fields.one(b"req-id") or b"").decode("latin-1")
-        kind = request.target.lstrip(b"/").partition(b"/")[0].decode("latin-1")
-        cls = endpoint._classes.get(kind)
-        sidecar, told = self._sidecar, number.partition("-")[0]
-        if sidecar < 0 and told.isdecimal():  # a link that all share: the request's id tells whose it is
-            sidecar = int(told)
-        attempt = Attempt(number, sidecar, endpoint.name, self._entered_at, ledger.now())
+        request_id = (request.fields.one(b"req-id") or b"").decode("latin-1")
+        class_name = request.target.lstrip(b"/").partition(b"/")[0].decode("latin-1")
+        cls = endpoint._classes.get(class_name)
+        sidecar, id_prefix = self._sidecar, request_id.partition("-")[0]
+        if sidecar < 0 and id_prefix.isdecimal():  # a link that all share: the request's id tells whose it is
+            sidecar = int(id_prefix)
+        attempt = Attempt(request_id, sidecar, endpoint.name, self._entered_at, ledger.now())
         attempt.new_connection = self._is_new
         ledger.attempts.append(attempt)
-        self._open.append(attempt)
-        extra = endpoint._set.handshake_ms if self._is_new else 0.0
+        self._open_attempts.append(attempt)
+        handshake_ms = endpoint._settings.handshake_ms if self._is_new else 0.0
         self._is_new, self._entered_at = False, -1.0
         if cls is None:
-            ledger.event("malformed", endpoint.name, f"no class {kind!r}")
+            ledger.record_event("malformed", endpoint.name, f"no class {class_name!r}")
             self.link.close(reset=True)
             return
         key = (request.fields.one(b"idempotency-key") or b"").decode("latin-1")
-        endpoint.take(_Work(attempt, key, cls, self, b"did " + number.encode("latin-1"), extra))
+        endpoint.receive(
+            _QueuedRequest(attempt, key, cls, self, b"did " + request_id.encode("latin-1"), handshake_ms)
+        )
 
-    def _near_lost(self) -> None:
+    def _sidecar_closed(self) -> None:
         """The sidecar has ended the connection, or its process has died: its attempts are over for it."""
-        for attempt in self._open:
+        for attempt in self._open_attempts:
             attempt.ended_at = self._endpoint._ledger.now()
-        self._open.clear()
+        self._open_attempts.clear()
--- a/larkcrank/lab/ledger.py
+++ b/larkcrank/lab/ledger.py
@@ -80,25 +80,25 @@
         self.events: list[Event] = []
         self.list_calls: list[tuple[float, int]] = []  # when, by whom
         # By endpoint: calls of mean work in its worst window while cold, and N, what the rule allowed then.
-        self.cold: dict[str, tuple[float, float]] = {}
+        self.worst_cold_windows: dict[str, tuple[float, float]] = {}
         self.connections = 0  # to endpoints
         self.datagrams = 0
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
 
-    def begin(self) -> None:
+    def restart_clock(self) -> None:
         """The load starts now: nought on the clock."""
-        self._began = time.monotonic()
+        self._started_at = time.monotonic()
 
     def now(self) -> float:
-        return time.monotonic() - self._began
+        return time.monotonic() - self._started_at
 
-    def event(self, what: str, who: str = "", text: str = "") -> None:
+    def record_event(self, what: str, who: str = "", text: str = "") -> None:
         self.events.append(Event(self.now(), what, who, text))
 
     def write(self, path: Path) -> None:
         """One JSON object a line, in the order of the lists. Raises OSError."""
         encoder = msgspec.json.Encoder()
         with path.open("wb") as file:
-            for lines in (self.events, self.tolds, self.asks, self.attempts, self.effects):
-                for line in lines:
-                    file.write(encoder.encode(line) + b"\n")
+            for records in (self.events, self.tolds, self.asks, self.attempts, self.effects):
+                for record in records:
+                    file.write(encoder.encode(record) + b"\n")
--- a/larkcrank/lab/links.py
+++ b/larkcrank/lab/links.py
@@ -18,14 +18,14 @@
 from random import Random
 from typing import Protocol, cast
 
-BACKLOG = 256
-LOST_AGAIN_S = 0.2  # Linux's least retransmission time
-LOSSES_MOST = 6
-SEGMENT = 1460
-_RESET = struct.pack("ii", 1, 0)
+LISTEN_BACKLOG = 256
+MIN_RETRANSMISSION_S = 0.2  # Linux's least retransmission time
+MAX_CONSECUTIVE_LOSSES = 6
+SEGMENT_BYTES = 1460
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-class Way:
+class LinkDirection:
     """One way between two: what befalls that which goes it. Shared by all connections of the pair."""
 
     def __init__(self, rng: Random) -> None:
@@ -34,72 +34,77 @@
         self.loss = self.duplicate = self.reorder = 0.0
         self.bytes_per_s = 0.0  # 0: no limit
         self._rng = rng
-        self._free_at = 0.0  # when the narrow way has sent what it has
+        self._bandwidth_free_at = 0.0  # when the narrow way has sent what it has
 
     def clear(self) -> None:
         self.__init__(self._rng)  # type: ignore[misc]
 
     @property
-    def plain(self) -> bool:
+    def has_no_stream_faults(self) -> bool:
         return not (self.cut or self.delay_s or self.jitter_s or self.loss or self.bytes_per_s)
 
-    def passes_at(self, now: float, size: int) -> float:
+    def delivery_time(self, now: float, size: int) -> float:
         """When a piece of so many bytes of a TCP stream is through."""
-        when = now + self.delay_s + self._rng.random() * self.jitter_s
+        deliver_at = now + self.delay_s + self._rng.random() * self.jitter_s
         if self.bytes_per_s:
-            self._free_at = max(self._free_at, now) + size / self.bytes_per_s
-            when += self._free_at - now
-        for _ in range(-(-size // SEGMENT) if self.loss else 0):
-            wait = LOST_AGAIN_S
-            for _ in range(LOSSES_MOST):
+            self._bandwidth_free_at = max(self._bandwidth_free_at, now) + size / self.bytes_per_s
+            deliver_at += self._bandwidth_free_at - now
+        for _ in range(-(-size // SEGMENT_BYTES) if self.loss else 0):
+            retransmission_s = MIN_RETRANSMISSION_S
+            for _ in range(MAX_CONSECUTIVE_LOSSES):
                 if self._rng.random() >= self.loss:
                     break
-                when, wait = when + wait, wait * 2
-        return when
+                deliver_at, retransmission_s = deliver_at + retransmission_s, retransmission_s * 2
+        return deliver_at
 
-    def datagram(self, now: float) -> list[float]:
+    def datagram_delivery_times(self, now: float) -> list[float]:
         """When a datagram's copies are through; empty: lost."""
         if self.cut or self._rng.random() < self.loss:
             return []
         count = 2 if self._rng.random() < self.duplicate else 1
-        late = self._rng.random() < self.reorder
-        most = 4 * (self.delay_s + self.jitter_s) + 0.05  # far enough for others to overtake it
+        reordered = self._rng.random() < self.reorder
+        reorder_delay_s = 4 * (self.delay_s + self.jitter_s) + 0.05  # far enough for others to overtake it
         return [
-            now + self.delay_s + self._rng.random() * (most if late else self.jitter_s) for _ in range(count)
+            now + self.delay_s + self._rng.random() * (reorder_delay_s if reordered else self.jitter_s)
+            for _ in range(count)
         ]
 
 
-class Handler(Protocol):
+class ConnectionHandler(Protocol):
     """The far end of one connection."""
 
-    def data(self, data: bytes) -> None: ...
+    def handle_data(self, data: bytes) -> None: ...
 
-    def lost(self) -> None: ...
+    def handle_close(self) -> None: ...
 
 
-class _Pipe:
+class _DelayedStream:
     """One way of one connection: pieces in order, each with the time at which it is through."""
 
-    def __init__(self, way: Way, deliver: Callable[[bytes], None], end: Callable[[bool], None]) -> None:
-        self._way, self._deliver, self._end = way, deliver, end
-        self._pieces: deque[tuple[float, bytes | bool, Callable[[], None] | None]] = deque()
+    def __init__(
+        self, direction: LinkDirection, on_bytes: Callable[[bytes], None], on_end: Callable[[bool], None]
+    ) -> None:
+        self._direction, self._on_bytes, self._on_end = direction, on_bytes, on_end
+        self._queue: deque[tuple[float, bytes | bool, Callable[[], None] | None]] = deque()
         self._timer: asyncio.TimerHandle | None = None
-        self._last = 0.0
-        self.ended = False
+        self._last_delivery_at = 0.0
+        self.closed = False
 
-    def put(
-        self, piece: bytes | bool, through: Callable[[], None] | None = None, extra_s: float = 0.0
+    def send(
+        self, item: bytes | bool, on_delivered: Callable[[], None] | None = None, extra_s: float = 0.0
     ) -> None:
         """Bytes, or the end (True: by a reset). `through` is called when the piece has come out."""
-        if self.ended:
+        if self.closed:
             return
-        if not self._pieces and self._way.plain:
-            self._out(piece, through)
+        if not self._queue and self._direction.has_no_stream_faults:
+            self._deliver(item, on_delivered)
             return
         now = asyncio.get_running_loop().time()
-        size = 0 if isinstance(piece, bool) else len(piece)
-        self._last = max(self._last, self._way.passes_at(now, size) + extra_s)
-        self._pieces.append((self._last, piece, through))
+        size = 0 if isinstance(item, bool) else len(item)
+        self._last_delivery_at = max(
+            self._last_delivery_at, self._direction.delivery_time(now, size) + extra_s
+        )
+        self._queue.append((self._last_delivery_at, item, on_delivered))
         self.flush()
 
     def flush(self) -> None:
@@ -108,28 +113,28 @@
             self._timer.cancel()
             self._timer = None
         loop = asyncio.get_running_loop()
-        while self._pieces and not self._way.cut:
-            due = self._pieces[0][0]
+        while self._queue and not self._direction.cut:
+            due = self._queue[0][0]
             if due > loop.time():
                 self._timer = loop.call_at(due, self.flush)
                 return
-            _, piece, through = self._pieces.popleft()
-            self._out(piece, through)
+            _, item, on_delivered = self._queue.popleft()
+            self._deliver(item, on_delivered)
 
-    def drop(self) -> None:
-        self.ended = True
-        self._pieces.clear()
+    def discard(self) -> None:
+        self.closed = True
+        self._queue.clear()
         if self._timer is not None:
             self._timer.cancel()
 
-    def _out(self, piece: bytes | bool, through: Callable[[], None] | None) -> None:
-        if isinstance(piece, bool):
-            self.drop()
-            self._end(piece)
+    def _deliver(self, item: bytes | bool, on_delivered: Callable[[], None] | None) -> None:
+        if isinstance(item, bool):
+            self.discard()
+            self._on_end(item)
         else:
-            self._deliver(piece)
-        if through is not None:
-            through()
+            self._on_bytes(item)
+        if on_delivered is not None:
+            on_delivered()
 
 
 class LinkConnection(asyncio.Protocol):
@@ -138,85 +143,91 @@
     def __init__(self, link: "Link") -> None:
         self.link = link
         self.entered_at = 0.0  # when the sidecar's last bytes came into the link
-        self._handler: Handler | None = None
+        self._handler: ConnectionHandler | None = None
         self._transport: asyncio.Transport | None = None
-        self._paused = False
-        self._up = _Pipe(link.up, self._to_far, self._far_ends)
-        self._down = _Pipe(link.down, self._to_near, self._near_ends)
-        self._first = True
-        self.on_near_lost: Callable[[], None] | None = None
+        self._reading_paused = False
+        self._to_handler = _DelayedStream(link.forward, self._deliver_to_handler, self._end_handler)
+        self._to_sidecar = _DelayedStream(
+            link.backward, self._deliver_to_sidecar, self._close_sidecar_connection
+        )
+        self._awaiting_first_bytes = True
+        self.on_sidecar_closed: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
         self.link.connections.add(self)
-        self._handler = self.link.connect(self)
-        self.follow()
+        self._handler = self.link.make_handler(self)
+        self.apply_faults()
 
     def data_received(self, data: bytes) -> None:
         # The kernel has shaken hands at once; the first bytes pay for the round trip that it took none for.
-        extra = self.link.up.delay_s + self.link.down.delay_s if self._first else 0.0
-        self._first = False
+        handshake_s = (
+            self.link.forward.delay_s + self.link.backward.delay_s if self._awaiting_first_bytes else 0.0
+        )
+        self._awaiting_first_bytes = False
         self.entered_at = self.link.now()
-        self._up.put(data, extra_s=extra)
+        self._to_handler.send(data, extra_s=handshake_s)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
-        self._down.drop()
-        if self.on_near_lost is not None:
-            self.on_near_lost()
-        self._up.put(exc is not None)
-        self._forget()
+        self._to_sidecar.discard()
+        if self.on_sidecar_closed is not None:
+            self.on_sidecar_closed()
+        self._to_handler.send(exc is not None)
+        self._unregister()
 
-    def write(self, data: bytes, through: Callable[[], None] | None = None) -> None:
+    def write(self, data: bytes, on_delivered: Callable[[], None] | None = None) -> None:
         """Bytes from the stand-in; `through` once they have come to the sidecar's socket."""
-        self._down.put(data, through)
+        self._to_sidecar.send(data, on_delivered)
 
     def close(self, reset: bool = False) -> None:
         """The stand-in ends the connection."""
-        self._down.put(reset)
+        self._to_sidecar.send(reset)
 
-    def follow(self) -> None:
+    def apply_faults(self) -> None:
         """Act as the link's faults are now."""
         if self._transport is not None and not self._transport.is_closing():
-            if self.link.up.cut and not self._paused:
-                self._paused = True
+            if self.link.forward.cut and not self._reading_paused:
+                self._reading_paused = True
                 self._transport.pause_reading()
-            elif self._paused and not self.link.up.cut:
-                self._paused = False
+            elif self._reading_paused and not self.link.forward.cut:
+                self._reading_paused = False
                 self._transport.resume_reading()
-        self._up.flush()
-        self._down.flush()
+        self._to_handler.flush()
+        self._to_sidecar.flush()
 
-    def _to_far(self, data: bytes) -> None:
+    def _deliver_to_handler(self, data: bytes) -> None:
         if self._handler is not None:
-            self._handler.data(data)
+            self._handler.handle_data(data)
 
-    def _far_ends(self, reset: bool) -> None:
+    def _end_handler(self, reset: bool) -> None:
         if self._handler is not None:
             handler, self._handler = self._handler, None
-            handler.lost()
+            handler.handle_close()
         if self._transport is not None:
             self._transport.abort()
-        self._forget()
+        self._unregister()
 
-    def _to_near(self, data: bytes) -> None:
+    def _deliver_to_sidecar(self, data: bytes) -> None:
         if self._transport is not None:
             self._transport.write(data)
 
-    def _near_ends(self, reset: bool) -> None:
+    def _close_sidecar_connection(self, reset: bool) -> None:
         if self._handler is not None:
             handler, self._handler = self._handler, None
-            handler.lost()
+            handler.handle_close()
         if self._transport is not None:
             if reset:
                 sock = self._transport.get_extra_info("socket")
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)  # else an abort ends in order
+                sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
+                )  # else an abort ends in order
                 self._transport.abort()
             else:
                 self._transport.close()
 
-    def _forget(self) -> None:
-        if self._transport is None and (self._up.ended or self._handler is None):
+    def _unregister(self) -> None:
+        if self._transport is None and (self._to_handler.closed or self._handler is None):
             self.link.connections.discard(self)
 
 
@@ -225,51 +236,51 @@
 
     def __init__(
         self,
-        up: Way,
-        down: Way,
-        connect: Callable[[LinkConnection], Handler],
+        forward: LinkDirection,
+        backward: LinkDirection,
+        make_handler: Callable[[LinkConnection], ConnectionHandler],
         now: Callable[[], float],
     ) -> None:
-        self.up, self.down, self.connect, self.now = up, down, connect, now
+        self.forward, self.backward, self.make_handler, self.now = forward, backward, make_handler, now
         self.connections: set[LinkConnection] = set()
-        self.far_up = True  # False: nobody listens at the far end
+        self.far_end_listening = True  # False: nobody listens at the far end
         self._tasks: set[asyncio.Task[object]] = set()
-        self._filler: socket.socket | None = None
-        self._old: list[socket.socket] = []
+        self._backlog_filler: socket.socket | None = None
+        self._retired_sockets: list[socket.socket] = []
         self._state = "refusing"
-        self._socket = self._bound(0)
+        self._socket = self._bind_socket(0)
         self.ports: list[int] = [self._socket.getsockname()[1]]  # all that it ever had
-        self.follow()
+        self.apply_faults()
 
-    def follow(self) -> None:
+    def apply_faults(self) -> None:
         """Act as the faults are now: listen, refuse, or hang."""
-        if self.up.cut or self.down.cut:
+        if self.forward.cut or self.backward.cut:
             wanted = "hanging"
-        elif self.up.refuse or self.down.refuse or not self.far_up:
+        elif self.forward.refuse or self.backward.refuse or not self.far_end_listening:
             wanted = "refusing"
         else:
             wanted = "listening"
         if wanted != self._state:
-            self._become(wanted)
-        if self.up.refuse or self.down.refuse:
-            self.reset()
+            self._enter_state(wanted)
+        if self.forward.refuse or self.backward.refuse:
+            self.reset_connections()
         for connection in list(self.connections):
-            connection.follow()
+            connection.apply_faults()
 
-    def move(self) -> None:
+    def move_to_new_port(self) -> None:
         """To an address of its own that is new; nobody is at the old one."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
-        self._old.append(self._socket if self._state == "refusing" else self._replaced())
-        self._socket, self._state = self._bound(0), "refusing"
+        self._retired_sockets.append(self._socket if self._state == "refusing" else self._rebind())
+        self._socket, self._state = self._bind_socket(0), "refusing"
         self.ports.append(self._socket.getsockname()[1])
-        self.follow()
+        self.apply_faults()
 
-    def _replaced(self) -> socket.socket:
+    def _rebind(self) -> socket.socket:
         """The same address with nobody who listens: bound, so that nobody else can get it."""
         self._socket.close()
-        return self._bound(self.ports[-1])
+        return self._bind_socket(self.ports[-1])
 
-    def reset(self) -> None:
+    def reset_connections(self) -> None:
         """All connections end as those of a process that died."""
         for connection in list(self.connections):
             connection.close(reset=True)
@@ -277,41 +288,41 @@
     def close(self) -> None:
         """Give back the socket and all connections, whatever faults there are."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
-        for sock in (self._socket, self._filler, *self._old):
+        for sock in (self._socket, self._backlog_filler, *self._retired_sockets):
             if sock is not None:
                 sock.close()
         for task in self._tasks:
             task.cancel()
         for connection in list(self.connections):
-            connection._up.drop()
-            connection._down.drop()
+            connection._to_handler.discard()
+            connection._to_sidecar.discard()
             if connection._transport is not None:
                 connection._transport.abort()
         self.connections.clear()
 
-    def _bound(self, port: int) -> socket.socket:
+    def _bind_socket(self, port: int) -> socket.socket:
         sock = socket.socket()
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setblocking(False)
         sock.bind(("127.0.0.1", port))
         return sock
 
-    def _become(self, wanted: str) -> None:
+    def _enter_state(self, wanted: str) -> None:
         loop = asyncio.get_running_loop()
         loop.remove_reader(self._socket.fileno())
-        if self._filler is not None:
-            self._filler.close()
-            self._filler = None
+        if self._backlog_filler is not None:
+            self._backlog_filler.close()
+            self._backlog_filler = None
         if self._state != "refusing":
-            self._socket = self._replaced()  # what waits unaccepted is reset, as by a machine that is back
+            self._socket = self._rebind()  # what waits unaccepted is reset, as by a machine that is back
         self._state = wanted
         if wanted == "hanging":
             self._socket.listen(0)
-            self._filler = socket.socket()
-            self._filler.setblocking(False)
-            self._filler.connect_ex(("127.0.0.1", self.ports[-1]))
+            self._backlog_filler = socket.socket()
+            self._backlog_filler.setblocking(False)
+            self._backlog_filler.connect_ex(("127.0.0.1", self.ports[-1]))
         elif wanted == "listening":
-            self._socket.listen(BACKLOG)
+            self._socket.listen(LISTEN_BACKLOG)
             loop.add_reader(self._socket.fileno(), self._accept)
 
     def _accept(self) -> None:
@@ -337,47 +348,54 @@
     it reaches the other from the sender's public address: replies take the same road back.
     """
 
-    def __init__(self, index: int, relays: "list[DatagramRelay]", way: Callable[[int, int], Way]) -> None:
-        self.index, self._relays, self._way = index, relays, way
-        self.member: tuple[str, int] | None = None  # where the member's own socket is
+    def __init__(
+        self,
+        index: int,
+        relays: "list[DatagramRelay]",
+        direction_between: Callable[[int, int], LinkDirection],
+    ) -> None:
+        self.index, self._relays, self._direction_between = index, relays, direction_between
+        self.member_address: tuple[str, int] | None = None  # where the member's own socket is
         self.transport: asyncio.DatagramTransport | None = None
-        self.passed = self.strangers = 0
+        self.forwarded_count = self.unknown_senders = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     @property
-    def place(self) -> tuple[str, int]:
+    def public_address(self) -> tuple[str, int]:
         assert self.transport is not None
         host, port = self.transport.get_extra_info("sockname")[:2]
         return host, port
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        source = next((one for one in self._relays if one.member == addr), None)
-        if source is None:
-            self.strangers += 1
+        sender = next((relay for relay in self._relays if relay.member_address == addr), None)
+        if sender is None:
+            self.unknown_senders += 1
             return
         loop = asyncio.get_running_loop()
         now = loop.time()
-        for when in self._way(source.index, self.index).datagram(now):
-            if when <= now:
-                self._pass_on(source, data)
+        for deliver_at in self._direction_between(sender.index, self.index).datagram_delivery_times(now):
+            if deliver_at <= now:
+                self._forward(sender, data)
             else:
-                loop.call_at(when, self._pass_on, source, data)
+                loop.call_at(deliver_at, self._forward, sender, data)
 
-    def _pass_on(self, source: "DatagramRelay", data: bytes) -> None:
-        if self.member is None or source.transport is None or source.transport.is_closing():
+    def _forward(self, sender: "DatagramRelay", data: bytes) -> None:
+        if self.member_address is None or sender.transport is None or sender.transport.is_closing():
             return
-        self.passed += 1
-        source.transport.sendto(data, self.member)
+        self.forwarded_count += 1
+        sender.transport.sendto(data, self.member_address)
 
 
-async def datagram_relays(count: int, way: Callable[[int, int], Way]) -> list[DatagramRelay]:
+async def open_datagram_relays(
+    count: int, direction_between: Callable[[int, int], LinkDirection]
+) -> list[DatagramRelay]:
     """A public address for each member. Whoever opens them closes their transports."""
     relays: list[DatagramRelay] = []
     loop = asyncio.get_running_loop()
     for index in range(count):
-        relay = DatagramRelay(index, relays, way)
+        relay = DatagramRelay(index, relays, direction_between)
         await loop.create_datagram_endpoint(lambda relay=relay: relay, local_addr=("127.0.0.1", 0))  # type: ignore[misc]
         relays.append(relay)
     return relays
--- a/larkcrank/lab/registry.py
+++ b/larkcrank/lab/registry.py
@@ -17,11 +17,11 @@
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import LIST_TARGET
 
-_WATCH = re.compile(rb"after=(\d+)&wait_ms=(\d+)")
+_WATCH_QUERY = re.compile(rb"after=(\d+)&wait_ms=(\d+)")
 
 
 @dataclass(slots=True)
-class Answer:
+class ListResponse:
     body: bytes
     generation: int
     told: Told
@@ -29,148 +29,166 @@
 
 class Registry:
     def __init__(
-        self, work_ms: float, port: Callable[[int, int, int], int], ledger: Ledger, began: float
+        self, work_ms: float, port_of: Callable[[int, int, int], int], ledger: Ledger, unix_start_time: float
     ) -> None:
         """`port(sidecar, endpoint, place)`: where that link listens, or did; `began`: Unix time of nought."""
         self.work_ms = work_ms
-        self.up = True
+        self.running = True
         self.silent = self.denies = False
         self.behind_s = 0.0
         self.empty = False  # it has started without its list, and tells none
         self.hidden: dict[int, set[int]] = {}  # by sidecar: endpoints that it is not told of
-        self.unix_at_nought = began
-        self._port, self._ledger = port, ledger
-        self._log: list[tuple[float, dict[str, Any]]] = []  # when, and one line; its index is its generation
-        self._turn = asyncio.Lock()
+        self.unix_start_time = unix_start_time
+        self._port, self._ledger = port_of, ledger
+        self._changes: list[
+            tuple[float, dict[str, Any]]
+        ] = []  # when, and one line; its index is its generation
+        self._snapshot_lock = asyncio.Lock()
         self._changed = asyncio.Event()
         self._handlers: set[RegistryConnection] = set()
-        self._shown_to: dict[int, int] = {}  # by sidecar: the generation that it was told last
+        self._delivered_generations: dict[int, int] = {}  # by sidecar: the generation that it was told last
 
     def change(self, endpoint: Endpoint, lifecycle: str) -> None:
         """One line of the list is another from now on."""
-        started = endpoint.started_at
-        line = {
+        started_at = endpoint.started_at
+        entry = {
             "instanceId": endpoint.name,
             "endpoint": endpoint.index,
-            "place": endpoint.place,
+            "place": endpoint.address_index,
             "zone": endpoint.zone,
             "lifecycle": lifecycle,
             "weight": 1.0,
-            "startedAtMs": 0.0 if started is None else (self.unix_at_nought + started) * 1000.0,
+            "startedAtMs": 0.0 if started_at is None else (self.unix_start_time + started_at) * 1000.0,
         }
-        self._log.append((self._ledger.now(), line))
-        self.wake()
+        self._changes.append((self._ledger.now(), entry))
+        self.notify_waiters()
 
-    def wake(self) -> None:
+    def notify_waiters(self) -> None:
         """Have all that wait look again."""
         self._changed.set()
         self._changed = asyncio.Event()
 
-    def die(self) -> None:
-        self.up = False
-        for handler in list(self._handlers):
-            handler.link.close(reset=True)
+    def stop(self) -> None:
+        self.running = False
+        for connection in list(self._handlers):
+            connection.link.close(reset=True)
         self._handlers.clear()
-        self.wake()
+        self.notify_waiters()
 
     def start(self) -> None:
-        self.up = True
+        self.running = True
 
-    def anew(self) -> None:
+    def restart_generations(self) -> None:
         """It counts its generations from 1 again, as one that lost all and was told it once more."""
-        last = {line["instanceId"]: line for _, line in self._log}
+        latest = {entry["instanceId"]: entry for _, entry in self._changes}
         now = self._ledger.now()
-        self._log = [(now, line) for line in last.values() if line["lifecycle"] != "Gone"]
-        self.wake()
+        self._changes = [(now, entry) for entry in latest.values() if entry["lifecycle"] != "Gone"]
+        self.notify_waiters()
 
-    def shift(self, seconds: float) -> None:
+    def shift_clock(self, seconds: float) -> None:
         """The run's clock was set back by so much."""
-        self._log = [(at - seconds, line) for at, line in self._log]
+        self._changes = [(at - seconds, entry) for at, entry in self._changes]
 
-    def shown(self) -> int:
+    def visible_generation(self) -> int:
         """The generation that callers are shown."""
         if self.empty:
             return 0
-        until = self._ledger.now() - self.behind_s
-        return sum(at <= until for at, _ in self._log) if self.behind_s else len(self._log)
+        visible_until = self._ledger.now() - self.behind_s
+        return sum(at <= visible_until for at, _ in self._changes) if self.behind_s else len(self._changes)
 
-    def lines(self, sidecar: int, after: int, until: int) -> list[dict[str, Any]]:
+    def list_entries(
+        self, sidecar: int, after_generation: int, until_generation: int
+    ) -> list[dict[str, Any]]:
         """What a sidecar is told of the changes between two generations; from 0: all that is there."""
-        last: dict[str, dict[str, Any]] = {}
-        for _, line in self._log[after:until]:
-            last[line["instanceId"]] = line
-        told = []
-        for line in last.values():
-            if line["endpoint"] in self.hidden.get(sidecar, ()) or (
-                not after and line["lifecycle"] == "Gone"
+        latest: dict[str, dict[str, Any]] = {}
+        for _, entry in self._changes[after_generation:until_generation]:
+            latest[entry["instanceId"]] = entry
+        entries = []
+        for entry in latest.values():
+            if entry["endpoint"] in self.hidden.get(sidecar, ()) or (
+                not after_generation and entry["lifecycle"] == "Gone"
             ):
                 continue
-            port = self._port(sidecar, line["endpoint"], line["place"])
-            shown = {key: value for key, value in line.items() if key not in ("endpoint", "place")}
-            told.append(shown | {"hostPort": f"127.0.0.1:{port}"})
-        return told
+            port = self._port(sidecar, entry["endpoint"], entry["place"])
+            visible_fields = {key: value for key, value in entry.items() if key not in ("endpoint", "place")}
+            entries.append(visible_fields | {"hostPort": f"127.0.0.1:{port}"})
+        return entries
 
-    def whole(self, sidecar: int) -> dict[str, Any]:
+    def initial_list(self, sidecar: int) -> dict[str, Any]:
         """The list as it is now, for a sidecar that starts with it."""
-        self._shown_to[sidecar] = self.shown()
-        return self.known(sidecar)
+        self._delivered_generations[sidecar] = self.visible_generation()
+        return self.last_delivered_list(sidecar)
 
-    def known(self, sidecar: int) -> dict[str, Any]:
+    def last_delivered_list(self, sidecar: int) -> dict[str, Any]:
         """The list that a sidecar was told last, as a file would have kept it."""
-        until = self._shown_to.get(sidecar, 0)
-        return {"generation": until, "reset": True, "instances": self.lines(sidecar, 0, until)}
+        generation = self._delivered_generations.get(sidecar, 0)
+        return {
+            "generation": generation,
+            "reset": True,
+            "instances": self.list_entries(sidecar, 0, generation),
+        }
 
     def accept(self, connection: LinkConnection, sidecar: int) -> "RegistryConnection":
         handler = RegistryConnection(self, connection, sidecar)
         self._handlers.add(handler)
         return handler
 
-    async def call(self, sidecar: int, target: bytes) -> "Answer | None":
+    async def answer_call(self, sidecar: int, target: bytes) -> "ListResponse | None":
         """None: a refusal."""
         self._ledger.list_calls.append((self._ledger.now(), sidecar))
-        await self._while_silent()
+        await self._wait_while_silent()
         if self.denies:
             return None
-        watch = _WATCH.search(target)
-        whole = watch is None
-        if watch is None:
-            async with self._turn:
+        watch_query = _WATCH_QUERY.search(target)
+        is_snapshot = watch_query is None
+        if watch_query is None:
+            async with self._snapshot_lock:
                 await asyncio.sleep(self.work_ms / 1000.0)
-            after = 0
+            after_generation = 0
         else:
-            after = int(watch[1])
-            if after > len(self._log) or self.empty:  # of before it began anew: told everything
-                after, whole = -1 if after else 0, True
-            until = self._ledger.now() + int(watch[2]) / 1000.0
-            while self.up and self.shown() <= after and (left := until - self._ledger.now()) > 0.0:
+            after_generation = int(watch_query[1])
+            if (
+                after_generation > len(self._changes) or self.empty
+            ):  # of before it began anew: told everything
+                after_generation, is_snapshot = -1 if after_generation else 0, True
+            deadline = self._ledger.now() + int(watch_query[2]) / 1000.0
+            while (
+                self.running
+                and self.visible_generation() <= after_generation
+                and (remaining_s := deadline - self._ledger.now()) > 0.0
+            ):
                 changed = self._changed
-                left = min(left, 0.1) if self.behind_s else left
+                remaining_s = min(remaining_s, 0.1) if self.behind_s else remaining_s
                 try:
-                    await asyncio.wait_for(changed.wait(), left)
+                    await asyncio.wait_for(changed.wait(), remaining_s)
                 except TimeoutError:
                     continue
-        await self._while_silent()
+        await self._wait_while_silent()
         if self.denies:
             return None
-        until_generation = self.shown()
-        lines = self.lines(sidecar, max(after, 0), until_generation)
-        told = {"generation": until_generation, "reset": whole, "instances": lines}
-        states = {line["instanceId"]: line["lifecycle"] for line in lines}
-        return Answer(msgspec.json.encode(told), until_generation, Told(0.0, sidecar, whole, states))
-
-    async def _while_silent(self) -> None:
-        while self.silent and self.up:
+        until_generation = self.visible_generation()
+        entries = self.list_entries(sidecar, max(after_generation, 0), until_generation)
+        body = {"generation": until_generation, "reset": is_snapshot, "instances": entries}
+        states = {entry["instanceId"]: entry["lifecycle"] for entry in entries}
+        return ListResponse(
+            msgspec.json.encode(body), until_generation, Told(0.0, sidecar, is_snapshot, states)
+        )
+
+    async def _wait_while_silent(self) -> None:
+        while self.silent and self.running:
             await self._changed.wait()
 
-    def told(self, answer: "Answer") -> None:
+    def record_delivery(self, response: "ListResponse") -> None:
         """It has come to the sidecar's socket."""
-        answer.told.at = self._ledger.now()
-        self._ledger.tolds.append(answer.told)
-        sidecar = answer.told.sidecar
-        self._shown_to[sidecar] = max(self._shown_to.get(sidecar, 0), answer.generation)
+        response.told.at = self._ledger.now()
+        self._ledger.tolds.append(response.told)
+        sidecar = response.told.sidecar
+        self._delivered_generations[sidecar] = max(
+            self._delivered_generations.get(sidecar, 0), response.generation
+        )
 
-    def forget(self, handler: "RegistryConnection") -> None:
-        self._handlers.discard(handler)
+    def forget(self, connection: "RegistryConnection") -> None:
+        self._handlers.discard(connection)
 
 
 class RegistryConnection:
@@ -180,8 +198,8 @@
         self._parser = http1.RequestParser()
         self._task: asyncio.Task[None] | None = None
 
-    def data(self, data: bytes) -> None:
-        if not self._registry.up:
+    def handle_data(self, data: bytes) -> None:
+        if not self._registry.running:
             return
         try:
             self._parser.feed(data)
@@ -190,19 +208,21 @@
             self.link.close(reset=True)
             return
         if request is not None and request.target.startswith(LIST_TARGET):
-            self._task = asyncio.get_running_loop().create_task(self._serve(request.target))
+            self._task = asyncio.get_running_loop().create_task(self._respond(request.target))
 
-    async def _serve(self, target: bytes) -> None:
+    async def _respond(self, target: bytes) -> None:
         registry = self._registry
-        found = await registry.call(self._sidecar, target)
-        if not registry.up:
+        response = await registry.answer_call(self._sidecar, target)
+        if not registry.running:
             return
-        if found is None:
+        if response is None:
             self.link.write(http1.response_bytes(503, (), b""))
             return
-        self.link.write(http1.response_bytes(200, (), found.body), lambda: registry.told(found))
+        self.link.write(
+            http1.response_bytes(200, (), response.body), lambda: registry.record_delivery(response)
+        )
 
-    def lost(self) -> None:
+    def handle_close(self) -> None:
         if self._task is not None:
             self._task.cancel()
         self._registry.forget(self)
--- a/larkcrank/lab/settings.py
+++ b/larkcrank/lab/settings.py
@@ -2,7 +2,7 @@
 
 from typing import Any
 
-SETTINGS: dict[str, Any] = {
+BASE_SETTINGS: dict[str, Any] = {
     "az": 0,
     "zones": ["here"],
     "kinds": ["plain"],
@@ -56,12 +56,12 @@
 }
 
 
-def merged(base: dict[str, Any], more: dict[str, Any]) -> dict[str, Any]:
+def merge_settings(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
     """`base` with what `more` says: objects are merged, all else replaced."""
-    found = dict(base)
-    for key, value in more.items():
-        if isinstance(value, dict) and isinstance(found.get(key), dict):
-            found[key] = merged(found[key], value)
+    result = dict(base)
+    for key, value in overrides.items():
+        if isinstance(value, dict) and isinstance(result.get(key), dict):
+            result[key] = merge_settings(result[key], value)
         else:
-            found[key] = value
-    return found
+            result[key] = value
+    return result
--- a/larkcrank/lab/stranger.py
+++ b/larkcrank/lab/stranger.py
@@ -16,28 +16,30 @@
 from larkcrank.fleet.wire import SEAL_BYTES, VERSION
 from larkcrank.protocol.discovery import host_port
 
-EACH_S = 0.1
-
-
-class Stranger(asyncio.DatagramProtocol):
-    def __init__(self, fleet: dict[str, Any]) -> None:
-        key = blake2b(f"{fleet['name']}\0{fleet['secret']}".encode(), digest_size=32).digest()
-        head, body = bytes((VERSION + 1,)), msgspec.msgpack.encode(["hello", "from later"])
-        seal = blake2b(head + body, digest_size=SEAL_BYTES, key=key).digest()
-        self.datagram = head + seal + body
-        self.others = [host_port(seed) for seed in fleet["seeds"]]
-        self.heard = 0
+SEND_INTERVAL_S = 0.1
+
+
+class NewerVersionPeer(asyncio.DatagramProtocol):
+    def __init__(self, fleet_config: dict[str, Any]) -> None:
+        seal_key = blake2b(
+            f"{fleet_config['name']}\0{fleet_config['secret']}".encode(), digest_size=32
+        ).digest()
+        header, body = bytes((VERSION + 1,)), msgspec.msgpack.encode(["hello", "from later"])
+        authentication_tag = blake2b(header + body, digest_size=SEAL_BYTES, key=seal_key).digest()
+        self.unreadable_datagram = header + authentication_tag + body
+        self.seed_addresses = [host_port(seed) for seed in fleet_config["seeds"]]
+        self.received_count = 0
         self.transport: asyncio.DatagramTransport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self.heard += 1
+        self.received_count += 1
 
-    def tell(self) -> None:
+    def print_counters(self) -> None:
         print(
-            msgspec.json.encode({"event": "counters", "heard": self.heard}).decode(),
+            msgspec.json.encode({"event": "counters", "heard": self.received_count}).decode(),
             file=sys.stderr,
             flush=True,
         )
@@ -45,14 +47,14 @@
 
 async def main() -> None:
     config = msgspec.json.decode(Path(os.environ["PROXY_CONFIG"]).read_bytes())
-    stranger, loop = Stranger(config["fleet"]), asyncio.get_running_loop()
-    await loop.create_datagram_endpoint(lambda: stranger, local_addr=host_port(config["fleet"]["listen"]))
-    loop.add_signal_handler(signal.SIGUSR1, stranger.tell)
+    peer, loop = NewerVersionPeer(config["fleet"]), asyncio.get_running_loop()
+    await loop.create_datagram_endpoint(lambda: peer, local_addr=host_port(config["fleet"]["listen"]))
+    loop.add_signal_handler(signal.SIGUSR1, peer.print_counters)
     print('{"event": "ready"}', file=sys.stderr, flush=True)
-    while stranger.transport is not None:
-        for other in stranger.others:
-            stranger.transport.sendto(stranger.datagram, other)
-        await asyncio.sleep(EACH_S)
+    while peer.transport is not None:
+        for address in peer.seed_addresses:
+            peer.transport.sendto(peer.unreadable_datagram, address)
+        await asyncio.sleep(SEND_INTERVAL_S)
 
 
 if __name__ == "__main__":
--- a/tests/test_lab_clients.py
+++ b/tests/test_lab_clients.py
@@ -8,11 +8,11 @@
 from larkcrank.config.settings import convert
 from larkcrank.lab.clients import Clients
 from larkcrank.lab.ledger import Ask, Ledger
-from larkcrank.lab.scenario import Load
-from larkcrank.lab.settings import SETTINGS
+from larkcrank.lab.scenario import LoadSettings
+from larkcrank.lab.settings import BASE_SETTINGS
 from larkcrank.protocol import http1
 
-CLASSES = {cls.name: cls for cls in convert(SETTINGS).decisions.classes}
+CLASSES = {cls.name: cls for cls in convert(BASE_SETTINGS).decisions.classes}
 LONG_S = 30.0
 
 
@@ -48,11 +48,11 @@
     door.server = await asyncio.start_server(door.serve, "127.0.0.1", 0)
     place = door.server.sockets[0].getsockname()[:2]
     ledger = Ledger()
-    load = Load(rate=1.0, classes={"look": 1.0}, repeats=repeats)
+    load = LoadSettings(rate=1.0, classes={"look": 1.0}, repeats=repeats)
     clients = Clients(0, load, CLASSES, lambda: place, Random(1), ledger, LONG_S)
     try:
         for _ in range(count):
-            clients._begin(ledger.now(), "look", 0)
+            clients._start_request(ledger.now(), "look", 0)
             await asyncio.wait_for(clients.finish(), LONG_S)
     finally:
         clients.close()
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -22,7 +22,15 @@
 from larkcrank.command.main import main
 from larkcrank.lab import bench, report, scenario
 from larkcrank.lab.processes import ProcessError
-from larkcrank.lab.scenario import Endpoints, FaultLine, Fleet, Load, Scenario, Settle, Window
+from larkcrank.lab.scenario import (
+    EndpointSettings,
+    Fault,
+    FleetSettings,
+    LoadSettings,
+    Scenario,
+    SettleCheck,
+    Window,
+)
 from tests.test_program import ROOT
 from tests.wrong_sidecar import WAYS
 
@@ -57,12 +65,12 @@
     wrong = Scenario(
         name="wrong",
         seconds=4.5,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=len(WAYS),
             command=[sys.executable, "-m", "tests.wrong_sidecar"],
             settings={"grades": GRADES},
         ),
-        endpoints=Endpoints(
+        endpoints=EndpointSettings(
             count=4,
             workers=32,
             service_ms=20.0,
@@ -71,16 +79,16 @@
             fall_multiple=0.1,
             fall_ms=1000.0,
         ),
-        load=Load(rate=8.0, classes={"look": 1.0, "order": 1.0, "step": 1.0}, subjects=1),
+        load=LoadSettings(rate=8.0, classes={"look": 1.0, "order": 1.0, "step": 1.0}, subjects=1),
         faults=[
-            FaultLine(at=0.2, what="drain", who=["endpoints:0"]),
-            FaultLine(at=0.1, what="restart", who=["endpoints:3"]),
-            FaultLine(at=0.0, what="crowd", who=["endpoints:2"], times=125.0),
+            Fault(at=0.2, what="drain", who=["endpoints:0"]),
+            Fault(at=0.1, what="restart", who=["endpoints:3"]),
+            Fault(at=0.0, what="crowd", who=["endpoints:2"], times=125.0),
         ],
         grace_ms=500.0,
         slack_ms=1000.0,
     )
-    played = bench.play(wrong, quiet)
+    played = bench.run_scenario(wrong, quiet)
     found: dict[str, set[str]] = defaultdict(set)
     for breach in played.breaches:
         kind, _, number = breach.who.partition(" ")
@@ -162,35 +170,35 @@
     fields: dict[str, Any] = {
         "name": "tiny",
         "seconds": 1.0,
-        "fleet": Fleet(processes=2),
-        "endpoints": Endpoints(count=2, service_ms=5.0),
-        "load": Load(rate=10.0, classes={"look": 1.0}),
+        "fleet": FleetSettings(processes=2),
+        "endpoints": EndpointSettings(count=2, service_ms=5.0),
+        "load": LoadSettings(rate=10.0, classes={"look": 1.0}),
         "slack_ms": 15000.0,
     }
     return Scenario(**(fields | more))
 
 
 def test_an_expectation_that_is_missed_fails_the_run() -> None:
-    dead = FaultLine(at=0.0, what="kill", who=["sidecars"])
+    dead = Fault(at=0.0, what="kill", who=["sidecars"])
     window = Window(name="all", since=0.0, to=1.0, at_least=0.5)
-    settle = Settle(at=0.1, within=0.3)
+    settle = SettleCheck(at=0.1, within=0.3)
     one = tiny(faults=[dead], windows=[window], settles=[settle])
-    result = report.summary(one, bench.play(one, quiet))
+    result = report.summary(one, bench.run_scenario(one, quiet))
     assert not result.passed and result.unsettled == 1 and result.windows[0].served < 0.5
     calm = tiny(windows=[window])
-    assert report.summary(calm, bench.play(calm, quiet)).passed
+    assert report.summary(calm, bench.run_scenario(calm, quiet)).passed
 
 
 def test_the_load_goes_on_while_a_counter_that_needs_it_is_waited_for() -> None:
     """On a slow machine it was over before the processes were up again; here it is over at once."""
-    one = tiny(seconds=0.0, settles=[Settle(at=0.0, counter="served", least=3, within=20.0)])
-    played = bench.play(one, quiet)
+    one = tiny(seconds=0.0, settles=[SettleCheck(at=0.0, counter="served", least=3, within=20.0)])
+    played = bench.run_scenario(one, quiet)
     assert played.settled[0].took < 20.0 and played.breaches == []
 
 
 def test_a_port_that_another_bench_takes_meanwhile_keeps_no_member_out() -> None:
     """A member that can't bind keeps no view: the fleet then waits for it until its time is up."""
-    place = bench._free_datagram_port()
+    place = bench._free_datagram_address()
     with (
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as theirs,
         socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as ours,
@@ -198,14 +206,14 @@
         theirs.bind(("127.0.0.1", place[1]))  # as any other program on this machine would
         ours.bind(place)
     with multiprocessing.get_context("fork").Pool(1) as pool:
-        other = pool.apply(bench._free_datagram_port)
+        other = pool.apply(bench._free_datagram_address)
     assert other[0] != place[0] and other[0].startswith("127.")
 
 
 def test_told_different_things_callers_send_to_different_endpoints() -> None:
-    hide = FaultLine(at=0.0, what="hide", between=[["sidecars:1"], ["endpoints:0"]])
-    one = tiny(seconds=3.0, faults=[hide], discovery=scenario.DiscoveryPart(work_ms=5.0, known=False))
-    played = bench.play(one, quiet)
+    hide = Fault(at=0.0, what="hide", between=[["sidecars:1"], ["endpoints:0"]])
+    one = tiny(seconds=3.0, faults=[hide], discovery=scenario.DiscoverySettings(work_ms=5.0, known=False))
+    played = bench.run_scenario(one, quiet)
     told = {
         name for line in played.ledger.tolds if line.sidecar == 1 and line.at > 0.0 for name in line.states
     }
@@ -215,17 +223,19 @@
 
 def test_datagrams_between_members_go_by_their_own_ways() -> None:
     """A cut of one way between two of four: what the other way and the other pairs bring goes on."""
-    fleet = Fleet(
+    fleet = FleetSettings(
         processes=4,
         command=[sys.executable, "-m", "tests.datagram_peer"],
         datagrams=True,
         config={"own": "{own}", "public": "{public}", "all": "{all}"},
     )
-    cut = FaultLine(at=0.0, what="cut", between=[["sidecars:0"], ["sidecars:1"]], one_way=True)
-    heard = Settle(at=0.0, who=["sidecars:0-1", "sidecars:3"], counter="from_2", least=20)
-    alone = Settle(at=0.0, who=["sidecars:0"], counter="from_1", least=20)
-    one = tiny(fleet=fleet, faults=[cut], settles=[heard, alone], load=Load(rate=0.0, classes={"look": 1.0}))
-    played = bench.play(one, quiet)
+    cut = Fault(at=0.0, what="cut", between=[["sidecars:0"], ["sidecars:1"]], one_way=True)
+    heard = SettleCheck(at=0.0, who=["sidecars:0-1", "sidecars:3"], counter="from_2", least=20)
+    alone = SettleCheck(at=0.0, who=["sidecars:0"], counter="from_1", least=20)
+    one = tiny(
+        fleet=fleet, faults=[cut], settles=[heard, alone], load=LoadSettings(rate=0.0, classes={"look": 1.0})
+    )
+    played = bench.run_scenario(one, quiet)
     assert all(settled.took < LONG_S for settled in played.settled)
     came = played.counters
     assert came["from_0"] < came["from_2"] and came["from_1"] > 20
@@ -254,9 +264,9 @@
         "import asyncio, sys, os; from larkcrank.program.start import serve;"
         "import threading; threading.Timer(1.0, lambda: os._exit(9)).start(); serve()"
     )
-    one = tiny(seconds=30.0, fleet=Fleet(processes=1, command=[sys.executable, "-c", code]))
+    one = tiny(seconds=30.0, fleet=FleetSettings(processes=1, command=[sys.executable, "-c", code]))
     with pytest.raises(ProcessError, match=r"sidecar 0 ended by itself with 9; its last lines: .*ready"):
-        bench.play(one, quiet)
+        bench.run_scenario(one, quiet)
 
 
 def test_what_a_link_costs_is_measured() -> None:
@@ -282,8 +292,8 @@
         until(lambda: not any(child.is_running() and child.status() != "zombie" for child in children))
         assert run.returncode != 0
         assert not list(tmp_path.rglob(report.RESULT))
-        bench._sweep()  # as the next run does
-        left = Path(tempfile.gettempdir()).glob(f"{bench.FOLDER}{run.pid}-*")
+        bench._remove_abandoned_folders()  # as the next run does
+        left = Path(tempfile.gettempdir()).glob(f"{bench.TEMP_FOLDER_PREFIX}{run.pid}-*")
         assert not list(left)
     finally:
         run.kill()
--- a/tests/test_lab_links.py
+++ b/tests/test_lab_links.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from larkcrank.lab.links import DatagramRelay, Link, LinkConnection, Way, datagram_relays
+from larkcrank.lab.links import DatagramRelay, Link, LinkConnection, LinkDirection, open_datagram_relays
 from tests.bed import run, until
 
 
@@ -19,17 +19,17 @@
     def __init__(self, link: LinkConnection) -> None:
         self.link, self.got, self.is_lost = link, b"", False
 
-    def data(self, data: bytes) -> None:
+    def handle_data(self, data: bytes) -> None:
         self.got += data
         self.link.write(data)
 
-    def lost(self) -> None:
+    def handle_close(self) -> None:
         self.is_lost = True
 
 
 class Bed:
     def __init__(self) -> None:
-        self.up, self.down = Way(Random(1)), Way(Random(2))
+        self.up, self.down = LinkDirection(Random(1)), LinkDirection(Random(2))
         self.ends: list[Echo] = []
         self.link = Link(self.up, self.down, self.connected, lambda: 0.0)
 
@@ -71,7 +71,7 @@
             writer.write(b"a")
             assert await reader.readexactly(1) == b"a"
             getattr(one, which).cut = True
-            one.link.follow()
+            one.link.apply_faults()
             writer.write(b"b")
             answer = asyncio.create_task(reader.readexactly(1))
             await asyncio.sleep(0.1)
@@ -86,7 +86,7 @@
                 sock.getpeername()
             sock.close()
             getattr(one, which).cut = False
-            one.link.follow()
+            one.link.apply_faults()
             assert await answer == b"b"
             assert len(one.ends) == 1  # the connection that filled the queue was none of a sidecar's
             writer.close()
@@ -101,13 +101,13 @@
             writer.write(b"a")
             await reader.readexactly(1)
             one.down.cut = True
-            one.link.follow()
+            one.link.apply_faults()
             one.ends[0].link.close(reset=True)
             end = asyncio.create_task(reader.read(1))
             await asyncio.sleep(0.05)
             assert not end.done()
             one.down.cut = False
-            one.link.follow()
+            one.link.apply_faults()
             with pytest.raises(ConnectionError):
                 await end
 
@@ -121,18 +121,18 @@
             writer.write(b"a")
             await reader.readexactly(1)
             one.up.refuse = True
-            one.link.follow()
+            one.link.apply_faults()
             with pytest.raises(ConnectionError):
                 await reader.readexactly(1)
             with pytest.raises(ConnectionRefusedError):
                 await one.open()
             one.up.refuse = False
-            one.link.far_up = False
-            one.link.follow()
+            one.link.far_end_listening = False
+            one.link.apply_faults()
             with pytest.raises(ConnectionRefusedError):
                 await one.open()
-            one.link.far_up = True
-            one.link.follow()
+            one.link.far_end_listening = True
+            one.link.apply_faults()
             _, writer = await one.open()
             writer.close()
 
@@ -143,7 +143,7 @@
     async def play() -> None:
         async with bed() as one:
             before = one.link.ports[-1]
-            one.link.move()
+            one.link.move_to_new_port()
             assert one.link.ports[-1] != before
             with pytest.raises(ConnectionRefusedError):
                 await asyncio.open_connection("127.0.0.1", before)
@@ -172,15 +172,15 @@
 
 
 def test_a_narrow_way() -> None:
-    way = Way(Random(1))
+    way = LinkDirection(Random(1))
     way.bytes_per_s = 1000.0
-    assert [way.passes_at(10.0, 500) for _ in range(3)] == [10.5, 11.0, 11.5]
+    assert [way.delivery_time(10.0, 500) for _ in range(3)] == [10.5, 11.0, 11.5]
 
 
 def test_lost_segments_come_later() -> None:
-    way = Way(Random(1))
+    way = LinkDirection(Random(1))
     way.loss = 0.2
-    waits = [way.passes_at(0.0, 1000) for _ in range(2000)]
+    waits = [way.delivery_time(0.0, 1000) for _ in range(2000)]
     assert 0.75 < waits.count(0.0) / len(waits) < 0.85
     assert any(wait >= 0.6 for wait in waits)  # lost twice in a row: the time doubles
 
@@ -198,13 +198,13 @@
 
     def send(self, data: bytes, to: DatagramRelay) -> None:
         assert self.transport is not None
-        self.transport.sendto(data, to.place)
+        self.transport.sendto(data, to.public_address)
 
 
 def test_datagrams_go_by_the_way_of_their_pair() -> None:
     async def play() -> None:
-        ways = {(i, j): Way(Random(i * 3 + j)) for i in range(3) for j in range(3)}
-        relays = await datagram_relays(3, lambda i, j: ways[i, j])
+        ways = {(i, j): LinkDirection(Random(i * 3 + j)) for i in range(3) for j in range(3)}
+        relays = await open_datagram_relays(3, lambda i, j: ways[i, j])
         members: list[Member] = []
         for relay in relays:
             member = Member()
@@ -213,19 +213,19 @@
                 local_addr=("127.0.0.1", 0),
             )
             members.append(member)
-            relay.member = transport.get_extra_info("sockname")
+            relay.member_address = transport.get_extra_info("sockname")
         try:
             ways[0, 2].cut = True  # one way, of one pair
             ways[1, 2].duplicate = 1.0
             for data, source, to in ((b"a", 0, 1), (b"b", 0, 2), (b"c", 1, 2), (b"d", 2, 0)):
                 members[source].send(data, relays[to])
             await until(lambda: len(members[2].got) == 2 and bool(members[0].got) and bool(members[1].got))
-            assert members[1].got == [(b"a", relays[0].place)]  # by the sender's public address
-            assert members[2].got == [(b"c", relays[1].place)] * 2
-            assert members[0].got == [(b"d", relays[2].place)]
+            assert members[1].got == [(b"a", relays[0].public_address)]  # by the sender's public address
+            assert members[2].got == [(b"c", relays[1].public_address)] * 2
+            assert members[0].got == [(b"d", relays[2].public_address)]
             stranger = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-            stranger.sendto(b"x", relays[0].place)
-            await until(lambda: relays[0].strangers == 1)
+            stranger.sendto(b"x", relays[0].public_address)
+            await until(lambda: relays[0].unknown_senders == 1)
             stranger.close()
         finally:
             for opened in [one.transport for one in relays] + [one.transport for one in members]:
@@ -235,12 +235,12 @@
     run(play())
 
 
-def shares(way: Way, test: Callable[[list[float]], bool]) -> float:
-    return sum(test(way.datagram(0.0)) for _ in range(4000)) / 4000
+def shares(way: LinkDirection, test: Callable[[list[float]], bool]) -> float:
+    return sum(test(way.datagram_delivery_times(0.0)) for _ in range(4000)) / 4000
 
 
 def test_datagrams_are_lost_doubled_and_overtaken_at_the_stated_share() -> None:
-    way = Way(Random(3))
+    way = LinkDirection(Random(3))
     way.loss = 0.3
     assert 0.27 < shares(way, lambda times: not times) < 0.33
     way.loss, way.duplicate = 0.0, 0.2
@@ -248,4 +248,4 @@
     way.duplicate, way.reorder = 0.0, 0.25
     assert 0.2 < shares(way, lambda times: times[0] > 0.0) < 0.3
     way.cut = True
-    assert way.datagram(0.0) == []
+    assert way.datagram_delivery_times(0.0) == []
--- a/tests/test_lab_scenario.py
+++ b/tests/test_lab_scenario.py
@@ -74,23 +74,23 @@
 def test_names_of_groups(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text(GOOD)
-    found = scenario.load(path, seed=9)
+    found = scenario.load_scenario(path, seed=9)
     assert found.seed == 9
 
     def sidecars(name: str) -> set[int]:
-        return scenario.members([name], found)["sidecars"]
+        return scenario.resolve_members([name], found)["sidecars"]
 
     assert sidecars("sidecars") == set(range(6))
     assert sidecars("sidecars:odd") == {1, 3, 5}
     assert sidecars("sidecars:0,3-4") == {0, 3, 4}
     assert sidecars("sidecars:zone=b") == {1, 3, 5}
-    both = scenario.members(["sidecars:1", "endpoints:2-3", "discovery"], found)
+    both = scenario.resolve_members(["sidecars:1", "endpoints:2-3", "discovery"], found)
     assert both == {"sidecars": {1}, "endpoints": {2, 3}, "discovery": {0}}
 
 
 @pytest.mark.parametrize("path", sorted((ROOT / "examples/scenarios").glob("*.toml")), ids=lambda p: p.stem)
 def test_the_examples_are_good(path: Path) -> None:
-    assert scenario.load(path).name == path.stem
+    assert scenario.load_scenario(path).name == path.stem
 
 
 def test_a_configuration_is_checked(tmp_path: Path) -> None:
