--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -78,7 +78,7 @@
 
     log = _configure_log()
     try:
-        first_scenario = scenarios.load(scenario, seed)
+        first_scenario = scenarios.load_scenario(scenario, seed)
     except scenarios.ScenarioError as error:
         _exit_bad_input(str(error))
     results = []
@@ -95,7 +95,7 @@
                 seed=run_scenario.seed,
                 processes=run_scenario.fleet.processes,
             )
-            recording = bench.play(run_scenario, lambda text: log.info("progress", text=text))
+            recording = bench.run_scenario(run_scenario, lambda text: log.info("progress", text=text))
             if directory is not None:
                 recording.ledger.write(directory / "ledger.jsonl")
         except (ProcessError, bench.BenchError) as error:
@@ -146,7 +146,7 @@
     from larkcrank.lab import cost
 
     click.echo("| way | p50, us | p99, us | CPU, us |\n| --- | --- | --- | --- |")
-    for name, round_trips in zip(("direct", "through a link"), cost.measure(count), strict=True):
+    for name, round_trips in zip(("direct", "through a link"), cost.measure_link_cost(count), strict=True):
         click.echo(
             f"| {name} | {round_trips.p50_us:.0f} | {round_trips.p99_us:.0f} | {round_trips.cpu_us:.0f} |"
         )
--- a/larkcrank/lab/report.py
+++ b/larkcrank/lab/report.py
@@ -12,12 +12,12 @@
 from hdrh.histogram import HdrHistogram
 
 from larkcrank.config.settings import convert
-from larkcrank.lab.bench import Played, Settled, Use
-from larkcrank.lab.endpoints import excess, nearness
+from larkcrank.lab.bench import ResourceUsage, RunOutcome, SettleResult
+from larkcrank.lab.endpoints import excess_in_sqrt_units, limit_utilisation
 from larkcrank.lab.ledger import Ask
 from larkcrank.lab.rules import Breach
-from larkcrank.lab.scenario import Scenario, members
-from larkcrank.lab.settings import SETTINGS, merged
+from larkcrank.lab.scenario import Scenario, resolve_members
+from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
@@ -57,9 +57,9 @@
     breaches: list[Breach]
     by_rule: dict[str, int]
     windows: list[Share]
-    settled: list[Settled]
+    settled: list[SettleResult]
     unsettled: int
-    use: Use
+    use: ResourceUsage
     lag_ms: float
     seconds: list[float]  # served share of each second; -1: nobody asked
     faults: list[tuple[float, str, str]]
@@ -71,11 +71,11 @@
 
 def aims(scenario: Scenario) -> dict[str, float]:
     """Seconds from the intended time within which an answer earns, by class."""
-    decisions = convert(merged(SETTINGS, scenario.fleet.settings)).decisions
+    decisions = convert(merge_settings(BASE_SETTINGS, scenario.fleet.settings)).decisions
     return {cls.name: cls.aim_ms / 1000.0 for cls in decisions.classes}
 
 
-def summary(scenario: Scenario, played: Played) -> Result:
+def summary(scenario: Scenario, played: RunOutcome) -> Result:
     ledger, aim = played.ledger, aims(scenario)
     meant: dict[str, tuple[Ask, bool]] = {}  # each intention once, however often its client came back
     latencies = HdrHistogram(1, MOST_US, 3)
@@ -94,7 +94,7 @@
     everyone = set(range(scenario.fleet.processes))
     windows = []
     for window in scenario.windows:
-        served, asked = share(window.since, window.to, members(window.who, scenario)["sidecars"])
+        served, asked = share(window.since, window.to, resolve_members(window.who, scenario)["sidecars"])
         windows.append(Share(window.name, served, asked, window.at_least))
     served, asked = share(-math.inf, math.inf, everyone)
     back = [ask for ask in ledger.asks if ask.first != ask.id]
@@ -130,7 +130,7 @@
         {key: value for key, value in played.counters.items() if isinstance(value, int)},
         len(back),
         sum(ask.status == 200 for ask in back) / len(back) if back else -1.0,
-        ledger.cold,
+        ledger.worst_cold_windows,
     )
 
 
@@ -153,11 +153,11 @@
     if result.came_back:
         found |= {"came back": float(result.came_back), "served, of those": result.came_back_served}
     if result.cold:
-        calls, allowed = max(result.cold.values(), key=lambda one: nearness(*one))
+        calls, allowed = max(result.cold.values(), key=lambda one: limit_utilisation(*one))
         found["calls at a cold endpoint, in the worst window"] = calls
         found["N then"] = allowed
-        found["beyond N, in roots of N"] = excess(calls, allowed)
-        shares = [nearness(*one) for one in result.cold.values()]
+        found["beyond N, in roots of N"] = excess_in_sqrt_units(calls, allowed)
+        shares = [limit_utilisation(*one) for one in result.cold.values()]
         found["share of N and chance, worst"] = max(shares)
         found["share of N and chance, median of the cold ones"] = median(shares)
     found |= {f"served, {one.name}": one.served for one in result.windows}
--- a/larkcrank/lab/scale/hollow.py
+++ b/larkcrank/lab/scale/hollow.py
@@ -30,7 +30,7 @@
 from larkcrank.core.interface import Action, Event, ServerList
 from larkcrank.lab.scale.children import WAIT_S, Child, Commands, close_all
 from larkcrank.lab.scale.machine import MIB, LimitError, held_mib, look
-from larkcrank.lab.settings import SETTINGS, merged
+from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
 from larkcrank.program.together import FleetMember
@@ -322,12 +322,12 @@
 
 
 def _parse(spec: Spec, number: int) -> configuration.Config:
-    file = merged(
+    file = merge_settings(
         {
             "name": f"hollow-{number}",
             "listen": "127.0.0.1:0",  # never bound
             "discovery": spec.discovery[number % len(spec.discovery)],
-            "settings": merged(SETTINGS, spec.settings),
+            "settings": merge_settings(BASE_SETTINGS, spec.settings),
             "seed": f"{spec.seed * 1_000_003 + number:x}",
             "limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB},
         },
--- a/larkcrank/lab/scale/measure.py
+++ b/larkcrank/lab/scale/measure.py
@@ -17,7 +17,7 @@
 
 import psutil
 
-from larkcrank.lab.processes import Child as SidecarProcess
+from larkcrank.lab.processes import SidecarProcess
 from larkcrank.lab.scale import machine
 from larkcrank.lab.scale.children import close_all
 from larkcrank.lab.scale.hollow import HollowHosts, HollowReport, HostReport
@@ -25,7 +25,7 @@
 from larkcrank.lab.scale.registry import Account, RegistryProcess
 from larkcrank.lab.scale.registry import Spec as RegistrySpec
 from larkcrank.lab.scale.series import Series
-from larkcrank.lab.settings import SETTINGS, merged
+from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 
 LOOK_S = 0.02
 WATCHERS_LOOK_S = 0.1  # where discovery's own processor time is measured, it is asked less often
@@ -170,7 +170,7 @@
             children = [SidecarProcess(n, Path(folder), [], lambda *_: None) for n in range(count)]
             config = {
                 "discovery": registry.place,
-                "settings": merged(SETTINGS, series.settings),
+                "settings": merge_settings(BASE_SETTINGS, series.settings),
                 "limits": {"sockets": 1024, "memory_mb": 192.0},
             }
 
@@ -187,7 +187,7 @@
                 found = {
                     "sidecar-memory": sum(held) / count / machine.MIB,
                     "sidecar-start-cpu": started / count * 1000.0,
-                    "sidecar-start": statistics.median(child.started_s for child in children) * 1000.0,
+                    "sidecar-start": statistics.median(child.startup_s for child in children) * 1000.0,
                     "sidecar-list-bytes": account.bytes_out / count,
                 }
                 before, began = cpu_s(), time.monotonic()
@@ -331,9 +331,9 @@
 ) -> AsyncIterator[HollowHosts]:
     settings = series.settings
     if series.by == "watchers":
-        settings = merged(settings, {"bounds": {"connect-timeout-ms": PATIENT_MS}})
+        settings = merge_settings(settings, {"bounds": {"connect-timeout-ms": PATIENT_MS}})
     if series.by == "members":
-        settings = merged(settings, {"bounds": {"peers": True}})
+        settings = merge_settings(settings, {"bounds": {"peers": True}})
     spec = HollowSpec(
         count=series.count(size),
         discovery=[registry.place for registry in registries],
--- a/larkcrank/lab/scale/path.py
+++ b/larkcrank/lab/scale/path.py
@@ -29,13 +29,13 @@
 import numpy
 import uvloop
 
-from larkcrank.lab.processes import Child, ProcessError
+from larkcrank.lab.processes import ProcessError, SidecarProcess
 from larkcrank.lab.scale import machine, slopes
 from larkcrank.lab.scale.alarm import Alarm
 from larkcrank.lab.scale.fit import FitError
 from larkcrank.lab.scale.slopes import Slope, made
 from larkcrank.lab.scale.stamped import FILE, QUEUED, STAGES, Stamps
-from larkcrank.lab.settings import SETTINGS, merged
+from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 
 RATES = (20, 80, 200, 400)  # calls a second of one sidecar; 940,000 over 12,000 are 78
 SEEDS = (1, 2, 3)
@@ -332,9 +332,9 @@
     known = {"generation": 1, "reset": True, "instances": lines}
     discovery = await loop.create_server(lambda: _Discovery(msgspec.json.encode(known)), "127.0.0.1", 0)
     command = ["python", "-m", "larkcrank.lab.scale.stamped"] if stamped else []
-    child = Child(0, folder, command, lambda *_: None)
+    child = SidecarProcess(0, folder, command, lambda *_: None)
     try:
-        settings = merged(SETTINGS, {"n-instances": 28})
+        settings = merge_settings(BASE_SETTINGS, {"n-instances": 28})
         address = discovery.sockets[0].getsockname()
         await child.start(
             {
@@ -345,8 +345,8 @@
                 "settings": settings,
             }
         )
-        assert child.place is not None and child.pid is not None
-        port = child.place[1]
+        assert child.client_address is not None and child.pid is not None
+        port = child.client_address[1]
         for _ in range(CONNECTIONS):
             await bench.open(False, port)
             await bench.open(True, rng.choice(ports))
@@ -370,7 +370,7 @@
             await asyncio.sleep(0.05)
         gc.enable()
         load = os.getloadavg()[0]
-        await child.end()
+        await child.terminate()
     finally:
         gc.enable()
         await child.close()
@@ -380,7 +380,7 @@
     timed = [one for one in bench.calls.values() if one.sent >= begin + WARM_S]
     ways = {direct: [one for one in timed if one.direct is direct and one.back] for direct in (True, False)}
     if not all(ways.values()):
-        raise PathError(f"no answers; the sidecar's last lines: {list(child.lines)}")
+        raise PathError(f"no answers; the sidecar's last lines: {list(child.recent_log_lines)}")
     stamps = msgspec.json.decode((folder / FILE).read_bytes(), type=Stamps) if stamped else {}
     quiet = quiet_of(ways[False], stamps)
     return Run(
--- a/larkcrank/lab/scale/series.py
+++ b/larkcrank/lab/scale/series.py
@@ -9,7 +9,7 @@
 from larkcrank.config.settings import SettingsError, convert
 from larkcrank.lab.scale.fit import LEAST_REPEATS, LEAST_SIZES
 from larkcrank.lab.scale.registry import LOG_MOST
-from larkcrank.lab.settings import SETTINGS, merged
+from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 
 MOST_SIZE = 100_000
 LISTED_MOST = 20_000  # lines: the sidecar takes 4 MiB of a list
@@ -98,6 +98,6 @@
     if (found.by == "members") != bool(found.fleet):
         raise ValueError("fleet: it is needed by members, and by nothing else")
     try:
-        convert(merged(SETTINGS, found.settings))
+        convert(merge_settings(BASE_SETTINGS, found.settings))
     except SettingsError as error:
         raise ValueError(str(error)) from None
--- a/larkcrank/lab/scale/view.py
+++ b/larkcrank/lab/scale/view.py
@@ -32,7 +32,7 @@
 from larkcrank.fleet.records import Record, Standing
 from larkcrank.fleet.speaker import Speaker
 from larkcrank.fleet.wire import Ack, Codec, Ping, Reply
-from larkcrank.lab.processes import end_with_parent
+from larkcrank.lab.processes import kill_when_parent_exits
 from larkcrank.lab.scale import machine, slopes
 from larkcrank.lab.scale.fit import FitError
 from larkcrank.lab.scale.slopes import Slope, made
@@ -500,7 +500,7 @@
 
 def _pool(jobs: int) -> ProcessPoolExecutor:
     """Workers that end with whoever started them."""
-    return ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), end_with_parent)
+    return ProcessPoolExecutor(jobs, multiprocessing.get_context("spawn"), kill_when_parent_exits)
 
 
 def read_plays(file: Path) -> dict[Case, Found]:
--- a/larkcrank/lab/tiers.py
+++ b/larkcrank/lab/tiers.py
@@ -19,7 +19,7 @@
 
 import psutil
 
-from larkcrank.lab.processes import end_with_parent
+from larkcrank.lab.processes import kill_when_parent_exits
 from larkcrank.protocol import http1
 
 Place: TypeAlias = tuple[str, int]
@@ -522,7 +522,7 @@
             stdout=asyncio.subprocess.DEVNULL,
             stderr=asyncio.subprocess.PIPE,
             limit=1 << 22,
-            preexec_fn=end_with_parent,
+            preexec_fn=kill_when_parent_exits,
         )
         self.lives += 1
         self._up: asyncio.Event = asyncio.Event()
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -9,9 +9,9 @@
 from larkcrank.core.interface import Endpoint, Outcome, Request, Result, Send, ServerList, Settings
 from larkcrank.lab.cold import Case, Scenario, play
 from larkcrank.lab.endpoints import Endpoint as BenchEndpoint
-from larkcrank.lab.endpoints import Keys, excess, nearness
+from larkcrank.lab.endpoints import IdempotencyKeys, excess_in_sqrt_units, limit_utilisation
 from larkcrank.lab.ledger import Ledger
-from larkcrank.lab.scenario import Endpoints
+from larkcrank.lab.scenario import EndpointSettings
 from tests.test_balancer import CLASSES, VIEW, server_address
 
 DENSE = Case(
@@ -71,17 +71,21 @@
     """Ten workers at 100 ms, a tenth of that while cold, twice for 2 s: N is 40 requests of mean work."""
     now, ledger = 10.0, Ledger()
     monkeypatch.setattr(ledger, "now", lambda: now)
-    settings = Endpoints(
+    settings = EndpointSettings(
         1, workers=10, service_ms=100.0, cold_from=0.1, warm_after_ms=1e9, fall_multiple=2.0, fall_ms=2000.0
     )
-    endpoint = BenchEndpoint(0, "s-0", "here", settings, {}, Keys(), Random(1), ledger, lambda _: None)
+    endpoint = BenchEndpoint(
+        0, "s-0", "here", settings, {}, IdempotencyKeys(), Random(1), ledger, lambda _: None
+    )
     endpoint.start()
     for each, work_ms in ((12.0, 100.0), (12.5, 50.0), (13.0, 300.0), (16.0, 100.0)):
         now = each
-        endpoint._watch_cold(work_ms)
-    calls, allowed = ledger.cold["s-0"]
+        endpoint._check_cold_overload(work_ms)
+    calls, allowed = ledger.worst_cold_windows["s-0"]
     assert calls == pytest.approx(4.5) and allowed == pytest.approx(40.0, rel=1e-3)
-    assert excess(49.0, 36.0) == pytest.approx(13.0 / 6.0) and nearness(50.0, 36.0) == pytest.approx(1.0)
+    assert excess_in_sqrt_units(49.0, 36.0) == pytest.approx(13.0 / 6.0) and limit_utilisation(
+        50.0, 36.0
+    ) == pytest.approx(1.0)
     for _ in range(40):
-        endpoint._watch_cold(100.0)
-    assert endpoint.fell and ledger.cold["s-0"][0] == pytest.approx(41.0)
+        endpoint._check_cold_overload(100.0)
+    assert endpoint.collapsed and ledger.worst_cold_windows["s-0"][0] == pytest.approx(41.0)
--- a/tests/test_fleet_program.py
+++ b/tests/test_fleet_program.py
@@ -8,7 +8,15 @@
 
 from larkcrank.command.main import main
 from larkcrank.lab import bench
-from larkcrank.lab.scenario import Endpoints, FaultLine, Fleet, Load, Own, Scenario, Settle
+from larkcrank.lab.scenario import (
+    EndpointSettings,
+    Fault,
+    FleetSettings,
+    LoadSettings,
+    ProcessOverride,
+    Scenario,
+    SettleCheck,
+)
 from tests import bed as b
 from tests.frames import CONFIG
 from tests.test_program import next_event, running_process
@@ -27,25 +35,25 @@
     one = Scenario(
         name="view",
         seconds=50.0,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=5, datagrams=True, config={"fleet": FLEET}, settings={"bounds": {"peers": True}}
         ),
-        endpoints=Endpoints(count=2, service_ms=5.0),
-        load=Load(rate=2.0, classes={"look": 1.0}),
+        endpoints=EndpointSettings(count=2, service_ms=5.0),
+        load=LoadSettings(rate=2.0, classes={"look": 1.0}),
         faults=[
-            FaultLine(at=10.0, what="kill", who=["sidecars:4"], last=40.0),
-            FaultLine(at=10.0, what="cut", between=[["sidecars:0-1"], ["sidecars:2-3"]], last=40.0),
+            Fault(at=10.0, what="kill", who=["sidecars:4"], last=40.0),
+            Fault(at=10.0, what="cut", between=[["sidecars:0-1"], ["sidecars:2-3"]], last=40.0),
         ],
         settles=[
             # Both sides go on, each with its own view; all five know each other before and after.
-            Settle(at=0.0, answer="200 live 5 ", **settle),
-            Settle(at=10.0, who=["sidecars:0-1"], answer="200 live 2 ", **settle),
-            Settle(at=10.0, who=["sidecars:2-3"], answer="200 live 2 ", **settle),
-            Settle(at=50.0, answer="200 live 5 ", **settle),
+            SettleCheck(at=0.0, answer="200 live 5 ", **settle),
+            SettleCheck(at=10.0, who=["sidecars:0-1"], answer="200 live 2 ", **settle),
+            SettleCheck(at=10.0, who=["sidecars:2-3"], answer="200 live 2 ", **settle),
+            SettleCheck(at=50.0, answer="200 live 5 ", **settle),
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.run_scenario(one, lambda text: None)
     assert len(played.settled) == 4
     assert all(settled.took < 60.0 for settled in played.settled)
     assert played.breaches == [] and played.ledger.datagrams > 100
@@ -57,25 +65,25 @@
     one = Scenario(
         name="names",
         seconds=25.0,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=5,
             datagrams=True,
             config={"fleet": FLEET | {"secret": "s"}},
             settings={"bounds": {"peers": True}},
             own=[
-                Own(who=["sidecars:3"], config={"name": "n2"}),
-                Own(who=["sidecars:4"], command=["python", "-m", "larkcrank.lab.stranger"]),
+                ProcessOverride(who=["sidecars:3"], config={"name": "n2"}),
+                ProcessOverride(who=["sidecars:4"], command=["python", "-m", "larkcrank.lab.stranger"]),
             ],
         ),
-        endpoints=Endpoints(count=2, service_ms=5.0),
-        load=Load(rate=2.0, classes={"look": 1.0}),
+        endpoints=EndpointSettings(count=2, service_ms=5.0),
+        load=LoadSettings(rate=2.0, classes={"look": 1.0}),
         settles=[
-            Settle(at=15.0, answer="200 live 3 ", **settle),
-            Settle(at=15.0, counter="fleet.refused.other_version", within=60.0, who=["sidecars:0-1"]),
+            SettleCheck(at=15.0, answer="200 live 3 ", **settle),
+            SettleCheck(at=15.0, counter="fleet.refused.other_version", within=60.0, who=["sidecars:0-1"]),
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.run_scenario(one, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled)
     assert played.counters["fleet.deaths"] == 0 and played.breaches == []
 
@@ -85,23 +93,23 @@
     one = Scenario(
         name="more",
         seconds=20.0,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=6,
             at_first=2,
             datagrams=True,
             config={"fleet": FLEET, "settings": {"n-instances": 2}},
             settings={"bounds": {"peers": True}},
         ),
-        endpoints=Endpoints(count=8, service_ms=5.0),
-        load=Load(rate=2.0, classes={"look": 1.0}),
-        faults=[FaultLine(at=1.0, what="restart", who=["sidecars:2-5"])],
+        endpoints=EndpointSettings(count=8, service_ms=5.0),
+        load=LoadSettings(rate=2.0, classes={"look": 1.0}),
+        faults=[Fault(at=1.0, what="restart", who=["sidecars:2-5"])],
         settles=[
-            Settle(at=1.0, call="VIEW", answer="200 live 6 ", alike=5),
-            Settle(at=1.0, counter="fleet.size", least=6),
+            SettleCheck(at=1.0, call="VIEW", answer="200 live 6 ", alike=5),
+            SettleCheck(at=1.0, counter="fleet.size", least=6),
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.run_scenario(one, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled) and played.breaches == []
     assert played.counters["fleet.size"] == 36 and played.counters["fleet.place"] == 15
     assert max(share for _, share in played.settled[0].course) <= 1.0
--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -4,7 +4,15 @@
 
 from larkcrank.fleet.asking import turn_of
 from larkcrank.lab import bench
-from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
+from larkcrank.lab.scenario import (
+    DiscoverySettings,
+    EndpointSettings,
+    Fault,
+    FleetSettings,
+    LoadSettings,
+    Scenario,
+    SettleCheck,
+)
 
 FLEET: dict[str, Any] = {
     "name": "t",
@@ -15,22 +23,22 @@
 }
 
 
-def played(processes: int, seconds: float, **more: Any) -> bench.Played:
+def played(processes: int, seconds: float, **more: Any) -> bench.RunOutcome:
     one = Scenario(
         name="recovery",
         seconds=seconds,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=processes,
             datagrams=True,
             config={"fleet": FLEET},
             settings={"bounds": {"peers": True}},
         ),
-        endpoints=Endpoints(count=4, service_ms=5.0, shared=True),
-        load=Load(rate=5.0, classes={"look": 1.0, "order": 1.0}),
+        endpoints=EndpointSettings(count=4, service_ms=5.0, shared=True),
+        load=LoadSettings(rate=5.0, classes={"look": 1.0, "order": 1.0}),
         slack_ms=15000.0,
         **more,
     )
-    found = bench.play(one, lambda text: None)
+    found = bench.run_scenario(one, lambda text: None)
     assert all(settled.took < 60.0 for settled in found.settled), found.settled
     assert found.breaches == []
     return found
@@ -43,12 +51,12 @@
         4,
         16.0,
         faults=[
-            FaultLine(at=6.0, what="cut", between=[deaf, ["discovery"]]),
-            FaultLine(at=7.0, what="replace", who=["endpoints:1-3"], address="new"),
+            Fault(at=6.0, what="cut", between=[deaf, ["discovery"]]),
+            Fault(at=7.0, what="replace", who=["endpoints:1-3"], address="new"),
         ],
         settles=[
-            Settle(at=0.0, call="VIEW", answer="200 live 4 ", alike=5),
-            Settle(at=7.0, counter="recovery.lists_taken", who=deaf),
+            SettleCheck(at=0.0, call="VIEW", answer="200 live 4 ", alike=5),
+            SettleCheck(at=7.0, counter="recovery.lists_taken", who=deaf),
         ],
     )
 
@@ -60,14 +68,14 @@
     found = played(
         4,
         20.0,
-        discovery=DiscoveryPart(known=False),
+        discovery=DiscoverySettings(known=False),
         faults=[
-            FaultLine(at=2.0, what="kill", who=["discovery"]),
-            FaultLine(at=3.0, what="kill", who=["sidecars"], last=1.0, keeps="nothing"),
-            FaultLine(at=8.0, what="kill", who=[f"sidecars:{first}"]),
-            FaultLine(at=8.0, what="restart", who=["discovery"]),
+            Fault(at=2.0, what="kill", who=["discovery"]),
+            Fault(at=3.0, what="kill", who=["sidecars"], last=1.0, keeps="nothing"),
+            Fault(at=8.0, what="kill", who=[f"sidecars:{first}"]),
+            Fault(at=8.0, what="restart", who=["discovery"]),
         ],
-        settles=[Settle(at=8.0, counter="served", least=3, who=others)],
+        settles=[SettleCheck(at=8.0, counter="served", least=3, who=others)],
     )
     assert len(found.ledger.list_calls) < 40  # four by themselves, with waits of their own, make as many
 
@@ -76,10 +84,10 @@
     one = Scenario(
         name="plain",
         seconds=2.0,
-        fleet=Fleet(processes=1),
-        endpoints=Endpoints(count=1, service_ms=5.0),
-        load=Load(rate=5.0, classes={"look": 1.0}),
+        fleet=FleetSettings(processes=1),
+        endpoints=EndpointSettings(count=1, service_ms=5.0),
+        load=LoadSettings(rate=5.0, classes={"look": 1.0}),
         slack_ms=15000.0,
     )
-    found = bench.play(one, lambda text: None)
+    found = bench.run_scenario(one, lambda text: None)
     assert not [name for name in found.counters if name.startswith(("fleet.", "recovery."))]
--- a/tests/test_fleet_snapshot.py
+++ b/tests/test_fleet_snapshot.py
@@ -16,7 +16,15 @@
 from larkcrank.fleet.snapshot import FUTURE_MS, LIST_MS, Gone, Snapshot, SnapshotError
 from larkcrank.fleet.wire import Line
 from larkcrank.lab import bench
-from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
+from larkcrank.lab.scenario import (
+    DiscoverySettings,
+    EndpointSettings,
+    Fault,
+    FleetSettings,
+    LoadSettings,
+    Scenario,
+    SettleCheck,
+)
 from tests.frames import CONFIG
 from tests.test_program import ROOT
 
@@ -122,28 +130,28 @@
     one = Scenario(
         name="kept",
         seconds=12.0,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=4,
             datagrams=True,
             config=fleet(snapshot="{files}.fleet"),
             settings={"bounds": {"peers": True}},
         ),
-        endpoints=Endpoints(count=4, service_ms=5.0, shared=True),
-        discovery=DiscoveryPart(known=False),
-        load=Load(rate=10.0, classes={"look": 1.0}),
+        endpoints=EndpointSettings(count=4, service_ms=5.0, shared=True),
+        discovery=DiscoverySettings(known=False),
+        load=LoadSettings(rate=10.0, classes={"look": 1.0}),
         faults=[
-            FaultLine(at=8.0, what="kill", who=["sidecars", "discovery"]),
-            FaultLine(at=8.5, what="replace", who=["endpoints:3"]),
-            FaultLine(at=9.0, what="restart", who=["sidecars"], keeps="files"),
+            Fault(at=8.0, what="kill", who=["sidecars", "discovery"]),
+            Fault(at=8.5, what="replace", who=["endpoints:3"]),
+            Fault(at=9.0, what="restart", who=["sidecars"], keeps="files"),
         ],
         settles=[
-            Settle(at=0.0, counter="recovery.saves", within=60.0),
-            Settle(at=9.0, call="VIEW", answer="200 live 4 ", alike=5),
-            Settle(at=9.5, counter="served", least=3),  # counted from the restart on
+            SettleCheck(at=0.0, counter="recovery.saves", within=60.0),
+            SettleCheck(at=9.0, call="VIEW", answer="200 live 4 ", alike=5),
+            SettleCheck(at=9.5, counter="served", least=3),  # counted from the restart on
         ],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.run_scenario(one, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled) and played.breaches == []
     assert played.counters["lists"] == 0  # of those that live now, none has heard discovery
 
@@ -153,18 +161,18 @@
     one = Scenario(
         name="full",
         seconds=8.0,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=3,
             datagrams=True,
             config=fleet(snapshot="/proc/self/none/{i}"),
             settings={"bounds": {"peers": True}},
         ),
-        endpoints=Endpoints(count=2, service_ms=5.0, shared=True),
-        load=Load(rate=10.0, classes={"look": 1.0}),
-        settles=[Settle(at=0.0, counter="recovery.save_failures", within=60.0)],
+        endpoints=EndpointSettings(count=2, service_ms=5.0, shared=True),
+        load=LoadSettings(rate=10.0, classes={"look": 1.0}),
+        settles=[SettleCheck(at=0.0, counter="recovery.save_failures", within=60.0)],
         slack_ms=15000.0,
     )
-    played = bench.play(one, lambda text: None)
+    played = bench.run_scenario(one, lambda text: None)
     assert played.settled[0].took < 60.0 and played.breaches == []
     assert played.counters["recovery.saves"] == 0 and played.counters["crashed"] == 0
 
--- a/tests/test_lab_rules.py
+++ b/tests/test_lab_rules.py
@@ -7,9 +7,9 @@
 from larkcrank.config.settings import convert
 from larkcrank.lab import rules
 from larkcrank.lab.ledger import Ask, Attempt, Effect, Event, Ledger, Told
-from larkcrank.lab.settings import SETTINGS
+from larkcrank.lab.settings import BASE_SETTINGS
 
-CLASSES = {cls.name: cls for cls in convert(SETTINGS).decisions.classes}
+CLASSES = {cls.name: cls for cls in convert(BASE_SETTINGS).decisions.classes}
 SLACK_S = 0.1
 
 
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -28,7 +28,7 @@
 from larkcrank.lab.scale.hollow import HollowHosts, Spec, tag
 from larkcrank.lab.scale.measure import order
 from larkcrank.lab.scale.plan import NUMBERS
-from larkcrank.lab.settings import SETTINGS
+from larkcrank.lab.settings import BASE_SETTINGS
 from larkcrank.protocol.discovery import Names, parse
 
 LONG_S = 120.0  # nothing is timed by it: it ends a test that hangs
@@ -440,7 +440,7 @@
     """Counted in calls: with a sum for each server, a change of a long list costs its square."""
 
     def sums(servers: int) -> int:
-        balancer = Balancer(convert(SETTINGS).decisions, Random(1), 0.0)
+        balancer = Balancer(convert(BASE_SETTINGS).decisions, Random(1), 0.0)
         endpoints = tuple(Endpoint(b"s%d" % number) for number in range(servers))
         balancer.handle(0.0, ServerList(endpoints, True))
         counted = 0
