--- a/larkcrank/lab/bench.py
+++ b/larkcrank/lab/bench.py
@@ -1,4 +1,4 @@
-"""One run of a scenario: start everything, load it, play the timetable of faults, count, give all back."""
+"""Runs one scenario: starts all processes, generates load, injects faults, checks the rules, cleans up."""
 
 import asyncio
 import math
@@ -32,54 +32,56 @@
 from larkcrank.lab.scenario import LINK_FAULTS, Fault, ProcessOverride, Scenario, SettleCheck, resolve_members
 from larkcrank.lab.settings import BASE_SETTINGS, merge_settings
 
-Node = tuple[str, int]
+Node = tuple[str, int]  # kind ("sidecars", "endpoints" or "discovery") and index
 LAG_SAMPLE_INTERVAL_S = 0.02
-MAX_CONCURRENT_STARTS = 8  # processes that start side by side: a crowded machine makes all of them late
+MAX_CONCURRENT_STARTS = 8  # on a busy machine, more concurrent starts make all of them late
 SETTLE_POLL_INTERVAL_S = 0.05
-TEMP_FOLDER_PREFIX = "larkcrank-fleet-"  # in the temporary directory, then the bench's own process id
-SHARED_LINK = -1  # the near end of a link that all processes share
-DATAGRAM_PORT_RANGE = (20000, 32000)  # of members, for datagrams
-LOOPBACK_SUBNET_START = 64
-SEED_MEMBERS = 3  # the first members, which others may be told to begin with
+TEMP_FOLDER_PREFIX = "larkcrank-fleet-"  # followed by the bench's process id; in the temporary directory
+SHARED_LINK = -1  # in place of a sidecar's index: the link is shared by all sidecars
+DATAGRAM_PORT_RANGE = (20000, 32000)  # for the members' datagram sockets; below the kernel's ephemeral ports
+LOOPBACK_SUBNET_START = 64  # second byte of the lowest loopback address used for datagrams
+SEED_MEMBERS = 3  # number of members that others may use as seeds
 MAX_DESCRIPTORS = 1 << 16
 
 
 class BenchError(Exception):
-    """The bench itself failed: what it counted means nothing."""
+    """The bench itself failed, so its results are invalid."""
 
 
 class SettleResult(msgspec.Struct, frozen=True):
+    """How long the members of one settle check took to report the expected state."""
+
     at: float
     call: str
-    took: float  # seconds; infinite: not within its bound
-    course: list[tuple[float, float]] = []  # when, and the share of those asked who agreed then
+    took: float  # seconds; infinite if not within the time limit
+    course: list[tuple[float, float]] = []  # time and share of members that agreed
 
 
 class ResourceUsage(msgspec.Struct, frozen=True):
-    """What the fleet took of the machine."""
+    """Machine resources that the run used."""
 
     processes: int
-    ready_s: float  # until all were ready
-    memory_mb: float  # of the processes' own, together
-    cpu_s: float  # of the processes, while the load ran
-    bench_cpu_s: float  # the bench's own, in the same time
-    bench_mb: float
+    ready_s: float  # seconds until all processes were ready
+    memory_mb: float  # total unshared memory of the processes
+    cpu_s: float  # total CPU time of the processes while the load ran
+    bench_cpu_s: float  # CPU time of the bench in the same period
+    bench_mb: float  # resident memory of the bench
 
 
 class RunOutcome(msgspec.Struct):
-    """What a run brought; `report.py` reads it."""
+    """The results of a run, from which `report.py` makes its summary."""
 
     ledger: Ledger
     breaches: list[rules.Breach]
     settled: list[SettleResult]
     use: ResourceUsage
-    counters: dict[str, Any]  # of the processes that live at the end, added up
-    lag_s: float  # the latest that the bench's own loop was
-    most_connections: int  # at one endpoint
+    counters: dict[str, Any]  # summed over the processes that run at the end
+    lag_s: float  # maximum delay of the bench's event loop
+    most_connections: int  # maximum open at one endpoint at a time
 
 
 class Bench:
-    """Owns the children, the links and the stand-ins of one run."""
+    """Owns the sidecar processes, the links and the stand-ins of one run."""
 
     def __init__(self, scenario: Scenario, folder: Path, progress: Callable[[str], None]) -> None:
         self._scenario, self._folder, self._progress = scenario, folder, progress
@@ -91,24 +93,26 @@
         self._site = convert(settings)
         self._classes: dict[str, RequestClass] = {cls.name: cls for cls in self._site.decisions.classes}
         self._directions: dict[tuple[Node, Node], LinkDirection] = {}
-        self._active_faults: dict[tuple[Node, Node], list[Fault]] = {}  # those that act on a way now
+        self._active_faults: dict[tuple[Node, Node], list[Fault]] = {}  # faults in effect per direction
         self._links: dict[tuple[int, Node], Link] = {}
         self._endpoints: list[Endpoint] = []
         self._children: list[SidecarProcess] = []
         self._client_groups: list[Clients] = []
-        self._lists_at_exit: dict[int, dict[str, Any]] = {}
-        self._replacement_count = 0
+        self._lists_at_exit: dict[int, dict[str, Any]] = {}  # by sidecar: the last list before it ended
+        self._replacement_count = 0  # endpoints replaced so far; part of the new endpoint's name
         self._max_lag_s = 0.0
         self._settle_results: list[SettleResult] = []
-        self._pending_counter_checks = 0  # waits for a counter that are not over
+        self._pending_counter_checks = 0  # settle checks on counters that have not ended
         self._loop_errors: list[str] = []
         self._relays: list[DatagramRelay] = []
         self._undo_tasks: list[asyncio.Task[Any]] = []
         unix_start_time = time.time()
-        self._registry = Registry(scenario.discovery.work_ms, self._port, self._ledger, unix_start_time)
+        self._registry = Registry(
+            scenario.discovery.work_ms, self._endpoint_port, self._ledger, unix_start_time
+        )
 
     async def run(self) -> RunOutcome:
-        """Raises `ProcessError` where a process does not start or ends by itself."""
+        """Run the scenario. Raises `ProcessError` if a process does not start or ends by itself."""
         try:
             return await self._run()
         finally:
@@ -181,7 +185,7 @@
             self._ledger,
             self._classes,
             scenario.grace_ms / 1000.0,
-            # What the bench saw late itself, it can't hold against the processes.
+            # The bench's own delays must not count against the processes.
             max(scenario.slack_ms / 1000.0, 2 * self._max_lag_s),
             decisions.only_draining_binds,
             decisions.key_quiet_ms / 1000.0,
@@ -238,7 +242,7 @@
             clients = Clients(index, load, self._classes, client_address, rng, self._ledger, slack_s)
             self._client_groups.append(clients)
         for endpoint in self._endpoints:
-            self._registry.change(endpoint, "Ready")
+            self._registry.set_lifecycle(endpoint, "Ready")
 
     def _add_link(self, sidecar: int, far_node: Node, make_handler: Callable[[Any], Any]) -> None:
         near_node: Node = ("sidecars", sidecar)
@@ -246,7 +250,7 @@
         self._links[sidecar, far_node] = Link(forward, backward, make_handler, self._ledger.now)
 
     def _link_owner(self, sidecar: int) -> int:
-        """The near end of a sidecar's links to endpoints."""
+        """Return the index under which a sidecar's links to endpoints are kept."""
         return SHARED_LINK if self._scenario.endpoints.shared else sidecar
 
     def _links_to(self, endpoint: int) -> list[Link]:
@@ -257,11 +261,11 @@
             self._directions[source, target] = LinkDirection(Random(self._rng.getrandbits(64)))
         return self._directions[source, target]
 
-    def _port(self, sidecar: int, endpoint: int, address_index: int) -> int:
+    def _endpoint_port(self, sidecar: int, endpoint: int, address_index: int) -> int:
         return self._links[self._link_owner(sidecar), ("endpoints", endpoint)].ports[address_index]
 
     def _restart_clock(self) -> None:
-        """The load begins at nought; what was told at the starts belongs to before it."""
+        """Set the clock to 0 at the start of the load; events of the startup get negative times."""
         elapsed_s = self._ledger.now()
         self._ledger.restart_clock()
         self._registry.unix_start_time = time.time()
@@ -311,13 +315,14 @@
         ]
 
     async def _start_sidecar(self, child: SidecarProcess, initial_list: dict[str, Any] | None) -> None:
-        if self._relays:  # anew each time: nobody holds the port of a process that is dead
+        if self._relays:  # a new port each time: the port of a dead process isn't reserved
             self._relays[child.index].member_address = _free_datagram_address()
         await child.start(self._config(child, initial_list))
 
     async def _run_load(self) -> None:
         scenario, loop = self._scenario, asyncio.get_running_loop()
-        # What a counter is waited for may need the load: on a slow machine it goes on until that is settled.
+        # A counter may only advance under load, so the load goes on until all counter checks have ended. On a
+        # slow machine that can be after the scenario's end.
         self._pending_counter_checks = sum(bool(check.counter) for check in scenario.settles)
         keep_going = lambda: self._pending_counter_checks > 0  # noqa: E731
         jobs = [clients.run(scenario.seconds, keep_going) for clients in self._client_groups]
@@ -350,6 +355,7 @@
         await asyncio.sleep(max(at - self._ledger.now(), 0.0))
 
     async def _watch_lag(self) -> None:
+        """Record the maximum delay of the bench's own event loop."""
         while True:
             slept_at = time.monotonic()
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
@@ -360,9 +366,10 @@
             await asyncio.sleep(5.0)
             asks = self._ledger.asks
             served = sum(ask.status == 200 for ask in asks)
-            self._progress(f"{self._ledger.now():6.1f} s: {len(asks)} asked, {served} served")
+            self._progress(f"{self._ledger.now():6.1f} s: {len(asks)} requests, {served} served")
 
     async def _run_settle_check(self, check: SettleCheck) -> None:
+        """Poll the members of a settle check until all agree or its time limit is over."""
         await self._sleep_until(check.at)
         unsettled = set(resolve_members(check.who, self._scenario)["sidecars"])
         total, agreement = len(unsettled), list[tuple[float, float]]()
@@ -388,7 +395,7 @@
         self._settle_results.append(SettleResult(check.at, check.counter or check.call, took, agreement))
 
     async def _matching_answer(self, child: SidecarProcess, check: SettleCheck) -> str:
-        """What it says if that is what was waited for; empty if not."""
+        """Return the process's answer or counter if it meets the check, else an empty string."""
         if not check.counter:
             answer = await child.call_ops(check.call)
             return answer if answer.startswith(check.answer) else ""
@@ -445,7 +452,7 @@
         return pairs
 
     def _set_link_fault(self, fault: Fault, starts: bool) -> None:
-        """Ways are what their faults make of them together; one that ends leaves the others."""
+        """Start or end a link fault; recompute each direction from the faults that are still in effect."""
         for pair in self._affected_directions(fault):
             active = self._active_faults.setdefault(pair, [])
             if starts:
@@ -461,7 +468,7 @@
                 link.apply_faults()
 
     async def _apply_member_fault(self, fault: Fault) -> Callable[[], Any] | None:
-        """Carry out a fault on members; what undoes it where it lasts, None where it is done."""
+        """Apply a fault to members. Return a function that undoes it, or None if it has no duration."""
         members_by_kind = resolve_members(fault.who or ["discovery"], self._scenario)
         children = [self._children[index] for index in sorted(members_by_kind["sidecars"])]
         endpoints = [self._endpoints[index] for index in sorted(members_by_kind["endpoints"])]
@@ -525,6 +532,8 @@
         self._undo_tasks.append(task)
 
     def _set_registry(self, attribute: str, value: Any, restored_value: Any) -> Callable[[], None]:
+        """Set an attribute of the discovery stand-in and return a function that restores it."""
+
         def assign(new_value: Any) -> None:
             setattr(self._registry, attribute, new_value)
             self._registry.notify_waiters()
@@ -533,7 +542,7 @@
         return lambda: assign(restored_value)
 
     async def _apply_to_each(self, fault: Fault, targets: list[Any], action: Callable[[Any], Any]) -> None:
-        """Side by side, or spread over the fault's time."""
+        """Apply `action` to all targets at once, or evenly spread over `fault.spread` seconds."""
         if not fault.spread or len(targets) < 2:
             await asyncio.gather(*(action(target) for target in targets))
             return
@@ -546,6 +555,7 @@
         await asyncio.gather(*(run_after(interval_s * index, target) for index, target in enumerate(targets)))
 
     async def _change_sidecar(self, child: SidecarProcess, fault: Fault) -> None:
+        """Kill, terminate or restart a sidecar process."""
         if fault.what in ("kill", "end") or child.pid is not None:
             self._lists_at_exit[child.index] = self._registry.last_delivered_list(child.index)
             await (child.kill() if fault.what == "kill" else child.terminate())
@@ -557,9 +567,9 @@
             await self._start_sidecar(child, initial_list)
 
     async def _change_endpoint(self, endpoint: Endpoint, fault: Fault) -> None:
-        """An endpoint's process dies, or is back under its name; discovery sees both."""
+        """Kill or restart an endpoint under its name, and update discovery."""
         if fault.what != "restart":
-            self._registry.change(endpoint, "Gone")
+            self._registry.set_lifecycle(endpoint, "Gone")
             endpoint.crash()
             return
         if endpoint.running:
@@ -567,20 +577,20 @@
         if fault.address == "new":
             self._move_endpoint(endpoint)
         endpoint.start()
-        self._registry.change(endpoint, "Ready")
+        self._registry.set_lifecycle(endpoint, "Ready")
 
     async def _replace_endpoint(self, endpoint: Endpoint, address: str) -> None:
-        """Another endpoint under a new name takes its place, at the same address or at a new one."""
-        self._registry.change(endpoint, "Gone")
+        """Replace an endpoint by one with a new name, at the same address or a new one."""
+        self._registry.set_lifecycle(endpoint, "Gone")
         endpoint.crash()
         self._replacement_count += 1
         if address == "new":
             self._move_endpoint(endpoint)
         endpoint.start(f"t-{self._replacement_count}")
-        self._registry.change(endpoint, "Ready")
+        self._registry.set_lifecycle(endpoint, "Ready")
 
     async def _drain_endpoint(self, endpoint: Endpoint) -> None:
-        self._registry.change(endpoint, "Terminating")
+        self._registry.set_lifecycle(endpoint, "Terminating")
         self._ledger.record_event("draining", endpoint.name)
 
     def _move_endpoint(self, endpoint: Endpoint) -> None:
@@ -589,7 +599,7 @@
         endpoint.address_index += 1
 
     def _update_endpoint_links(self, endpoint: Endpoint) -> None:
-        """An endpoint went down or came up: its links refuse or listen."""
+        """Make an endpoint's links refuse or listen after it went down or came up."""
         for link in self._links_to(endpoint.index):
             link.far_end_listening = endpoint.running
             link.apply_faults()
@@ -601,12 +611,12 @@
             link.apply_faults()
 
     async def _total_counters(self) -> dict[str, Any]:
-        """The numbers of all that live, added up."""
+        """Return the counters of all running processes, added up."""
         total: dict[str, Any] = {}
         reads = [child.read_counters() for child in self._children if child.pid is not None]
         for counters in await asyncio.gather(*reads, return_exceptions=True):
             if isinstance(counters, TimeoutError):
-                continue  # it stands still, or is very busy
+                continue  # the process is stopped or very busy
             if isinstance(counters, BaseException):
                 raise counters
             for key, value in _flatten_counters(counters).items():
@@ -627,12 +637,12 @@
 
 
 def _shared_link_node(node: Node, peer: Node) -> Node:
-    """A sidecar's end of a link to an endpoint that all share."""
+    """Return `node`, or the node of the shared link if it is a sidecar and `peer` an endpoint."""
     return ("sidecars", SHARED_LINK) if node[0] == "sidecars" and peer[0] == "endpoints" else node
 
 
 def _flatten_counters(counters: dict[str, Any]) -> dict[str, int]:
-    """The whole numbers of what a process counted; those of a part under `part.name`."""
+    """Return the integer counters of a process; nested ones get keys of the form `section.name`."""
     flattened = {key: value for key, value in counters.items() if type(value) is int}
     for section, nested in counters.items():
         if isinstance(nested, dict):
@@ -641,15 +651,15 @@
 
 
 def _free_datagram_address() -> tuple[str, int]:
-    """A port that was free just now: what is to bind it is told it at once.
+    """Return a datagram address that is free at the moment; the process that is to bind it starts at once.
 
-    Not one of those that the kernel gives away by itself: another process got it before ours had begun. On a
-    loopback address of this bench's own: another bench beside it got it while ours was slow to begin.
+    The port is outside the kernel's ephemeral range, from which another process could get it before ours has
+    started. The loopback address is derived from this bench's process id, so that another bench on the same
+    machine can't take the port either.
     """
     pid = os.getpid()
-    loopback_host = (
-        f"127.{LOOPBACK_SUBNET_START + (pid >> 16)}.{pid >> 8 & 255}.{pid & 255}"  # process ids have 22 bits
-    )
+    # A process id has at most 22 bits, so the second byte stays within 64 to 127.
+    loopback_host = f"127.{LOOPBACK_SUBNET_START + (pid >> 16)}.{pid >> 8 & 255}.{pid & 255}"
     while True:
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             try:
@@ -667,7 +677,7 @@
 
 
 def _substitute(value: Any, placeholders: dict[str, str]) -> Any:
-    """The same with the names in its texts replaced."""
+    """Return `value` with the `{name}` placeholders in all of its strings replaced."""
     if isinstance(value, str):
         for name, replacement in placeholders.items():
             value = value.replace("{" + name + "}", replacement)
@@ -678,7 +688,7 @@
 
 
 def _add_fault(direction: LinkDirection, fault: Fault) -> None:
-    """Faults on one way add up; of two rates the narrower one counts."""
+    """Add a fault to a direction. Delays and losses add up; the lower of two bandwidths applies."""
     match fault.what:
         case "cut" | "silence":
             direction.cut = True
@@ -705,7 +715,7 @@
 
 
 def _remove_abandoned_folders() -> None:
-    """Take away what benches that were killed outright have left: folders whose owner lives no more."""
+    """Remove the temporary folders of benches that were killed, whose process no longer exists."""
     for folder in Path(tempfile.gettempdir()).glob(f"{TEMP_FOLDER_PREFIX}*-*"):
         owner_pid = folder.name.removeprefix(TEMP_FOLDER_PREFIX).partition("-")[0]
         if owner_pid.isdecimal() and not psutil.pid_exists(int(owner_pid)):
@@ -713,7 +723,7 @@
 
 
 def run_scenario(scenario: Scenario, progress: Callable[[str], None]) -> RunOutcome:
-    """One run, in an event loop of its own. Raises `ProcessError`, OSError."""
+    """Run a scenario in an event loop of its own. Raises `ProcessError`, OSError."""
     _remove_abandoned_folders()
     with tempfile.TemporaryDirectory(prefix=f"{TEMP_FOLDER_PREFIX}{os.getpid()}-") as folder:
 
@@ -721,7 +731,7 @@
             loop = asyncio.get_running_loop()
             task = asyncio.current_task()
             assert task is not None
-            loop.add_signal_handler(signal.SIGTERM, task.cancel)  # children are reaped on the way out
+            loop.add_signal_handler(signal.SIGTERM, task.cancel)  # cancelling reaps the child processes
             return await Bench(scenario, Path(folder), progress).run()
 
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/larkcrank/lab/clients.py
+++ b/larkcrank/lab/clients.py
@@ -1,7 +1,8 @@
-"""The clients beside one sidecar: an open loop, so that a slow sidecar is asked no less.
+"""The clients of one sidecar, which generate an open-loop load: a slow sidecar does not reduce the rate.
 
-Each request has a time at which it is meant to be sent; its latency counts from there. One request at a
-time on a connection; more are opened when all are busy. No link is between: they are on its machine.
+Each request has a scheduled send time, from which its latency is measured. A connection carries one request
+at a time; a new one is opened when all are busy. Clients connect without a link because they run on the
+sidecar's machine.
 """
 
 import asyncio
@@ -14,23 +15,25 @@
 from larkcrank.lab.scenario import LoadSettings
 from larkcrank.protocol import http1
 
-LATE_ANSWER_WAIT_S = 2.0  # past the slack a client waits so much longer, to tell late from never
+LATE_ANSWER_WAIT_S = 2.0  # extra wait beyond the slack, to tell late answers from missing ones
 MAX_IDLE_CONNECTIONS = 64
-DEFAULT_RETRY_AFTER_S = 0.2  # where a refusal names no time
+DEFAULT_RETRY_AFTER_S = 0.2  # used when a refusal has no Retry-After
 
 
 class _Connection(asyncio.Protocol):
+    """A client's connection to the sidecar, which carries at most one request at a time."""
+
     def __init__(self, clients: "Clients") -> None:
         self._clients = clients
         self._transport: asyncio.Transport | None = None
         self._parser = http1.ResponseParser()
         self.request: Ask | None = None
         self.timer: asyncio.TimerHandle | None = None
-        self.has_answered = False  # has brought an answer already
-        self._response_started = False  # some of the answer has come
+        self.has_answered = False  # has delivered a response before
+        self._response_started = False  # part of the current response has arrived
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class doesn't derive from it
 
     def send(self, request: Ask, request_bytes: bytes) -> None:
         assert self._transport is not None
@@ -69,8 +72,10 @@
         if (request := self._detach_request()) is None:
             return
         if self.has_answered and not self._response_started and not request.resent:
-            request.resent = True  # the end of a connection that had rested crossed the request ...
-            request.sent_at = -1.0  # ... which nobody has taken: it counts as sent with the new one
+            # The sidecar closed the idle connection while the request was on its way, so it has not received
+            # the request. The request counts as sent when it is sent on a new connection.
+            request.resent = True
+            request.sent_at = -1.0
             self._clients.resend(request)
             return
         request.ended_at, request.why = self._clients.ledger.now(), "cut off"
@@ -120,12 +125,12 @@
         self._connections: set[_Connection] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._request_count = 0
-        self._retry_counts: dict[str, int] = {}  # by request: how often its client has come back
+        self._retry_counts: dict[str, int] = {}  # by request id: number of retries so far
         self._class_names = list(load.classes)
         self._class_weights = [load.classes[name] for name in self._class_names]
 
     async def run(self, until: float, keep_going: Callable[[], bool] = lambda: False) -> None:
-        """Ask until then, on the ledger's clock, and as long as it goes on. What is out then has its time."""
+        """Send requests until `until` on the ledger's clock, then on for as long as `keep_going()` holds."""
         if self._load.rate <= 0.0:
             return
         send_at = 0.0
@@ -138,7 +143,7 @@
             self._start_request(send_at, class_name, subject)
 
     async def finish(self) -> None:
-        """Wait for all that is out; each has its deadline."""
+        """Wait for all outstanding requests; each of them times out on its own."""
         while self._tasks or any(connection.request is not None for connection in self._connections):
             await asyncio.sleep(0.05)
 
@@ -149,6 +154,7 @@
             connection.close()
 
     def release(self, connection: _Connection) -> None:
+        """Keep a connection for the next request, or close it if enough are idle."""
         if len(self._idle_connections) < MAX_IDLE_CONNECTIONS:
             self._idle_connections.append(connection)
         else:
@@ -160,6 +166,7 @@
             self._idle_connections.remove(connection)
 
     def handle_answer(self, request: Ask) -> None:
+        """Schedule a retry if the request was refused and has retries left."""
         retry_number = self._retry_counts.pop(request.id, 0)
         if request.status not in (429, 503) or retry_number >= self._load.repeats:
             return
--- a/larkcrank/lab/cost.py
+++ b/larkcrank/lab/cost.py
@@ -1,4 +1,4 @@
-"""What a link itself costs: round trips through one, beside the same without it."""
+"""Measures the overhead of a link: round trips through a link compared with a direct connection."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 
 
 class Cost(msgspec.Struct, frozen=True):
-    """Round trips of 200 bytes, one after another, in microseconds; CPU is that of both ends and the link."""
+    """Time and CPU per sequential 200-byte round trip. CPU covers both ends and, if used, the link."""
 
     p50_us: float
     p99_us: float
@@ -75,7 +75,7 @@
 
 
 def measure_link_cost(count: int) -> tuple[Cost, Cost]:
-    """Without a link and through one, each after a warm-up of a tenth."""
+    """Measure direct and through a link, each after a warm-up of a tenth of `count`."""
 
     async def run_with_warm_up(measurement: Callable[[int], Awaitable[Cost]]) -> Cost:
         await measurement(max(count // 10, 1))
--- a/larkcrank/lab/endpoints.py
+++ b/larkcrank/lab/endpoints.py
@@ -1,8 +1,9 @@
-"""The endpoint stand-in: slots, a queue, a cap on connections, a cold start that falls over, a drain.
+"""The bench's stand-in for an endpoint: workers, a queue, a connection limit, cold starts and drains.
 
-Service time is work divided by the speed of that moment; a cold endpoint's speed grows evenly from
-`cold_from` to 1. Work that has begun goes on whether or not anybody still waits for it. Keys are dropped by
-the whole group, as in a store that its endpoints share.
+The service time of a request is its work divided by the speed at its start. The speed of a cold endpoint
+grows linearly from `cold_from` to 1. A cold endpoint that gets far too much work falls over. Work that has
+begun is finished even if the client has gone. Repeated idempotency keys are dropped across the whole group,
+as in a store that the group's endpoints share.
 """
 
 import asyncio
@@ -21,23 +22,23 @@
 
 
 def excess_in_sqrt_units(calls: float, allowed: float) -> float:
-    """Calls beyond N, in roots of N."""
+    """Return by how many square roots of `allowed` the number of calls exceeds it."""
     return (calls - allowed) / math.sqrt(allowed)
 
 
 def limit_utilisation(calls: float, allowed: float) -> float:
-    """Calls, as a share of what N and chance come to: above 1 the rule would be broken."""
+    """Return calls as a share of the limit plus an allowance for chance; above 1 the rule is broken."""
     return calls / (allowed + 2.0 * math.sqrt(allowed) + 2.0)
 
 
 class IdempotencyKeys:
-    """Keys that groups have met, each until its window is over."""
+    """The idempotency keys that each group has seen, each kept until its window ends."""
 
     def __init__(self) -> None:
         self._expires_at: dict[tuple[str, str], float] = {}
 
     def add_if_new(self, group: str, key: str, now: float, window_s: float) -> bool:
-        """Whether this is no repeat; then it is remembered for the window."""
+        """Return whether the key is new. A new key is remembered for `window_s`."""
         if self._expires_at.get((group, key), -1.0) > now:
             return False
         if len(self._expires_at) > 100_000:
@@ -52,6 +53,8 @@
 
 @dataclass(slots=True)
 class _QueuedRequest:
+    """A request that an endpoint has accepted, with the work that it takes at full speed."""
+
     attempt: Attempt
     key: str
     cls: RequestClass
@@ -61,7 +64,7 @@
 
 
 class Endpoint:
-    """One endpoint; `name` and place may change when it is replaced."""
+    """One endpoint. Its name and address may change when it is replaced."""
 
     def __init__(
         self,
@@ -78,10 +81,10 @@
         self.index, self.name, self.zone = index, name, zone
         self.state = "Ready"
         self.running = True
-        self.address_index = 0  # which of its links' addresses is its own now
-        self.started_at: float | None = None  # on the run's clock; None: long ago
-        self.slowdown = 1.0
-        self.collapsed = False
+        self.address_index = 0  # index into each link's `ports` of the current port
+        self.started_at: float | None = None  # on the run's clock; None: warm since before the run
+        self.slowdown = 1.0  # factor by which a crowd fault slows it down
+        self.collapsed = False  # it crashed because of overload while cold
         self.most_connections = 0
         self.declined = 0
         self._settings, self._classes, self._keys, self._rng, self._ledger = (
@@ -91,11 +94,11 @@
             rng,
             ledger,
         )
-        self._on_running_changed = on_running_changed  # called when it goes down or comes up
+        self._on_running_changed = on_running_changed  # called when it goes down or comes up again
         self._busy_workers = 0
         self._waiting: deque[_QueuedRequest] = deque()
-        self._incarnation = 0  # work of an earlier life comes to nothing
-        self._recent_cold_work: deque[tuple[float, float]] = deque()  # times and works of late, while cold
+        self._incarnation = 0  # results of work from an earlier incarnation are discarded
+        self._recent_cold_work: deque[tuple[float, float]] = deque()  # time and work (ms) of each request
         self._connections: set[EndpointConnection] = set()
 
     def accept(self, connection: LinkConnection, sidecar: int) -> "EndpointConnection":
@@ -112,7 +115,7 @@
         self._connections.discard(connection)
 
     def speed(self) -> float:
-        """Share of its full speed now."""
+        """Return the current speed as a share of full speed."""
         warm_speed = 1.0
         if self.started_at is not None and self._settings.warm_after_ms > 0:
             warm_up_share = (self._ledger.now() - self.started_at) * 1000.0 / self._settings.warm_after_ms
@@ -120,7 +123,7 @@
         return warm_speed / self.slowdown
 
     def crash(self) -> None:
-        """The process ends: connections are reset, new ones refused, what it worked on is gone."""
+        """Simulate the process's death: reset connections, refuse new ones and drop all work."""
         self.running = False
         self._incarnation += 1
         self._busy_workers = 0
@@ -132,13 +135,14 @@
         self._on_running_changed(self)
 
     def start(self, name: str | None = None) -> None:
-        """Up again, cold; under another name it is another one to discovery."""
+        """Start again, cold. With a new name, discovery treats it as another endpoint."""
         self.name = name or self.name
         self.running, self.collapsed, self.state, self.slowdown = True, False, "Ready", 1.0
         self.started_at = self._ledger.now()
         self._on_running_changed(self)
 
     def receive(self, queued: _QueuedRequest) -> None:
+        """Queue a request, or decline it if the endpoint is not ready or its queue is full."""
         if self.state != "Ready" or len(self._waiting) >= self._settings.queue:
             self.declined += 1
             queued.connection.answer(queued, 503, (b"Srv-Declined: 1",), b"")
@@ -148,12 +152,12 @@
         queued.work_ms += service_ms
         self._check_cold_overload(queued.work_ms)
         if not self.running:
-            return  # that one was too much
+            return  # this request made the cold endpoint fall over
         self._waiting.append(queued)
         self._start_queued()
 
     def _check_cold_overload(self, work_ms: float) -> None:
-        """Rule 4: sent too many times what it can do for too long, a cold one falls over and stays down."""
+        """Rule 4: a cold endpoint that gets over `fall_multiple` times its capacity in `fall_ms` crashes."""
         speed, now = self.speed() * self.slowdown, self._ledger.now()
         if speed >= 1.0:
             self._recent_cold_work.clear()
@@ -176,7 +180,7 @@
             self.crash()
 
     def _record_cold_window(self, calls: float, allowed: float) -> None:
-        """Keep its worst window; calls and what is allowed are requests of mean work."""
+        """Record the window if it is the worst so far. Both arguments count requests of mean work."""
         worst = self._ledger.worst_cold_windows.get(self.name)
         if math.isfinite(allowed) and (
             worst is None or limit_utilisation(calls, allowed) > limit_utilisation(*worst)
@@ -206,7 +210,7 @@
 
 
 class EndpointConnection:
-    """One connection, as the endpoint has it: requests one after another."""
+    """The endpoint's side of one connection, which carries one request at a time."""
 
     def __init__(self, endpoint: Endpoint, link: LinkConnection, sidecar: int) -> None:
         self.link = link
@@ -254,7 +258,7 @@
         class_name = request.target.lstrip(b"/").partition(b"/")[0].decode("latin-1")
         cls = endpoint._classes.get(class_name)
         sidecar, id_prefix = self._sidecar, request_id.partition("-")[0]
-        if sidecar < 0 and id_prefix.isdecimal():  # a link that all share: the request's id tells whose it is
+        if sidecar < 0 and id_prefix.isdecimal():  # shared link: the sidecar is in the request id
             sidecar = int(id_prefix)
         attempt = Attempt(request_id, sidecar, endpoint.name, self._entered_at, ledger.now())
         attempt.new_connection = self._is_new
@@ -272,7 +276,7 @@
         )
 
     def _sidecar_closed(self) -> None:
-        """The sidecar has ended the connection, or its process has died: its attempts are over for it."""
+        """End all open attempts: the sidecar closed the connection, or its process died."""
         for attempt in self._open_attempts:
             attempt.ended_at = self._endpoint._ledger.now()
         self._open_attempts.clear()
--- a/larkcrank/lab/ledger.py
+++ b/larkcrank/lab/ledger.py
@@ -1,7 +1,7 @@
-"""What happened in a run, as the bench saw it on one clock: seconds since the run's start.
+"""The record of one run: requests, attempts, completed work, delivered lists and events.
 
-The monotonic clock is the machine's, so one clock serves clients, links, endpoints and discovery. Nothing
-here judges; `rules.py` does, after the event.
+All times are seconds since the load started. Clients, links, endpoints and discovery run on one machine and
+share its monotonic clock. This module only records; `rules.py` checks the records after the run.
 """
 
 import time
@@ -11,41 +11,41 @@
 
 
 class Ask(msgspec.Struct, tag="ask"):
-    """One request at its client. A client that comes back after a refusal asks anew, and means the same."""
+    """One request as its client saw it. A retry after a refusal is a new `Ask` with the same `first`."""
 
     id: str
     sidecar: int
-    cls: str
-    meant_at: float  # when the client first meant to send it; latency counts from here
-    asked_at: float  # this try's own time: its deadline counts from here
-    first: str = ""  # the id of the first try
-    sent_at: float = -1.0  # its last byte was handed to the socket; -1: never
-    deadline: float = 0.0  # seconds that its client waits
+    cls: str  # name of its request class
+    meant_at: float  # scheduled send time of the first try; latency is measured from here
+    asked_at: float  # scheduled send time of this try; its deadline is measured from here
+    first: str = ""  # id of the first try; the same in all retries
+    sent_at: float = -1.0  # when the request was written to the socket; -1 if it never was
+    deadline: float = 0.0  # seconds after `asked_at` within which an answer is on time
     ended_at: float = -1.0
     status: int = 0  # 0: no answer
-    why: str = ""  # how it ended without one: unreached, cut off, out of time
-    resent: bool = False  # once more on a new connection: the old one's end crossed it
-    retry_after: float = -1.0
-    key: str = ""
-    subject: int = 0
-    body: str = ""  # what the answer holds
+    why: str = ""  # why there was no answer: unreached, cut off, out of time
+    resent: bool = False  # sent again on a new connection because the idle one closed as it was sent
+    retry_after: float = -1.0  # seconds from the answer's Retry-After; -1: none
+    key: str = ""  # idempotency key
+    subject: int = 0  # number of the item that the request concerns; 0: none
+    body: str = ""  # start of the response body
 
 
 class Attempt(msgspec.Struct, tag="attempt"):
-    """One request as it came through a link to an endpoint."""
+    """One request as an endpoint received it through a link."""
 
     request: str
     sidecar: int
     endpoint: str
-    entered_at: float  # its first byte left the sidecar
-    arrived_at: float = -1.0  # its last byte reached the endpoint
-    ended_at: float = -1.0  # its last answer byte reached the sidecar, or the connection ended
+    entered_at: float  # when its first byte left the sidecar
+    arrived_at: float = -1.0  # when its last byte reached the endpoint
+    ended_at: float = -1.0  # when the last response byte reached the sidecar, or the connection ended
     status: int = 0
-    new_connection: bool = False
+    new_connection: bool = False  # it was the first request on its connection
 
 
 class Effect(msgspec.Struct, tag="effect"):
-    """Work that an endpoint finished, and was no repeat that it dropped."""
+    """Work that an endpoint finished. Repeats that it dropped by their idempotency key are not recorded."""
 
     at: float
     request: str
@@ -54,20 +54,20 @@
 
 
 class Told(msgspec.Struct, tag="told"):
-    """A list as it reached a sidecar: names and their states; `whole` names all there are."""
+    """An endpoint list as it was delivered to a sidecar."""
 
     at: float
     sidecar: int
-    whole: bool
-    states: dict[str, str]
+    whole: bool  # True: the full list; False: only the changes
+    states: dict[str, str]  # endpoint name: lifecycle state
 
 
 class Event(msgspec.Struct, tag="event"):
-    """A fault, or what became of a process or an endpoint."""
+    """A fault that was injected, or a state change of a process or an endpoint."""
 
     at: float
-    what: str
-    who: str = ""
+    what: str  # kind of event, for instance "fault", "killed" or "ready"
+    who: str = ""  # the members that it concerns
     text: str = ""
 
 
@@ -78,15 +78,16 @@
         self.effects: list[Effect] = []
         self.tolds: list[Told] = []
         self.events: list[Event] = []
-        self.list_calls: list[tuple[float, int]] = []  # when, by whom
-        # By endpoint: calls of mean work in its worst window while cold, and N, what the rule allowed then.
+        self.list_calls: list[tuple[float, int]] = []  # time and sidecar
+        # Per endpoint: the window in which it came closest to the cold-start limit, as the number of requests
+        # of mean work that it received and the number N that the rule allowed.
         self.worst_cold_windows: dict[str, tuple[float, float]] = {}
-        self.connections = 0  # to endpoints
+        self.connections = 0  # connections opened to endpoints
         self.datagrams = 0
         self._started_at = time.monotonic()
 
     def restart_clock(self) -> None:
-        """The load starts now: nought on the clock."""
+        """Set the clock to 0; called when the load starts."""
         self._started_at = time.monotonic()
 
     def now(self) -> float:
@@ -96,7 +97,7 @@
         self.events.append(Event(self.now(), what, who, text))
 
     def write(self, path: Path) -> None:
-        """One JSON object a line, in the order of the lists. Raises OSError."""
+        """Write one JSON object per line, grouped by record type. Raises OSError."""
         encoder = msgspec.json.Encoder()
         with path.open("wb") as file:
             for records in (self.events, self.tolds, self.asks, self.attempts, self.effects):
--- a/larkcrank/lab/links.py
+++ b/larkcrank/lab/links.py
@@ -1,13 +1,15 @@
-"""The links that processes and stand-ins meet through, so that a fault stands between two and in neither.
-
-A link is a listening socket in front of one stand-in for one sidecar. Its far end is an object of the bench:
-a second socket would cost a copy more and tell nothing more. Each of the two ways has a `Way`, whose faults
-every connection of the link follows. What TCP hides from its user is hidden here too: lost segments come
-later (a retransmission's time, doubled for each loss in a row), none come twice or out of order.
-
-A cut is silence. Bytes wait in the link (the sender's side is not read any more, so what waits is bounded by
-the kernel's buffers), ends and resets wait behind them, and new connections hang: the listening socket's
-backlog is nought and filled by a connection of ours, so the kernel drops what asks to connect.
+"""Network links between sidecar processes and the bench's stand-ins, where network faults are injected.
+
+A link is a listening socket in front of one stand-in (an endpoint or discovery) for one sidecar. Its far end
+is an in-process handler: a second socket would only add a copy of the data. Each of the two directions has a
+`LinkDirection`, whose faults apply to every connection of the link. As with real TCP, the receiver never sees
+lost, duplicated or reordered bytes: a lost segment arrives later, by one retransmission time that doubles for
+each consecutive loss.
+
+A cut drops nothing and reports nothing. Bytes wait in the link, and closes and resets wait behind them. The
+sender's side is not read during a cut, so the kernel's buffers bound the amount of waiting data. New
+connections hang: the listening socket has a backlog of 0 that is filled by a connection of the link's own, so
+the kernel drops further connection attempts.
 """
 
 import asyncio
@@ -19,22 +21,22 @@
 from typing import Protocol, cast
 
 LISTEN_BACKLOG = 256
-MIN_RETRANSMISSION_S = 0.2  # Linux's least retransmission time
-MAX_CONSECUTIVE_LOSSES = 6
+MIN_RETRANSMISSION_S = 0.2  # minimum retransmission timeout of Linux
+MAX_CONSECUTIVE_LOSSES = 6  # of one segment, so that its delay stays bounded
 SEGMENT_BYTES = 1460
-_LINGER_RESET = struct.pack("ii", 1, 0)
+_LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 seconds: closing sends a reset
 
 
 class LinkDirection:
-    """One way between two: what befalls that which goes it. Shared by all connections of the pair."""
+    """The faults of one direction between two nodes, shared by all connections of the pair."""
 
     def __init__(self, rng: Random) -> None:
-        self.cut = self.refuse = False
+        self.cut = self.refuse = False  # cut: streams wait, datagrams are lost; refuse: resets
         self.delay_s = self.jitter_s = 0.0
-        self.loss = self.duplicate = self.reorder = 0.0
-        self.bytes_per_s = 0.0  # 0: no limit
+        self.loss = self.duplicate = self.reorder = 0.0  # probabilities from 0 to 1
+        self.bytes_per_s = 0.0  # 0 means no limit
         self._rng = rng
-        self._bandwidth_free_at = 0.0  # when the narrow way has sent what it has
+        self._bandwidth_free_at = 0.0  # when the bandwidth limit has let through all that was sent
 
     def clear(self) -> None:
         self.__init__(self._rng)  # type: ignore[misc]
@@ -44,7 +46,7 @@
         return not (self.cut or self.delay_s or self.jitter_s or self.loss or self.bytes_per_s)
 
     def delivery_time(self, now: float, size: int) -> float:
-        """When a piece of so many bytes of a TCP stream is through."""
+        """Return when `size` bytes of a TCP stream that are sent now arrive."""
         deliver_at = now + self.delay_s + self._rng.random() * self.jitter_s
         if self.bytes_per_s:
             self._bandwidth_free_at = max(self._bandwidth_free_at, now) + size / self.bytes_per_s
@@ -58,12 +60,13 @@
         return deliver_at
 
     def datagram_delivery_times(self, now: float) -> list[float]:
-        """When a datagram's copies are through; empty: lost."""
+        """Return the arrival time of each copy of a datagram; empty if it is lost."""
         if self.cut or self._rng.random() < self.loss:
             return []
         count = 2 if self._rng.random() < self.duplicate else 1
         reordered = self._rng.random() < self.reorder
-        reorder_delay_s = 4 * (self.delay_s + self.jitter_s) + 0.05  # far enough for others to overtake it
+        # Long enough for later datagrams to overtake this one.
+        reorder_delay_s = 4 * (self.delay_s + self.jitter_s) + 0.05
         return [
             now + self.delay_s + self._rng.random() * (reorder_delay_s if reordered else self.jitter_s)
             for _ in range(count)
@@ -71,7 +74,7 @@
 
 
 class ConnectionHandler(Protocol):
-    """The far end of one connection."""
+    """The stand-in's side of one connection."""
 
     def handle_data(self, data: bytes) -> None: ...
 
@@ -79,7 +82,7 @@
 
 
 class _DelayedStream:
-    """One way of one connection: pieces in order, each with the time at which it is through."""
+    """One direction of one connection: an ordered queue of bytes and closes with their delivery times."""
 
     def __init__(
         self, direction: LinkDirection, on_bytes: Callable[[bytes], None], on_end: Callable[[bool], None]
@@ -93,7 +96,7 @@
     def send(
         self, item: bytes | bool, on_delivered: Callable[[], None] | None = None, extra_s: float = 0.0
     ) -> None:
-        """Bytes, or the end (True: by a reset). `through` is called when the piece has come out."""
+        """Send bytes, or a close (True: a reset). `on_delivered` is called once the item is delivered."""
         if self.closed:
             return
         if not self._queue and self._direction.has_no_stream_faults:
@@ -108,7 +111,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Let out what is due; called again when the way's faults change."""
+        """Deliver what is due. Called again when the direction's faults change."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -138,11 +141,11 @@
 
 
 class LinkConnection(asyncio.Protocol):
-    """A sidecar's connection; its other end is a handler of the stand-in's."""
+    """A sidecar's connection to a stand-in, which handles the other end with a `ConnectionHandler`."""
 
     def __init__(self, link: "Link") -> None:
         self.link = link
-        self.entered_at = 0.0  # when the sidecar's last bytes came into the link
+        self.entered_at = 0.0  # when the latest bytes from the sidecar entered the link
         self._handler: ConnectionHandler | None = None
         self._transport: asyncio.Transport | None = None
         self._reading_paused = False
@@ -154,13 +157,13 @@
         self.on_sidecar_closed: Callable[[], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's are no subclass
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's class doesn't derive from it
         self.link.connections.add(self)
         self._handler = self.link.make_handler(self)
         self.apply_faults()
 
     def data_received(self, data: bytes) -> None:
-        # The kernel has shaken hands at once; the first bytes pay for the round trip that it took none for.
+        # The kernel completes the handshake without the link's delay, so the first bytes take that delay too.
         handshake_s = (
             self.link.forward.delay_s + self.link.backward.delay_s if self._awaiting_first_bytes else 0.0
         )
@@ -177,15 +180,15 @@
         self._unregister()
 
     def write(self, data: bytes, on_delivered: Callable[[], None] | None = None) -> None:
-        """Bytes from the stand-in; `through` once they have come to the sidecar's socket."""
+        """Send bytes from the stand-in; `on_delivered` runs once they are written to the sidecar's socket."""
         self._to_sidecar.send(data, on_delivered)
 
     def close(self, reset: bool = False) -> None:
-        """The stand-in ends the connection."""
+        """Close the connection from the stand-in's side."""
         self._to_sidecar.send(reset)
 
     def apply_faults(self) -> None:
-        """Act as the link's faults are now."""
+        """Apply the link's current faults to this connection."""
         if self._transport is not None and not self._transport.is_closing():
             if self.link.forward.cut and not self._reading_paused:
                 self._reading_paused = True
@@ -219,9 +222,8 @@
         if self._transport is not None:
             if reset:
                 sock = self._transport.get_extra_info("socket")
-                sock.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET
-                )  # else an abort ends in order
+                # Without this option, abort() closes the connection with a FIN and not with a reset.
+                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
                 self._transport.abort()
             else:
                 self._transport.close()
@@ -232,7 +234,7 @@
 
 
 class Link:
-    """From one sidecar to one stand-in. It owns its listening socket and its connections."""
+    """The path from one sidecar to one stand-in. Owns its listening socket and its connections."""
 
     def __init__(
         self,
@@ -243,17 +245,19 @@
     ) -> None:
         self.forward, self.backward, self.make_handler, self.now = forward, backward, make_handler, now
         self.connections: set[LinkConnection] = set()
-        self.far_end_listening = True  # False: nobody listens at the far end
+        self.far_end_listening = True  # False: the stand-in's process is down
         self._tasks: set[asyncio.Task[object]] = set()
         self._backlog_filler: socket.socket | None = None
         self._retired_sockets: list[socket.socket] = []
         self._state = "refusing"
         self._socket = self._bind_socket(0)
-        self.ports: list[int] = [self._socket.getsockname()[1]]  # all that it ever had
+        self.ports: list[int] = [
+            self._socket.getsockname()[1]
+        ]  # every port that it has had; the last one is current
         self.apply_faults()
 
     def apply_faults(self) -> None:
-        """Act as the faults are now: listen, refuse, or hang."""
+        """Listen, refuse or hang, according to the current faults."""
         if self.forward.cut or self.backward.cut:
             wanted = "hanging"
         elif self.forward.refuse or self.backward.refuse or not self.far_end_listening:
@@ -268,7 +272,7 @@
             connection.apply_faults()
 
     def move_to_new_port(self) -> None:
-        """To an address of its own that is new; nobody is at the old one."""
+        """Listen on a new port. Connections to the old port are refused."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
         self._retired_sockets.append(self._socket if self._state == "refusing" else self._rebind())
         self._socket, self._state = self._bind_socket(0), "refusing"
@@ -276,17 +280,17 @@
         self.apply_faults()
 
     def _rebind(self) -> socket.socket:
-        """The same address with nobody who listens: bound, so that nobody else can get it."""
+        """Return a socket that keeps the same port reserved without listening on it."""
         self._socket.close()
         return self._bind_socket(self.ports[-1])
 
     def reset_connections(self) -> None:
-        """All connections end as those of a process that died."""
+        """Reset all connections, as when the process at the far end dies."""
         for connection in list(self.connections):
             connection.close(reset=True)
 
     def close(self) -> None:
-        """Give back the socket and all connections, whatever faults there are."""
+        """Close the sockets and all connections at once, regardless of faults."""
         asyncio.get_running_loop().remove_reader(self._socket.fileno())
         for sock in (self._socket, self._backlog_filler, *self._retired_sockets):
             if sock is not None:
@@ -314,7 +318,7 @@
             self._backlog_filler.close()
             self._backlog_filler = None
         if self._state != "refusing":
-            self._socket = self._rebind()  # what waits unaccepted is reset, as by a machine that is back
+            self._socket = self._rebind()  # resets unaccepted connections, as after a reboot
         self._state = wanted
         if wanted == "hanging":
             self._socket.listen(0)
@@ -342,10 +346,10 @@
 
 
 class DatagramRelay(asyncio.DatagramProtocol):
-    """A member's public address for datagrams: what comes here goes on to it, by the way from its sender.
+    """A fleet member's public datagram address. Forwards datagrams to the member with the sender's faults.
 
-    A member sends from its own socket to another's public address, so the source tells which pair it is, and
-    it reaches the other from the sender's public address: replies take the same road back.
+    A member sends from its own socket to another member's public address, so the source address identifies
+    the pair. The receiver sees the sender's public address as the source, so replies pass through relays too.
     """
 
     def __init__(
@@ -355,7 +359,7 @@
         direction_between: Callable[[int, int], LinkDirection],
     ) -> None:
         self.index, self._relays, self._direction_between = index, relays, direction_between
-        self.member_address: tuple[str, int] | None = None  # where the member's own socket is
+        self.member_address: tuple[str, int] | None = None  # the member's own socket address
         self.transport: asyncio.DatagramTransport | None = None
         self.forwarded_count = self.unknown_senders = 0
 
@@ -391,7 +395,7 @@
 async def open_datagram_relays(
     count: int, direction_between: Callable[[int, int], LinkDirection]
 ) -> list[DatagramRelay]:
-    """A public address for each member. Whoever opens them closes their transports."""
+    """Open one public datagram address per member. The caller closes their transports."""
     relays: list[DatagramRelay] = []
     loop = asyncio.get_running_loop()
     for index in range(count):
--- a/larkcrank/lab/processes.py
+++ b/larkcrank/lab/processes.py
@@ -1,7 +1,7 @@
-"""The processes of the program that a run starts: each has one owner here, and is reaped here.
+"""The sidecar processes that a run starts. Each has one owner, which starts, signals and reaps it.
 
-A process is told by the kernel to end when the bench's own process ends (PR_SET_PDEATHSIG), so none is left
-also where the bench is killed outright.
+The kernel kills a sidecar process when the bench's own process ends (PR_SET_PDEATHSIG), so none is left even
+if the bench is killed.
 """
 
 import asyncio
@@ -19,28 +19,27 @@
 import msgspec
 import psutil
 
-START_TIMEOUT_S = 60.0  # a process that is not ready by then does not start; the machine may be crowded
-OPS_CALL_TIMEOUT_S = 5.0
-NEW_CONNECTIONS_AFTER_SIGTERM_S = (
-    0.3  # after SIGTERM new connections go on coming, as the platform has it for 0.2 to 0.4 s
-)
-MAX_LINE_BYTES = 1 << 22  # a view of thousands of members is one line
+START_TIMEOUT_S = 60.0  # generous, because the machine may be busy
+ANSWER_TIMEOUT_S = 5.0
+# The platform keeps sending new connections to a process for 0.2 to 0.4 s after its SIGTERM.
+NEW_CONNECTIONS_AFTER_SIGTERM_S = 0.3
+MAX_LINE_BYTES = 1 << 22  # the view of a fleet of thousands of members is one line
 KEPT_LOG_LINES = 20
 _PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None)
 
 
 class ProcessError(Exception):
-    """A process did not start, or ended by itself; the message holds its last log lines."""
+    """A process did not start or ended by itself. The message holds its last log lines."""
 
 
 def kill_when_parent_exits() -> None:
-    """Called in a child: the kernel ends it when its parent ends."""
+    """Ask the kernel to kill this process when its parent ends. Called in the child before exec."""
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
 
 
 def reserve_port() -> socket.socket:
-    """A port for as long as the socket is open: bound, so that nobody else is given it, and not listening."""
+    """Reserve a port: the returned socket is bound, so no other process gets the port, but not listening."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
@@ -48,7 +47,7 @@
 
 
 class SidecarProcess:
-    """One sidecar's process, under the same name and addresses through all its lives."""
+    """One sidecar's process. It keeps its name and addresses when it is restarted."""
 
     def __init__(
         self, index: int, folder: Path, command: list[str], record_event: Callable[[str, str, str], None]
@@ -56,18 +55,18 @@
         self.index = index
         self.start_count = 0
         self.recent_log_lines: deque[str] = deque(maxlen=KEPT_LOG_LINES)
-        self.startup_s = 0.0  # from its start until it was ready, its last life
+        self.startup_s = 0.0  # seconds from the latest start until it was ready
         self._folder, self._record_event = folder, record_event
-        # `python` is the interpreter that the bench itself runs on.
+        # `python` stands for the interpreter that runs the bench.
         command = command or ["python", "-m", "larkcrank"]
         self._command = [sys.executable if part == "python" else part for part in command]
         self._process: asyncio.subprocess.Process | None = None
         self._log_reader: asyncio.Task[None] | None = None
         self._awaited_events: dict[str, asyncio.Future[dict[str, Any]]] = {}
         self._reserved_sockets = [reserve_port(), reserve_port()]
-        self._exit_expected = False  # its end was asked for
+        self._exit_expected = False  # True once the bench has asked it to end
         self._is_ready = False
-        self._no_new_connections_at = math.inf  # from then on the platform brings it no new connections
+        self._no_new_connections_at = math.inf  # loop time from which clients open no new connections
         self.crashed: asyncio.Future[str] = asyncio.get_running_loop().create_future()
 
     @property
@@ -76,7 +75,7 @@
 
     @property
     def client_address(self) -> tuple[str, int] | None:
-        """Where its clients go; None while no process is there, or one ends and is left."""
+        """The address that clients connect to; None while it is down or no longer takes new connections."""
         port: int = self._reserved_sockets[0].getsockname()[1]
         refuses_new_connections = asyncio.get_running_loop().time() >= self._no_new_connections_at
         return ("127.0.0.1", port) if self._process is not None and not refuses_new_connections else None
@@ -92,10 +91,11 @@
 
     @property
     def kept_path(self) -> Path:
+        """Path prefix of the files that the process keeps across restarts."""
         return self._folder / f"{self.index}.kept"
 
     async def start(self, config: dict[str, Any]) -> None:
-        """Returns once it is ready. Raises `ProcessError`."""
+        """Start the process and return once it is ready. Raises `ProcessError`."""
         loop = asyncio.get_running_loop()
         config_path = self._folder / f"{self.index}.json"
         listen, ops = (f"127.0.0.1:{sock.getsockname()[1]}" for sock in self._reserved_sockets)
@@ -121,7 +121,7 @@
             await asyncio.wait_for(asyncio.shield(ready), START_TIMEOUT_S)
         except TimeoutError:
             raise ProcessError(
-                f"{self.name} was not ready in {START_TIMEOUT_S:.0f} s; {self._recent_log_text()}"
+                f"{self.name} was not ready within {START_TIMEOUT_S:.0f} s; {self._recent_log_text()}"
             ) from None
         self.startup_s = loop.time() - started_at
 
@@ -133,7 +133,7 @@
             await self._wait_for_exit()
 
     async def terminate(self) -> None:
-        """The planned end: SIGTERM, then until it is gone."""
+        """Shut it down in an orderly way: send SIGTERM and wait until it has exited."""
         if self._process is not None:
             self._exit_expected = True
             self._record_event("ending", self.name, "")
@@ -152,19 +152,19 @@
             self._record_event("continued", self.name, "")
 
     async def read_counters(self) -> dict[str, Any]:
-        """Its counters now; none before it is ready: the signal would end it. Raises TimeoutError."""
+        """Return its counters, or none before it is ready: SIGUSR1 would end it then. Raises TimeoutError."""
         if self._process is None or not self._is_ready:
             return {}
         counters = self._expect_event("counters")
         self._process.send_signal(signal.SIGUSR1)
-        return await asyncio.wait_for(counters, OPS_CALL_TIMEOUT_S)
+        return await asyncio.wait_for(counters, ANSWER_TIMEOUT_S)
 
     async def call_ops(self, command: str) -> str:
-        """An operators' call and its answer; empty where none came."""
+        """Send one line to the ops port and return the answer, or an empty string if none came."""
         if self._process is None:
             return ""
         try:
-            async with asyncio.timeout(OPS_CALL_TIMEOUT_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(*self.ops_address, limit=MAX_LINE_BYTES)
                 try:
                     writer.write(command.encode() + b"\n")
@@ -175,7 +175,7 @@
             return ""
 
     def usage(self) -> tuple[float, float]:
-        """Memory that is its own (MB) and CPU (s) of this life; noughts while no process is there."""
+        """Return its unshared memory (MB) and the CPU time (s) since its start; zeros while it is down."""
         try:
             process = psutil.Process(self.pid) if self.pid is not None else None
             if process is None:
@@ -186,7 +186,7 @@
             return 0.0, 0.0
 
     async def close(self) -> None:
-        """Whatever happened: no process is left, and the ports are given back."""
+        """Kill the process if it still runs and release the ports."""
         if self._process is not None:
             self._exit_expected = True
             if self._process.returncode is None:
@@ -206,6 +206,7 @@
             self._process = None
 
     def _expect_event(self, event: str) -> "asyncio.Future[dict[str, Any]]":
+        """Return a future for the next log line with this event."""
         future: asyncio.Future[dict[str, Any]] = asyncio.get_running_loop().create_future()
         self._stop_waiting(event)
         self._awaited_events[event] = future
@@ -216,7 +217,7 @@
         while True:
             try:
                 line = await process.stderr.readline()
-            except ValueError:  # longer than any line of ours: what it is can't be told
+            except ValueError:  # the line is longer than MAX_LINE_BYTES: skip it
                 continue
             if not line:
                 break
@@ -224,7 +225,7 @@
         exit_code = await process.wait()
         if self._exit_expected:
             self._record_event("ended", self.name, str(exit_code))
-            for event in list(self._awaited_events):  # it was ended before it could say so
+            for event in list(self._awaited_events):  # it exited before it could report the event
                 self._stop_waiting(event)
             return
         self._process = None
@@ -237,7 +238,7 @@
             self.crashed.set_result(message)
 
     def _stop_waiting(self, event: str) -> None:
-        """Whoever waits for it waits no longer: a process may be killed while it starts."""
+        """Release whoever waits for the event: a process may be killed while it starts."""
         future = self._awaited_events.pop(event, None)
         if future is not None and not future.done():
             future.set_result({})
--- a/larkcrank/lab/registry.py
+++ b/larkcrank/lab/registry.py
@@ -1,6 +1,8 @@
-"""The discovery stand-in: one list, a few calls a second, watches, and ways in which it can be wrong.
+"""The bench's stand-in for the discovery service, with the faults that it can show.
 
-Each sidecar comes by a link of its own, so it is known who asks, and is told the ports of its own links.
+It serves one list of endpoints, as a whole or as a watch of changes. Calls for the whole list are slow and
+are answered one at a time. Each sidecar connects through a link of its own, which identifies the caller, and
+receives the ports of its own links to the endpoints.
 """
 
 import asyncio
@@ -22,34 +24,39 @@
 
 @dataclass(slots=True)
 class ListResponse:
+    """The answer to one call, with the ledger record of its delivery."""
+
     body: bytes
     generation: int
-    told: Told
+    record: Told  # added to the ledger when the response is delivered
 
 
 class Registry:
     def __init__(
         self, work_ms: float, port_of: Callable[[int, int, int], int], ledger: Ledger, unix_start_time: float
     ) -> None:
-        """`port(sidecar, endpoint, place)`: where that link listens, or did; `began`: Unix time of nought."""
-        self.work_ms = work_ms
+        """Create it with an empty list.
+
+        `port_of(sidecar, endpoint, address_index)` returns the port of that link, current or past.
+        `unix_start_time` is the Unix time at which the ledger's clock was 0.
+        """
+        self.work_ms = work_ms  # time taken by a call for the whole list
         self.running = True
-        self.silent = self.denies = False
-        self.behind_s = 0.0
-        self.empty = False  # it has started without its list, and tells none
-        self.hidden: dict[int, set[int]] = {}  # by sidecar: endpoints that it is not told of
+        self.silent = self.denies = False  # silent: calls get no answer; denies: calls are answered with 503
+        self.behind_s = 0.0  # age of the list that callers are served
+        self.empty = False  # restarted without its data: it serves an empty list
+        self.hidden: dict[int, set[int]] = {}  # by sidecar: endpoints that are left out of its lists
         self.unix_start_time = unix_start_time
-        self._port, self._ledger = port_of, ledger
-        self._changes: list[
-            tuple[float, dict[str, Any]]
-        ] = []  # when, and one line; its index is its generation
+        self._port_of, self._ledger = port_of, ledger
+        # Time and new list entry of each change. The number of changes is the generation.
+        self._changes: list[tuple[float, dict[str, Any]]] = []
         self._snapshot_lock = asyncio.Lock()
-        self._changed = asyncio.Event()
+        self._changed_event = asyncio.Event()
         self._handlers: set[RegistryConnection] = set()
-        self._delivered_generations: dict[int, int] = {}  # by sidecar: the generation that it was told last
+        self._delivered_generations: dict[int, int] = {}  # by sidecar: the last generation that it received
 
-    def change(self, endpoint: Endpoint, lifecycle: str) -> None:
-        """One line of the list is another from now on."""
+    def set_lifecycle(self, endpoint: Endpoint, lifecycle: str) -> None:
+        """Replace an endpoint's entry in the list, as of now."""
         started_at = endpoint.started_at
         entry = {
             "instanceId": endpoint.name,
@@ -64,9 +71,9 @@
         self.notify_waiters()
 
     def notify_waiters(self) -> None:
-        """Have all that wait look again."""
-        self._changed.set()
-        self._changed = asyncio.Event()
+        """Wake all waiting calls so that they check the state again."""
+        self._changed_event.set()
+        self._changed_event = asyncio.Event()
 
     def stop(self) -> None:
         self.running = False
@@ -79,18 +86,18 @@
         self.running = True
 
     def restart_generations(self) -> None:
-        """It counts its generations from 1 again, as one that lost all and was told it once more."""
+        """Restart the generation count, as a service that lost its data and was filled again."""
         latest = {entry["instanceId"]: entry for _, entry in self._changes}
         now = self._ledger.now()
         self._changes = [(now, entry) for entry in latest.values() if entry["lifecycle"] != "Gone"]
         self.notify_waiters()
 
     def shift_clock(self, seconds: float) -> None:
-        """The run's clock was set back by so much."""
+        """Adjust the recorded times after the run's clock was set back by `seconds`."""
         self._changes = [(at - seconds, entry) for at, entry in self._changes]
 
     def visible_generation(self) -> int:
-        """The generation that callers are shown."""
+        """Return the generation that callers are served at present."""
         if self.empty:
             return 0
         visible_until = self._ledger.now() - self.behind_s
@@ -99,7 +106,7 @@
     def list_entries(
         self, sidecar: int, after_generation: int, until_generation: int
     ) -> list[dict[str, Any]]:
-        """What a sidecar is told of the changes between two generations; from 0: all that is there."""
+        """Return a sidecar's list entries that changed between two generations; from 0: the whole list."""
         latest: dict[str, dict[str, Any]] = {}
         for _, entry in self._changes[after_generation:until_generation]:
             latest[entry["instanceId"]] = entry
@@ -109,18 +116,18 @@
                 not after_generation and entry["lifecycle"] == "Gone"
             ):
                 continue
-            port = self._port(sidecar, entry["endpoint"], entry["place"])
+            port = self._port_of(sidecar, entry["endpoint"], entry["place"])
             visible_fields = {key: value for key, value in entry.items() if key not in ("endpoint", "place")}
             entries.append(visible_fields | {"hostPort": f"127.0.0.1:{port}"})
         return entries
 
     def initial_list(self, sidecar: int) -> dict[str, Any]:
-        """The list as it is now, for a sidecar that starts with it."""
+        """Return the current list for a sidecar that starts with one, and record it as delivered."""
         self._delivered_generations[sidecar] = self.visible_generation()
         return self.last_delivered_list(sidecar)
 
     def last_delivered_list(self, sidecar: int) -> dict[str, Any]:
-        """The list that a sidecar was told last, as a file would have kept it."""
+        """Return the list that a sidecar received last, as a file of its own would hold it."""
         generation = self._delivered_generations.get(sidecar, 0)
         return {
             "generation": generation,
@@ -134,7 +141,7 @@
         return handler
 
     async def answer_call(self, sidecar: int, target: bytes) -> "ListResponse | None":
-        """None: a refusal."""
+        """Wait for the answer to one call and return it, or None if the call is refused."""
         self._ledger.list_calls.append((self._ledger.now(), sidecar))
         await self._wait_while_silent()
         if self.denies:
@@ -147,9 +154,8 @@
             after_generation = 0
         else:
             after_generation = int(watch_query[1])
-            if (
-                after_generation > len(self._changes) or self.empty
-            ):  # of before it began anew: told everything
+            # The caller's generation is from before discovery lost its data: send the whole list.
+            if after_generation > len(self._changes) or self.empty:
                 after_generation, is_snapshot = -1 if after_generation else 0, True
             deadline = self._ledger.now() + int(watch_query[2]) / 1000.0
             while (
@@ -157,10 +163,10 @@
                 and self.visible_generation() <= after_generation
                 and (remaining_s := deadline - self._ledger.now()) > 0.0
             ):
-                changed = self._changed
+                changed_event = self._changed_event
                 remaining_s = min(remaining_s, 0.1) if self.behind_s else remaining_s
                 try:
-                    await asyncio.wait_for(changed.wait(), remaining_s)
+                    await asyncio.wait_for(changed_event.wait(), remaining_s)
                 except TimeoutError:
                     continue
         await self._wait_while_silent()
@@ -176,18 +182,18 @@
 
     async def _wait_while_silent(self) -> None:
         while self.silent and self.running:
-            await self._changed.wait()
+            await self._changed_event.wait()
 
     def record_delivery(self, response: "ListResponse") -> None:
-        """It has come to the sidecar's socket."""
-        response.told.at = self._ledger.now()
-        self._ledger.tolds.append(response.told)
-        sidecar = response.told.sidecar
+        """Record that the response reached the sidecar's socket."""
+        response.record.at = self._ledger.now()
+        self._ledger.tolds.append(response.record)
+        sidecar = response.record.sidecar
         self._delivered_generations[sidecar] = max(
             self._delivered_generations.get(sidecar, 0), response.generation
         )
 
-    def forget(self, connection: "RegistryConnection") -> None:
+    def remove_connection(self, connection: "RegistryConnection") -> None:
         self._handlers.discard(connection)
 
 
@@ -225,4 +231,4 @@
     def handle_close(self) -> None:
         if self._task is not None:
             self._task.cancel()
-        self._registry.forget(self)
+        self._registry.remove_connection(self)
--- a/larkcrank/lab/scenario.py
+++ b/larkcrank/lab/scenario.py
@@ -1,7 +1,7 @@
-"""What a run of the fleet bench is told: one TOML file, read and checked here and nowhere else.
+"""The scenario file of a fleet bench run: its schema, its parsing and all of its validation.
 
-Times are seconds from the start of the load, durations too unless a name ends in `_ms`. Every fault is named
-by file, key and value before anything is started.
+Times are seconds from the start of the load. Durations are seconds unless a name ends in `_ms`. An error in
+the file is reported with file, key and value before any process is started.
 """
 
 import math
@@ -16,7 +16,7 @@
 DISCOVERY_FAULTS = ("hush", "deny", "drag", "lag", "hide", "empty", "anew")
 FAULTS = LINK_FAULTS + PROCESS_FAULTS + ENDPOINT_FAULTS + DISCOVERY_FAULTS
 MEMBER_KINDS = ("sidecars", "endpoints", "discovery")
-_REQUIRED_FIELDS = {  # what a word takes besides whom it names, and whether it can be left out
+_REQUIRED_FIELDS = {  # fields that a fault needs besides the members it applies to
     "slow": ("delay_ms",),
     "lose": ("share",),
     "duplicate": ("share",),
@@ -29,102 +29,103 @@
 
 
 class ScenarioError(Exception):
-    """The scenario can't be played; the message names file, key and value."""
+    """The scenario is invalid. The message names file, key and value."""
 
 
 class _StrictStruct(msgspec.Struct, forbid_unknown_fields=True):
-    """A key that is not known is a fault of the file."""
+    """Base of all scenario sections; an unknown key is an error."""
 
 
 class ProcessOverride(_StrictStruct):
-    """What some processes have of their own."""
+    """Configuration or command of some of the processes."""
 
     who: list[str]
-    config: dict[str, Any] = {}  # merged last; its texts as the fleet's
+    config: dict[str, Any] = {}  # merged last; takes the same placeholders as `FleetSettings.config`
     command: list[str] = []
 
 
 class FleetSettings(_StrictStruct):
     processes: int
-    command: list[str] = []  # what is started as each process; left out: this program
-    at_first: int = 0  # so many run from the start, the others once they are restarted; 0: all
-    zones: list[str] = msgspec.field(default_factory=lambda: ["here"])  # members take them in turn
-    datagrams: bool = False  # whether each member has an address for datagrams; see `config`
-    # Merged into each process's configuration. In its texts {i} is the member's number, {own} where it binds
-    # its socket for datagrams, {public} where others reach it, {all} the public addresses, with commas,
-    # {files} what the names of files that it keeps begin with,
-    # {seed0} to {seed2} those of the first three.
+    command: list[str] = []  # command of each process; default: larkcrank itself
+    at_first: int = 0  # processes that run from the start; the others start with a restart fault; 0: all
+    zones: list[str] = msgspec.field(default_factory=lambda: ["here"])  # assigned to members in turn
+    datagrams: bool = False  # whether each member gets datagram addresses; see `config`
+    # Merged into each process's configuration. Placeholders in its strings: {i} is the member's number, {own}
+    # the address at which it binds its datagram socket, {public} the address at which others reach it, {all}
+    # all public addresses separated by commas, {seed0} to {seed2} the public addresses of the first three
+    # members, and {files} the path prefix of the files that it keeps.
     config: dict[str, Any] = {}
-    settings: dict[str, Any] = {}  # merged into its settings
+    settings: dict[str, Any] = {}  # merged into each process's settings
     own: list[ProcessOverride] = []
 
 
 class EndpointSettings(_StrictStruct):
     count: int
-    shared: bool = False  # one address for all processes: one link, so no faults between some of them
-    workers: int = 4  # requests worked on at once
-    service_ms: float = 30.0  # mean work
+    shared: bool = False  # all processes share one link per endpoint, so faults can't single some out
+    workers: int = 4  # requests processed at once
+    service_ms: float = 30.0  # mean work of a request
     spread: Literal["fixed", "exponential"] = "fixed"
-    queue: int = 64  # requests that wait at most; the next is declined
-    connections: int = 256  # the next is closed at once
-    handshake_ms: float = 0.0  # further work of the first request on a connection
-    cold_from: float = 1.0  # share of its capacity at its start
-    warm_after_ms: float = 0.0
-    fall_multiple: float = math.inf  # sent so many times what it can do, for `fall_ms`, a cold one falls over
-    fall_ms: float = 2000.0
+    queue: int = 64  # maximum of waiting requests; further ones are declined
+    connections: int = 256  # maximum of open connections; further ones are closed at once
+    handshake_ms: float = 0.0  # extra work of the first request on a connection
+    cold_from: float = 1.0  # share of full speed right after a start
+    warm_after_ms: float = 0.0  # time from a start until full speed
+    fall_multiple: float = math.inf  # a cold endpoint crashes above this multiple of its capacity
+    fall_ms: float = 2000.0  # window over which `fall_multiple` is measured
 
 
 class DiscoverySettings(_StrictStruct):
-    work_ms: float = 50.0  # calls for the whole list are worked off one after another
-    known: bool = True  # whether processes start with a list
+    work_ms: float = 50.0  # time per call for the whole list; such calls are served one at a time
+    known: bool = True  # whether processes start with the current list
 
 
 class LoadSettings(_StrictStruct):
-    rate: float  # requests a second that a process's clients mean to ask
-    classes: dict[str, float]  # name: share
-    subjects: int = 0  # different `item`s; 0: requests name none
-    heavy_one_in: int = 0  # one process in so many, from the first on ...
-    heavy_times: float = 1.0  # ... has clients that ask so many times as much
-    repeats: int = 0  # times that a client comes back after a refusal
-    patience: float = 1.0  # share of the class's deadline that a client waits
+    rate: float  # requests per second that are scheduled for each process
+    classes: dict[str, float]  # class name: relative share of the requests
+    subjects: int = 0  # number of distinct `item` values; 0: requests have none
+    heavy_one_in: int = 0  # every n-th process, starting with the first, is heavy; 0: none
+    heavy_times: float = 1.0  # factor on the request rate of heavy processes
+    repeats: int = 0  # maximum retries of a client after a refusal
+    patience: float = 1.0  # factor on the class's deadline
 
 
 class Fault(_StrictStruct):
     at: float
-    what: str
-    who: list[str] = []  # whom it befalls
-    between: list[
-        list[str]
-    ] = []  # two groups: the ways between them; hide: sidecars, and what they don't hear of
-    one_way: bool = False
-    last: float = math.inf  # seconds until it is over
+    what: str  # one of FAULTS
+    who: list[str] = []  # members that it applies to
+    # Two groups of members; a link fault applies between them. For "hide": sidecars, and endpoints that are
+    # left out of their lists.
+    between: list[list[str]] = []
+    one_way: bool = False  # only from the first group to the second
+    last: float = math.inf  # duration in seconds
     delay_ms: float = 0.0
     jitter_ms: float = 0.0
-    share: float = 0.0
+    share: float = 0.0  # of segments or datagrams that are lost, duplicated or reordered
     bytes_per_s: float = 0.0
-    times: float = 0.0
-    work_ms: float = 0.0
-    by: float = 0.0
-    keeps: Literal["list", "files", "nothing"] = "list"  # a list in its configuration and files; files
+    times: float = 0.0  # crowd: factor by which endpoints slow down
+    work_ms: float = 0.0  # drag: time per call for the whole list
+    by: float = 0.0  # lag: seconds by which served lists are out of date
+    # What a restarted process still has: a list in its configuration and its files, its files, or nothing.
+    keeps: Literal["list", "files", "nothing"] = "list"
     address: Literal["same", "new"] = "same"
-    spread: float = 0.0  # seconds over which those named follow each other
+    spread: float = 0.0  # seconds over which the members are affected one after another; 0: at once
 
 
 class SettleCheck(_StrictStruct):
-    """Until all of these say so, by an operators' call or, where one is named, by a counter."""
+    """Measures the time until all members report a state by an ops call or, if one is named, a counter."""
 
     at: float
     who: list[str] = msgspec.field(default_factory=lambda: ["sidecars"])
     call: str = "PING"
-    answer: str = "200"  # what its answer begins with
-    alike: int = 0  # the first so many words of the answer have to be the same from all
+    answer: str = "200"  # prefix of the expected answer
+    alike: int = 0  # if not 0, this many leading words must be equal in all answers
     counter: str = ""
-    least: int = 1  # of the counter
-    within: float = 60.0
+    least: int = 1  # minimum value of the counter
+    within: float = 60.0  # seconds after which the check fails
 
 
 class Window(_StrictStruct):
-    """A span whose served share is told, and may have to reach something."""
+    """A time span whose share of served requests is reported and may have to reach a minimum."""
 
     name: str
     since: float
@@ -144,21 +145,21 @@
     faults: list[Fault] = []
     settles: list[SettleCheck] = []
     windows: list[Window] = []
-    grace_ms: float = 2000.0  # after a drain is told, the last new request
-    slack_ms: float = 300.0  # of the machine that plays it, on top of each rule's time
+    grace_ms: float = 2000.0  # how long after a drain notice new requests may still arrive
+    slack_ms: float = 300.0  # allowance for the machine that runs it, added to the time limit of each rule
 
 
 def resolve_members(groups: list[str], scenario: Scenario) -> dict[str, set[int]]:
-    """The members that these names mean, by kind. Raises ValueError with the name that means nobody.
+    """Resolve member names to indices by kind. Raises ValueError with the name that matches no member.
 
-    A name is `sidecars`, `endpoints` or `discovery`, or one of the first two with `:` and a list of numbers,
-    ranges (`2-5`, both ends in), `even`, `odd` or, for sidecars, `zone=NAME`.
+    A name is `sidecars`, `endpoints` or `discovery`. The first two may be followed by `:` and a
+    comma-separated list of numbers, inclusive ranges (`2-5`), `even`, `odd` or, for sidecars, `zone=NAME`.
     """
     members_by_kind: dict[str, set[int]] = {kind: set() for kind in MEMBER_KINDS}
     for name in groups:
         kind, colon, selectors = name.partition(":")
         if kind not in MEMBER_KINDS or (colon and (not selectors or kind == "discovery")):
-            raise ValueError(f"{name!r} is no group; known are {', '.join(MEMBER_KINDS)}")
+            raise ValueError(f"{name!r} is not a group; known groups are {', '.join(MEMBER_KINDS)}")
         count = {"sidecars": scenario.fleet.processes, "endpoints": scenario.endpoints.count}.get(kind, 1)
         indices = set(range(count)) if not colon else set[int]()
         for selector in selectors.split(",") if colon else ():
@@ -166,7 +167,7 @@
                 name, selector.strip(), count, scenario.fleet.zones if kind == "sidecars" else []
             )
         if not indices:
-            raise ValueError(f"{name!r} names nobody")
+            raise ValueError(f"{name!r} matches no member")
         members_by_kind[kind] |= indices
     return members_by_kind
 
@@ -177,19 +178,19 @@
         return set(all_indices[selector == "odd" :: 2])
     if selector.startswith("zone="):
         if selector[5:] not in zones:
-            raise ValueError(f"{name!r}: no zone {selector[5:]!r}")
+            raise ValueError(f"{name!r}: there is no zone {selector[5:]!r}")
         return {index for index in all_indices if zones[index % len(zones)] == selector[5:]}
     first, dash, last = selector.partition("-")
     if not first.isdecimal() or (dash and not last.isdecimal()):
-        raise ValueError(f"{name!r}: {selector!r} is no number, range, even, odd or zone=")
+        raise ValueError(f"{name!r}: {selector!r} is not a number, a range, even, odd or zone=NAME")
     indices = set(range(int(first), int(last if dash else first) + 1))
     if not indices or not indices <= set(all_indices):
-        raise ValueError(f"{name!r} names some who are not there: there are {count}")
+        raise ValueError(f"{name!r} includes members that don't exist: there are {count}")
     return indices
 
 
 def load_scenario(path: Path, seed: int | None = None) -> Scenario:
-    """Read a file; `seed` outranks its own. Raises `ScenarioError`."""
+    """Read and validate a scenario file; `seed` overrides its own. Raises `ScenarioError`."""
     try:
         content = path.read_bytes()
     except OSError as error:
@@ -223,7 +224,9 @@
     for key in ("service_ms", "queue", "handshake_ms", "cold_from", "warm_after_ms", "fall_ms"):
         _require_at_least(f"endpoints.{key}", getattr(scenario.endpoints, key), 0.0)
     if not 0.0 < scenario.endpoints.cold_from <= 1.0:
-        raise ValueError(f"endpoints.cold_from: {scenario.endpoints.cold_from} is no share above 0")
+        raise ValueError(
+            f"endpoints.cold_from: {scenario.endpoints.cold_from} is not a share above 0 and up to 1"
+        )
     _require_at_least("discovery.work_ms", scenario.discovery.work_ms, 0.0)
     _require_at_least("load.rate", scenario.load.rate, 0.0)
     _require_at_least("load.subjects", scenario.load.subjects, 0)
@@ -236,11 +239,11 @@
         raise ValueError("load.classes: no class has a share")
     for index, fault in enumerate(scenario.faults):
         _validate_fault(f"faults[{index}]", fault, scenario)
-    for index, settle in enumerate(scenario.settles):
+    for index, check in enumerate(scenario.settles):
         key = f"settles[{index}]"
-        _require_within_run(f"{key}.at", settle.at, scenario.seconds)
-        _require_at_least(f"{key}.within", settle.within, 0.0)
-        _validate_members(f"{key}.who", settle.who, scenario, ("sidecars",))
+        _require_within_run(f"{key}.at", check.at, scenario.seconds)
+        _require_at_least(f"{key}.within", check.within, 0.0)
+        _validate_members(f"{key}.who", check.who, scenario, ("sidecars",))
     for index, window in enumerate(scenario.windows):
         _require_within_run(f"windows[{index}].since", window.since, scenario.seconds)
         _require_within_run(f"windows[{index}].to", window.to, scenario.seconds)
@@ -251,17 +254,17 @@
 
 def _validate_fault(key: str, fault: Fault, scenario: Scenario) -> None:
     if fault.what not in FAULTS:
-        raise ValueError(f"{key}.what: unknown word {fault.what!r}; known are {', '.join(FAULTS)}")
+        raise ValueError(f"{key}.what: unknown fault {fault.what!r}; known faults are {', '.join(FAULTS)}")
     _require_within_run(f"{key}.at", fault.at, scenario.seconds)
     for field in ("delay_ms", "jitter_ms", "share", "bytes_per_s", "times", "work_ms", "by", "spread"):
         _require_at_least(f"{key}.{field}", getattr(fault, field), 0.0)
     if not fault.last > 0.0:
-        raise ValueError(f"{key}.last: {fault.last} is no time")
+        raise ValueError(f"{key}.last: {fault.last} is not a duration above 0")
     if fault.share > 1.0:
-        raise ValueError(f"{key}.share: {fault.share} is no share from 0 to 1")
+        raise ValueError(f"{key}.share: {fault.share} is not a share from 0 to 1")
     for field in _REQUIRED_FIELDS.get(fault.what, ()):
         if not getattr(fault, field) > 0.0:
-            raise ValueError(f"{key}.{field}: {fault.what!r} needs one above 0")
+            raise ValueError(f"{key}.{field}: {fault.what!r} needs a value above 0")
     if fault.what in LINK_FAULTS or fault.what == "hide":
         if len(fault.between) != 2:
             raise ValueError(f"{key}.between: {fault.what!r} needs two groups")
@@ -278,13 +281,13 @@
             and not any(side["sidecars"] == all_sidecars for side in sides)
         ):
             raise ValueError(
-                f"{key}.between: endpoints.shared: no link leads from some of the sidecars alone"
+                f"{key}.between: with endpoints.shared, no link leads from only some of the sidecars"
             )
         if not any(side["sidecars"] for side in sides):
             raise ValueError(f"{key}.between: no link leads from {fault.between[0]} to {fault.between[1]}")
         return
     if fault.between:
-        raise ValueError(f"{key}.between: {fault.what!r} takes `who`")
+        raise ValueError(f"{key}.between: {fault.what!r} takes `who` instead")
     if fault.what in DISCOVERY_FAULTS and not fault.who:
         return
     allowed_kinds: tuple[str, ...] = MEMBER_KINDS
@@ -301,20 +304,20 @@
     key: str, names: list[str], scenario: Scenario, allowed_kinds: tuple[str, ...]
 ) -> dict[str, set[int]]:
     if not names:
-        raise ValueError(f"{key}: names nobody")
+        raise ValueError(f"{key}: names no member")
     try:
         members_by_kind = resolve_members(names, scenario)
     except ValueError as error:
         raise ValueError(f"{key}: {error}") from None
     for kind in MEMBER_KINDS:
         if members_by_kind[kind] and kind not in allowed_kinds:
-            raise ValueError(f"{key}: {kind} can't be meant here, only {', '.join(allowed_kinds)}")
+            raise ValueError(f"{key}: {kind} can't be used here, only {', '.join(allowed_kinds)}")
     return members_by_kind
 
 
 def _require_at_least(key: str, value: float, minimum: float) -> None:
     if math.isnan(value) or value < minimum:
-        raise ValueError(f"{key}: {value} is under {minimum}")
+        raise ValueError(f"{key}: {value} is below the minimum {minimum}")
 
 
 def _require_within_run(key: str, value: float, run_s: float) -> None:
--- a/larkcrank/lab/settings.py
+++ b/larkcrank/lab/settings.py
@@ -1,4 +1,4 @@
-"""The settings that a scenario's processes start from; what the scenario says is merged into them."""
+"""Default settings of a scenario's processes; the scenario's own settings are merged into them."""
 
 from typing import Any
 
@@ -57,7 +57,7 @@
 
 
 def merge_settings(base: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
-    """`base` with what `more` says: objects are merged, all else replaced."""
+    """Return `base` updated with `overrides`. Nested objects are merged; all other values are replaced."""
     result = dict(base)
     for key, value in overrides.items():
         if isinstance(value, dict) and isinstance(result.get(key), dict):
--- a/larkcrank/lab/stranger.py
+++ b/larkcrank/lab/stranger.py
@@ -1,6 +1,7 @@
-"""A stand-in for a member on a later version of the protocol: sound datagrams that nobody here can read.
+"""A stand-in for a fleet member that speaks a later version of the protocol.
 
-The fleet bench starts it as it starts the program: `command = ["python", "-m", "larkcrank.lab.stranger"]`.
+Its datagrams are authenticated correctly, but this version cannot decode them. The fleet bench starts it in
+place of the program: `command = ["python", "-m", "larkcrank.lab.stranger"]`.
 """
 
 import asyncio
--- a/tests/wrong_sidecar.py
+++ b/tests/wrong_sidecar.py
@@ -1,4 +1,7 @@
-"""Deliberately wrong peers for the fleet bench: each process breaks one rule, by its number; 0 none."""
+"""Deliberately faulty sidecars for the fleet bench.
+
+Process n has behaviour n and breaks the rule that belongs to it. Process 0 breaks none.
+"""
 
 import asyncio
 import json
@@ -8,34 +11,50 @@
 
 from larkcrank.protocol import http1
 
-WAYS = ("right", "lose", "late", "invent", "resend", "copies", "after", "refuse", "drain", "order", "cold")
-LATE_S = 3.0  # past the deadline of 1 s, the slack of 1 s and before the client goes
-
-
-class Wrong:
+BEHAVIOURS = (
+    "right",
+    "lose",
+    "late",
+    "invent",
+    "resend",
+    "copies",
+    "after",
+    "refuse",
+    "drain",
+    "order",
+    "cold",
+)
+LATE_ANSWER_DELAY_S = 3.0  # after the deadline of 1 s and the slack of 1 s, but before the client gives up
+
+
+class FaultySidecar:
     def __init__(self, config: dict[str, object]) -> None:
-        self.way = WAYS[int(str(config["name"])[1:])]
-        known = config["known"]
-        assert isinstance(known, dict)
-        self.places = {line["instanceId"]: line["hostPort"] for line in known["instances"]}
+        self.behaviour = BEHAVIOURS[int(str(config["name"])[1:])]
+        initial_list = config["known"]
+        assert isinstance(initial_list, dict)
+        self.endpoint_addresses = {
+            entry["instanceId"]: entry["hostPort"] for entry in initial_list["instances"]
+        }
         host, _, port = str(config["discovery"]).rpartition(":")
-        self.discovery = host, int(port)
-        self.subjects: set[bytes] = set()
+        self.discovery_address = host, int(port)
+        self.seen_subjects: set[bytes] = set()
 
-    async def ask(self, name: str, request: http1.Request) -> http1.Response:
-        host, _, port = self.places[name].rpartition(":")
+    async def forward_to(self, endpoint: str, request: http1.Request) -> http1.Response:
+        host, _, port = self.endpoint_addresses[endpoint].rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        text = http1.request_bytes(request.method, request.target, request.fields.passed_on(), request.body)
+        request_bytes = http1.request_bytes(
+            request.method, request.target, request.fields.passed_on(), request.body
+        )
         try:
-            return await self.exchange(reader, writer, text)
+            return await self.exchange(reader, writer, request_bytes)
         finally:
             writer.close()
 
     @staticmethod
     async def exchange(
-        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, text: bytes
+        reader: asyncio.StreamReader, writer: asyncio.StreamWriter, request_bytes: bytes
     ) -> http1.Response:
-        writer.write(text)
+        writer.write(request_bytes)
         parser = http1.ResponseParser()
         while not parser.complete:
             data = await reader.read(65536)
@@ -44,10 +63,10 @@
             parser.feed(data)
         return parser.response()
 
-    async def keep_told(self) -> None:
-        """Hear of what drains, and do nothing about it."""
+    async def poll_discovery(self) -> None:
+        """Fetch the list, so that drains are known to this sidecar, but ignore it."""
         while True:
-            reader, writer = await asyncio.open_connection(*self.discovery)
+            reader, writer = await asyncio.open_connection(*self.discovery_address)
             await self.exchange(reader, writer, b"GET /registry/instances HTTP/1.1\r\nHost: d\r\n\r\n")
             writer.close()
             await asyncio.sleep(0.2)
@@ -67,57 +86,57 @@
     async def answer(self, request: http1.Request) -> tuple[int, bytes]:
         subject = request.fields.one(b"req-extra") or b""
         is_order = request.target.startswith(b"/order")
-        match self.way:
+        match self.behaviour:
             case "lose":
                 return 0, b""
             case "late":
-                await asyncio.sleep(LATE_S)
+                await asyncio.sleep(LATE_ANSWER_DELAY_S)
             case "invent":
                 return 200, b"made up"
             case "resend" if is_order:
-                await self.ask("s-1", request)
-                return 200, (await self.ask("s-2", request)).body
+                await self.forward_to("s-1", request)
+                return 200, (await self.forward_to("s-2", request)).body
             case "copies":
-                slow = asyncio.ensure_future(self.ask("s-2", request))
+                slow_response = asyncio.ensure_future(self.forward_to("s-2", request))
                 await asyncio.sleep(0.1)
-                await self.ask("s-1", request)
-                return 200, (await slow).body
+                await self.forward_to("s-1", request)
+                return 200, (await slow_response).body
             case "after":
                 asyncio.get_running_loop().call_later(
-                    2.0, lambda: asyncio.ensure_future(self.ask("s-1", request))
+                    2.0, lambda: asyncio.ensure_future(self.forward_to("s-1", request))
                 )
                 return 503, b""
             case "refuse" if is_order:
-                await self.ask("s-1", request)
+                await self.forward_to("s-1", request)
                 return 503, b""
             case "drain":
-                answer = await self.ask("s-0", request)
-                return answer.status, answer.body
-            case "order" if request.target.startswith(b"/step") and subject not in self.subjects:
-                self.subjects.add(subject)
-                await asyncio.sleep(LATE_S)
+                response = await self.forward_to("s-0", request)
+                return response.status, response.body
+            case "order" if request.target.startswith(b"/step") and subject not in self.seen_subjects:
+                self.seen_subjects.add(subject)
+                await asyncio.sleep(LATE_ANSWER_DELAY_S)
             case "cold":
-                answer = await self.ask("s-3", request)
-                return answer.status, answer.body
-        answer = await self.ask("s-1", request)
-        return answer.status, answer.body
+                response = await self.forward_to("s-3", request)
+                return response.status, response.body
+        response = await self.forward_to("s-1", request)
+        return response.status, response.body
 
 
-def say(event: str) -> None:
+def print_event(event: str) -> None:
     print(json.dumps({"event": event}), file=sys.stderr, flush=True)
 
 
 async def main() -> None:
     with open(os.environ["PROXY_CONFIG"]) as file:
         config = json.load(file)
-    wrong = Wrong(config)
+    sidecar = FaultySidecar(config)
     host, _, port = config["listen"].rpartition(":")
-    await asyncio.start_server(wrong.serve, host, int(port))
-    told = asyncio.create_task(wrong.keep_told()) if wrong.way == "drain" else None
-    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, say, "counters")
-    say("ready")
+    await asyncio.start_server(sidecar.serve, host, int(port))
+    poll_task = asyncio.create_task(sidecar.poll_discovery()) if sidecar.behaviour == "drain" else None
+    asyncio.get_running_loop().add_signal_handler(signal.SIGUSR1, print_event, "counters")
+    print_event("ready")
     await asyncio.Event().wait()
-    assert told is None or not told.done()
+    assert poll_task is None or not poll_task.done()
 
 
 if __name__ == "__main__":
