--- a/larkcrank/lab/bench.py
+++ b/larkcrank/lab/bench.py
@@ -41,7 +41,7 @@
 DATAGRAM_PORT_RANGE = (20000, 32000)  # for the members' datagram sockets; below the kernel's ephemeral ports
 LOOPBACK_SUBNET_START = 64  # second byte of the lowest loopback address used for datagrams
 SEED_MEMBERS = 3  # number of members that others may use as seeds
-MAX_DESCRIPTORS = 1 << 16
+MAX_DESCRIPTORS = 1 << 16  # where the hard limit on file descriptors is infinite
 
 
 class BenchError(Exception):
@@ -52,7 +52,7 @@
     """How long the members of one settle check took to report the expected state."""
 
     at: float
-    call: str
+    call: str  # the ops call, or the counter if one was named
     took: float  # seconds; infinite if not within the time limit
     course: list[tuple[float, float]] = []  # time and share of members that agreed
 
@@ -193,6 +193,7 @@
         )
 
     def _build(self) -> None:
+        """Create the endpoints, the processes, their links and their clients; start nothing."""
         scenario, zones = self._scenario, self._scenario.fleet.zones
         idempotency_keys = IdempotencyKeys()
         for index in range(scenario.endpoints.count):
@@ -262,6 +263,7 @@
         return self._directions[source, target]
 
     def _endpoint_port(self, sidecar: int, endpoint: int, address_index: int) -> int:
+        """Return the port of a sidecar's link to an endpoint; past ports have lower indices."""
         return self._links[self._link_owner(sidecar), ("endpoints", endpoint)].ports[address_index]
 
     def _restart_clock(self) -> None:
@@ -278,6 +280,7 @@
         self._ledger.connections = 0
 
     def _config(self, child: SidecarProcess, initial_list: dict[str, Any] | None) -> dict[str, Any]:
+        """Build a process's configuration: the bench's part, then the fleet's, then the overrides."""
         fleet, index = self._scenario.fleet, child.index
         settings = self._settings | {"ordinal": index, "az": index % len(fleet.zones)}
         port = self._links[index, ("discovery", 0)].ports[-1]
@@ -357,16 +360,16 @@
     async def _watch_lag(self) -> None:
         """Record the maximum delay of the bench's own event loop."""
         while True:
-            slept_at = time.monotonic()
+            sleep_start = time.monotonic()
             await asyncio.sleep(LAG_SAMPLE_INTERVAL_S)
-            self._max_lag_s = max(self._max_lag_s, time.monotonic() - slept_at - LAG_SAMPLE_INTERVAL_S)
+            self._max_lag_s = max(self._max_lag_s, time.monotonic() - sleep_start - LAG_SAMPLE_INTERVAL_S)
 
     async def _report_progress(self) -> None:
         while True:
             await asyncio.sleep(5.0)
-            asks = self._ledger.asks
-            served = sum(ask.status == 200 for ask in asks)
-            self._progress(f"{self._ledger.now():6.1f} s: {len(asks)} requests, {served} served")
+            requests = self._ledger.asks
+            served = sum(request.status == 200 for request in requests)
+            self._progress(f"{self._ledger.now():6.1f} s: {len(requests)} requests, {served} served")
 
     async def _run_settle_check(self, check: SettleCheck) -> None:
         """Poll the members of a settle check until all agree or its time limit is over."""
--- a/larkcrank/lab/links.py
+++ b/larkcrank/lab/links.py
@@ -23,7 +23,7 @@
 LISTEN_BACKLOG = 256
 MIN_RETRANSMISSION_S = 0.2  # minimum retransmission timeout of Linux
 MAX_CONSECUTIVE_LOSSES = 6  # of one segment, so that its delay stays bounded
-SEGMENT_BYTES = 1460
+SEGMENT_BYTES = 1460  # TCP payload of a packet with an MTU of 1500
 _LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER with 0 seconds: closing sends a reset
 
 
--- a/larkcrank/lab/scenario.py
+++ b/larkcrank/lab/scenario.py
@@ -10,9 +10,22 @@
 
 import msgspec
 
+# Faults of the network between two groups of members:
+#   cut: streams wait and datagrams are lost       refuse: connections are reset and refused
+#   slow: delay and jitter                         lose: lost segments and datagrams
+#   duplicate, reorder: of datagrams               narrow: limited bandwidth
 LINK_FAULTS = ("cut", "refuse", "slow", "lose", "duplicate", "reorder", "narrow")
+# Faults of processes: kill (SIGKILL), stop (SIGSTOP), continue (SIGCONT), end (SIGTERM), restart. "kill" and
+# "restart" apply to endpoints and discovery too.
 PROCESS_FAULTS = ("kill", "stop", "continue", "end", "restart")
+# Faults of endpoints: silence (cut off from all sidecars), crowd (slowed down), drain (announced as
+# terminating), replace (by an endpoint with a new name).
 ENDPOINT_FAULTS = ("silence", "crowd", "drain", "replace")
+# Faults of discovery:
+#   hush: no answers                               deny: answers with 503
+#   drag: calls for the whole list take longer     lag: out-of-date lists
+#   hide: lists without some endpoints             empty: an empty list
+#   anew: generations are counted from 1 again
 DISCOVERY_FAULTS = ("hush", "deny", "drag", "lag", "hide", "empty", "anew")
 FAULTS = LINK_FAULTS + PROCESS_FAULTS + ENDPOINT_FAULTS + DISCOVERY_FAULTS
 MEMBER_KINDS = ("sidecars", "endpoints", "discovery")
@@ -56,7 +69,7 @@
     # members, and {files} the path prefix of the files that it keeps.
     config: dict[str, Any] = {}
     settings: dict[str, Any] = {}  # merged into each process's settings
-    own: list[ProcessOverride] = []
+    own: list[ProcessOverride] = []  # overrides for some of the processes
 
 
 class EndpointSettings(_StrictStruct):
@@ -64,7 +77,7 @@
     shared: bool = False  # all processes share one link per endpoint, so faults can't single some out
     workers: int = 4  # requests processed at once
     service_ms: float = 30.0  # mean work of a request
-    spread: Literal["fixed", "exponential"] = "fixed"
+    spread: Literal["fixed", "exponential"] = "fixed"  # distribution of the work
     queue: int = 64  # maximum of waiting requests; further ones are declined
     connections: int = 256  # maximum of open connections; further ones are closed at once
     handshake_ms: float = 0.0  # extra work of the first request on a connection
@@ -107,7 +120,7 @@
     by: float = 0.0  # lag: seconds by which served lists are out of date
     # What a restarted process still has: a list in its configuration and its files, its files, or nothing.
     keeps: Literal["list", "files", "nothing"] = "list"
-    address: Literal["same", "new"] = "same"
+    address: Literal["same", "new"] = "same"  # of a restarted or replaced endpoint
     spread: float = 0.0  # seconds over which the members are affected one after another; 0: at once
 
 
@@ -119,7 +132,7 @@
     call: str = "PING"
     answer: str = "200"  # prefix of the expected answer
     alike: int = 0  # if not 0, this many leading words must be equal in all answers
-    counter: str = ""
+    counter: str = ""  # name of a counter to check in place of the ops call
     least: int = 1  # minimum value of the counter
     within: float = 60.0  # seconds after which the check fails
 
@@ -131,7 +144,7 @@
     since: float
     to: float
     who: list[str] = msgspec.field(default_factory=lambda: ["sidecars"])
-    at_least: float = 0.0
+    at_least: float = 0.0  # minimum share; the run fails below it
 
 
 class Scenario(_StrictStruct):
