--- a/tests/test_fleet_recovery.py
+++ b/tests/test_fleet_recovery.py
@@ -4,7 +4,15 @@
 
 from larkcrank.fleet.asking import turn_order_key
 from larkcrank.lab import bench
-from larkcrank.lab.scenario import DiscoveryPart, Endpoints, FaultLine, Fleet, Load, Scenario, Settle
+from larkcrank.lab.scenario import (
+    DiscoverySettings,
+    EndpointSettings,
+    Fault,
+    FleetSettings,
+    LoadSettings,
+    Scenario,
+    SettleCheck,
+)
 
 FLEET_CONFIG: dict[str, Any] = {
     "name": "t",
@@ -15,22 +23,22 @@
 }
 
 
-def play_fleet(processes: int, seconds: float, **more: Any) -> bench.Played:
+def play_fleet(processes: int, seconds: float, **more: Any) -> bench.RunOutcome:
     scenario = Scenario(
         name="recovery",
         seconds=seconds,
-        fleet=Fleet(
+        fleet=FleetSettings(
             processes=processes,
             datagrams=True,
             config={"fleet": FLEET_CONFIG},
             settings={"bounds": {"peers": True}},
         ),
-        endpoints=Endpoints(count=4, service_ms=5.0, shared=True),
-        load=Load(rate=5.0, classes={"look": 1.0, "order": 1.0}),
+        endpoints=EndpointSettings(count=4, service_ms=5.0, shared=True),
+        load=LoadSettings(rate=5.0, classes={"look": 1.0, "order": 1.0}),
         slack_ms=15000.0,
         **more,
     )
-    played = bench.play(scenario, lambda text: None)
+    played = bench.run_scenario(scenario, lambda text: None)
     assert all(settled.took < 60.0 for settled in played.settled), played.settled
     assert played.breaches == []
     return played
@@ -43,12 +51,12 @@
         4,
         16.0,
         faults=[
-            FaultLine(at=6.0, what="cut", between=[cut_off, ["discovery"]]),
-            FaultLine(at=7.0, what="replace", who=["endpoints:1-3"], address="new"),
+            Fault(at=6.0, what="cut", between=[cut_off, ["discovery"]]),
+            Fault(at=7.0, what="replace", who=["endpoints:1-3"], address="new"),
         ],
         settles=[
-            Settle(at=0.0, call="VIEW", answer="200 live 4 ", alike=5),
-            Settle(at=7.0, counter="recovery.lists_taken", who=cut_off),
+            SettleCheck(at=0.0, call="VIEW", answer="200 live 4 ", alike=5),
+            SettleCheck(at=7.0, counter="recovery.lists_taken", who=cut_off),
         ],
     )
 
@@ -60,14 +68,14 @@
     played = play_fleet(
         4,
         20.0,
-        discovery=DiscoveryPart(known=False),
+        discovery=DiscoverySettings(known=False),
         faults=[
-            FaultLine(at=2.0, what="kill", who=["discovery"]),
-            FaultLine(at=3.0, what="kill", who=["sidecars"], last=1.0, keeps="nothing"),
-            FaultLine(at=8.0, what="kill", who=[f"sidecars:{first_caller}"]),
-            FaultLine(at=8.0, what="restart", who=["discovery"]),
+            Fault(at=2.0, what="kill", who=["discovery"]),
+            Fault(at=3.0, what="kill", who=["sidecars"], last=1.0, keeps="nothing"),
+            Fault(at=8.0, what="kill", who=[f"sidecars:{first_caller}"]),
+            Fault(at=8.0, what="restart", who=["discovery"]),
         ],
-        settles=[Settle(at=8.0, counter="served", least=3, who=others)],
+        settles=[SettleCheck(at=8.0, counter="served", least=3, who=others)],
     )
     # Four members that call independently, each with its own backoff, make about as many calls.
     assert len(played.ledger.list_calls) < 40
@@ -77,10 +85,10 @@
     scenario = Scenario(
         name="plain",
         seconds=2.0,
-        fleet=Fleet(processes=1),
-        endpoints=Endpoints(count=1, service_ms=5.0),
-        load=Load(rate=5.0, classes={"look": 1.0}),
+        fleet=FleetSettings(processes=1),
+        endpoints=EndpointSettings(count=1, service_ms=5.0),
+        load=LoadSettings(rate=5.0, classes={"look": 1.0}),
         slack_ms=15000.0,
     )
-    played = bench.play(scenario, lambda text: None)
+    played = bench.run_scenario(scenario, lambda text: None)
     assert not [name for name in played.counters if name.startswith(("fleet.", "recovery."))]
