--- a/larkcrank/lab/report.py
+++ b/larkcrank/lab/report.py
@@ -1,4 +1,4 @@
-"""What a run brought, as figures, tables and a chart. A run that was cut short leaves no result."""
+"""Turns the record of a run into a result file, tables and a chart. An interrupted run writes no result."""
 
 import csv
 import io
@@ -22,21 +22,26 @@
 matplotlib.use("Agg")
 import matplotlib.pyplot as plt
 
-RESULT = "result.json"
-VERSION = 1
-MOST_US = 120_000_000
-SHOWN_BREACHES = 20
+RESULT_FILE = "result.json"
+RESULT_VERSION = 1  # format of the result file
+MAX_LATENCY_US = 120_000_000
+MAX_SHOWN_BREACHES = 20
 
 
 class Share(msgspec.Struct, frozen=True):
+    """The share of requests served in time within one window of the scenario."""
+
     name: str
-    served: float
+    served: float  # share served in time; -1: no request
     asked: int
-    at_least: float
+    at_least: float  # the share that the scenario expects
 
 
 class Result(msgspec.Struct):
-    """One run. Shares are of what clients meant to ask, latencies in ms from the intended time."""
+    """The result of one run, as it is written to the result file.
+
+    Shares are of the requests that clients intended to send; latencies count from the intended send time.
+    """
 
     version: int
     scenario: str
@@ -46,13 +51,13 @@
     served: float
     refused: int
     failed: int
-    unreached: int
+    unreached: int  # requests that never got to a sidecar
     p50_ms: float
     p99_ms: float
     connections: int
-    most_connections: int
+    most_connections: int  # highest number at one endpoint
     list_calls: int
-    list_calls_most: int  # in one second
+    list_calls_most: int  # highest number in one second
     datagrams: int
     breaches: list[Breach]
     by_rule: dict[str, int]
@@ -60,52 +65,60 @@
     settled: list[Settled]
     unsettled: int
     use: Use
-    lag_ms: float
-    seconds: list[float]  # served share of each second; -1: nobody asked
-    faults: list[tuple[float, str, str]]
+    lag_ms: float  # longest delay of the bench's own event loop
+    seconds: list[float]  # served share of each second; -1: no request in that second
+    faults: list[tuple[float, str, str]]  # time in s, fault, affected members
     counters: dict[str, int]
-    came_back: int = 0  # tries of clients that had been refused
-    came_back_served: float = -1.0  # share of them that were served
-    cold: dict[str, tuple[float, float]] = {}  # by endpoint: calls in its worst window while cold, and N
+    came_back: int = 0  # repeated tries of clients after a refusal
+    came_back_served: float = -1.0  # share of those tries that were served; -1: there were none
+    # By endpoint: the calls in its worst window while cold, and N, the number that the rule allowed then.
+    cold: dict[str, tuple[float, float]] = {}
 
 
-def aims(scenario: Scenario) -> dict[str, float]:
-    """Seconds from the intended time within which an answer earns, by class."""
+def target_latencies_s(scenario: Scenario) -> dict[str, float]:
+    """By request class: the latency from the intended send time up to which an answer is in time."""
     decisions = convert(merged(SETTINGS, scenario.fleet.settings)).decisions
-    return {cls.name: cls.aim_ms / 1000.0 for cls in decisions.classes}
+    return {request_class.name: request_class.aim_ms / 1000.0 for request_class in decisions.classes}
 
 
-def summary(scenario: Scenario, played: Played) -> Result:
-    ledger, aim = played.ledger, aims(scenario)
-    meant: dict[str, tuple[Ask, bool]] = {}  # each intention once, however often its client came back
-    latencies = HdrHistogram(1, MOST_US, 3)
+def summarize(scenario: Scenario, played: Played) -> Result:
+    """Computes the result of a finished run."""
+    ledger, target_s = played.ledger, target_latencies_s(scenario)
+    # By id of the first try: that request, and whether any of its tries was served in time.
+    first_tries: dict[str, tuple[Ask, bool]] = {}
+    latencies = HdrHistogram(1, MAX_LATENCY_US, 3)
     for ask in ledger.asks:
-        took = ask.ended_at - ask.meant_at
-        good = ask.status == 200 and took <= aim[ask.cls]
-        first, was = meant.get(ask.first, (ask, False))
-        meant[ask.first] = (first, was or good)
+        latency_s = ask.ended_at - ask.meant_at
+        in_time = ask.status == 200 and latency_s <= target_s[ask.cls]
+        first_try, was_in_time = first_tries.get(ask.first, (ask, False))
+        first_tries[ask.first] = (first_try, was_in_time or in_time)
         if ask.status == 200:
-            latencies.record_value(min(max(int(took * 1e6), 1), MOST_US))
-
-    def share(since: float, to: float, who: set[int]) -> tuple[float, int]:
-        those = [good for ask, good in meant.values() if since <= ask.meant_at < to and ask.sidecar in who]
-        return (sum(those) / len(those) if those else -1.0), len(those)
-
-    everyone = set(range(scenario.fleet.processes))
+            latencies.record_value(min(max(int(latency_s * 1e6), 1), MAX_LATENCY_US))
+
+    def share(start: float, end: float, sidecars: set[int]) -> tuple[float, int]:
+        """Of the requests intended in [start, end): the share that was served in time, and their number."""
+        in_time_flags = [
+            in_time
+            for ask, in_time in first_tries.values()
+            if start <= ask.meant_at < end and ask.sidecar in sidecars
+        ]
+        return (sum(in_time_flags) / len(in_time_flags) if in_time_flags else -1.0), len(in_time_flags)
+
+    all_sidecars = set(range(scenario.fleet.processes))
     windows = []
     for window in scenario.windows:
         served, asked = share(window.since, window.to, members(window.who, scenario)["sidecars"])
         windows.append(Share(window.name, served, asked, window.at_least))
-    served, asked = share(-math.inf, math.inf, everyone)
-    back = [ask for ask in ledger.asks if ask.first != ask.id]
-    calls = Counter(int(at) for at, _ in ledger.list_calls)
-    unsettled = sum(math.isinf(one.took) for one in played.settled)
-    short = [one for one in windows if one.served < one.at_least]
+    served, asked = share(-math.inf, math.inf, all_sidecars)
+    later_tries = [ask for ask in ledger.asks if ask.first != ask.id]
+    list_calls_by_second = Counter(int(at) for at, _ in ledger.list_calls)
+    unsettled_count = sum(math.isinf(item.took) for item in played.settled)
+    missed_windows = [item for item in windows if item.served < item.at_least]
     return Result(
-        VERSION,
+        RESULT_VERSION,
         scenario.name,
         scenario.seed,
-        not played.breaches and not unsettled and not short,
+        not played.breaches and not unsettled_count and not missed_windows,
         asked,
         served,
         sum(ask.status in (429, 503) for ask in ledger.asks),
@@ -116,27 +129,30 @@
         ledger.connections,
         played.most_connections,
         len(ledger.list_calls),
-        max(calls.values(), default=0),
+        max(list_calls_by_second.values(), default=0),
         ledger.datagrams,
         played.breaches,
         dict(Counter(breach.rule for breach in played.breaches)),
         windows,
-        [msgspec.structs.replace(one, took=-1.0) if math.isinf(one.took) else one for one in played.settled],
-        unsettled,
+        [
+            msgspec.structs.replace(item, took=-1.0) if math.isinf(item.took) else item
+            for item in played.settled
+        ],
+        unsettled_count,
         played.use,
         played.lag_s * 1000.0,
-        [share(second, second + 1, everyone)[0] for second in range(math.ceil(scenario.seconds))],
+        [share(second, second + 1, all_sidecars)[0] for second in range(math.ceil(scenario.seconds))],
         [(event.at, event.text, event.who) for event in ledger.events if event.what == "fault"],
         {key: value for key, value in played.counters.items() if isinstance(value, int)},
-        len(back),
-        sum(ask.status == 200 for ask in back) / len(back) if back else -1.0,
+        len(later_tries),
+        sum(ask.status == 200 for ask in later_tries) / len(later_tries) if later_tries else -1.0,
         ledger.cold,
     )
 
 
-def figures(result: Result) -> dict[str, float]:
-    """What is compared from run to run."""
-    found = {
+def comparison_metrics(result: Result) -> dict[str, float]:
+    """The metrics that are compared between runs, by their name in the tables."""
+    metrics = {
         "served": result.served,
         "p50 ms": result.p50_ms,
         "p99 ms": result.p99_ms,
@@ -151,88 +167,109 @@
         "breaches": float(len(result.breaches)),
     }
     if result.came_back:
-        found |= {"came back": float(result.came_back), "served, of those": result.came_back_served}
+        metrics |= {"came back": float(result.came_back), "served, of those": result.came_back_served}
     if result.cold:
-        calls, allowed = max(result.cold.values(), key=lambda one: nearness(*one))
-        found["calls at a cold endpoint, in the worst window"] = calls
-        found["N then"] = allowed
-        found["beyond N, in roots of N"] = excess(calls, allowed)
-        shares = [nearness(*one) for one in result.cold.values()]
-        found["share of N and chance, worst"] = max(shares)
-        found["share of N and chance, median of the cold ones"] = median(shares)
-    found |= {f"served, {one.name}": one.served for one in result.windows}
-    for index, one in enumerate(result.settled):
-        found[f"settled {index} ({one.call}), s"] = one.took
-    found |= {
+        # N is the number of calls that the cold-start rule allows in a window.
+        worst_calls, allowed = max(result.cold.values(), key=lambda window: nearness(*window))
+        metrics["calls at a cold endpoint, in the worst window"] = worst_calls
+        metrics["N then"] = allowed
+        metrics["beyond N, in roots of N"] = excess(worst_calls, allowed)
+        limit_shares = [nearness(*window) for window in result.cold.values()]
+        metrics["share of N and chance, worst"] = max(limit_shares)
+        metrics["share of N and chance, median of the cold ones"] = median(limit_shares)
+    metrics |= {f"served, {window.name}": window.served for window in result.windows}
+    for index, settled in enumerate(result.settled):
+        metrics[f"settled {index} ({settled.call}), s"] = settled.took
+    metrics |= {
         "memory of the processes, MB": result.use.memory_mb,
         "CPU of the processes, s": result.use.cpu_s,
         "CPU of the bench, s": result.use.bench_cpu_s,
         "seconds until ready": result.use.ready_s,
         "bench at most late, ms": result.lag_ms,
     }
-    return found
-
-
-def rows(results: list[Result]) -> list[list[str]]:
-    """A header, then a row a figure: each run's, and where there are several least, median and most."""
-    several = len(results) > 1
-    head = ["figure", *(f"seed {result.seed}" for result in results)]
-    table = [head + (["least", "median", "most"] if several else [])]
-    columns = [figures(result) for result in results]
-    for name in columns[0]:
-        values = [column.get(name, math.nan) for column in columns]
-        shown = values + ([min(values), median(values), max(values)] if several else [])
-        table.append([name, *(f"{value:.3f}".rstrip("0").rstrip(".") for value in shown)])
+    return metrics
+
+
+def table_rows(results: list[Result]) -> list[list[str]]:
+    """A header and one row per metric, with a column per run.
+
+    With several runs, columns for the minimum, median and maximum follow.
+    """
+    has_several_runs = len(results) > 1
+    header = ["figure", *(f"seed {result.seed}" for result in results)]
+    table = [header + (["least", "median", "most"] if has_several_runs else [])]
+    metrics_by_run = [comparison_metrics(result) for result in results]
+    for name in metrics_by_run[0]:
+        values = [metrics.get(name, math.nan) for metrics in metrics_by_run]
+        shown_values = values + ([min(values), median(values), max(values)] if has_several_runs else [])
+        table.append([name, *(f"{value:.3f}".rstrip("0").rstrip(".") for value in shown_values)])
     verdicts = ["passed" if result.passed else "FAILED" for result in results]
-    same = "same" if len(set(verdicts)) == 1 else "differs"
-    table.append(["verdict", *verdicts, *([same, "", ""] if several else [])])
+    agreement = "same" if len(set(verdicts)) == 1 else "differs"
+    table.append(["verdict", *verdicts, *([agreement, "", ""] if has_several_runs else [])])
     return table
 
 
-def markdown(results: list[Result]) -> str:
-    first, *rest = rows(results)
+def to_markdown(results: list[Result]) -> str:
+    header, *body_rows = table_rows(results)
     lines = [
         f"# {results[0].scenario}",
         "",
-        "Real processes; endpoints, discovery and clients are stand-ins.",
+        "The sidecars are real processes; endpoints, discovery and clients are simulated.",
         "",
     ]
-    lines += [f"| {' | '.join(first)} |", "|" + " --- |" * len(first)]
-    lines += [f"| {' | '.join(row)} |" for row in rest]
+    lines += [f"| {' | '.join(header)} |", "|" + " --- |" * len(header)]
+    lines += [f"| {' | '.join(row)} |" for row in body_rows]
     lines += ["", "| at, s | fault | who |", "| --- | --- | --- |"]
-    lines += [f"| {at:.2f} | {what} | {who} |" for at, what, who in results[0].faults]
+    lines += [f"| {at:.2f} | {fault} | {who} |" for at, fault, who in results[0].faults]
     for result in results:
         if result.breaches:
             rules = ", ".join(f"{rule} {count}" for rule, count in sorted(result.by_rule.items()))
             lines += ["", f"Breaches with seed {result.seed} ({rules}):", ""]
-            shown = result.breaches[:SHOWN_BREACHES]
-            lines += [f"- {one.at:.3f} s, {one.rule}, {one.who}: {one.text}" for one in shown]
+            shown_breaches = result.breaches[:MAX_SHOWN_BREACHES]
+            lines += [
+                f"- {breach.at:.3f} s, {breach.rule}, {breach.who}: {breach.text}"
+                for breach in shown_breaches
+            ]
     return "\n".join(lines) + "\n"
 
 
-def comma_separated(results: list[Result]) -> str:
-    out = io.StringIO()
-    csv.writer(out, lineterminator="\n").writerows(rows(results))
-    return out.getvalue()
+def to_csv(results: list[Result]) -> str:
+    buffer = io.StringIO()
+    csv.writer(buffer, lineterminator="\n").writerows(table_rows(results))
+    return buffer.getvalue()
+
 
+def draw_chart(results: list[Result], path: Path) -> None:
+    """Plots the served share per second as one line per run, and marks the faults.
 
-def chart(results: list[Result], path: Path) -> None:
-    """Served share by second, each run a line, with the faults; SVG or PNG by the path's ending."""
+    The suffix of the path selects SVG or PNG.
+    """
     figure, axes = plt.subplots(figsize=(10, 4.2))
     for result in results:
-        spots = [(second + 0.5, share) for second, share in enumerate(result.seconds) if share >= 0.0]
-        axes.plot(*zip(*spots, strict=True), linewidth=1.2, label=f"seed {result.seed}")
-    for number, settled in enumerate(one for result in results for one in result.settled):
-        ends = [*settled.course, *([(settled.at + settled.took, 1.0)] if settled.took >= 0.0 else [])]
-        label = "members that agree" if not number else None
+        points = [(second + 0.5, share) for second, share in enumerate(result.seconds) if share >= 0.0]
+        axes.plot(*zip(*points, strict=True), linewidth=1.2, label=f"seed {result.seed}")
+    for settled_index, settled in enumerate(one for result in results for one in result.settled):
+        agreement_steps = [
+            *settled.course,
+            *([(settled.at + settled.took, 1.0)] if settled.took >= 0.0 else []),
+        ]
+        label = "share of members that agree" if not settled_index else None
         axes.step(
-            *zip(*ends, strict=True), where="post", color="0.4", linestyle="--", linewidth=0.9, label=label
+            *zip(*agreement_steps, strict=True),
+            where="post",
+            color="0.4",
+            linestyle="--",
+            linewidth=0.9,
+            label=label,
         )
-    for index, (at, what, who) in enumerate(results[0].faults):
+    for index, (at, fault, who) in enumerate(results[0].faults):
         axes.axvline(at, color="0.6", linestyle=":", linewidth=1.0)
-        axes.text(at, 0.02 + 0.07 * (index % 6), f" {what} {who}", fontsize=7, color="0.3", clip_on=True)
+        axes.text(at, 0.02 + 0.07 * (index % 6), f" {fault} {who}", fontsize=7, color="0.3", clip_on=True)
     axes.set(
-        xlabel="seconds", ylabel="served, of what was meant", ylim=(0.0, 1.02), title=results[0].scenario
+        xlabel="seconds",
+        ylabel="share of intended requests served",
+        ylim=(0.0, 1.02),
+        title=results[0].scenario,
     )
     axes.set_xlim(0.0, max(len(result.seconds) for result in results))
     axes.legend(fontsize=7, loc="lower right")
@@ -241,26 +278,27 @@
     plt.close(figure)
 
 
-def write(result: Result, folder: Path) -> None:
-    """The result in one step, last of all that a run leaves. Raises OSError."""
-    beside = folder / f"{RESULT}.part"
-    beside.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
-    beside.replace(folder / RESULT)
+def write_result(result: Result, folder: Path) -> None:
+    """Writes the result file atomically, as the last file of a run. Raises OSError."""
+    temporary_path = folder / f"{RESULT_FILE}.part"
+    temporary_path.write_bytes(msgspec.json.format(msgspec.json.encode(result), indent=1))
+    temporary_path.replace(folder / RESULT_FILE)
 
 
-def read(path: Path) -> Result:
-    """Raises ValueError with the file's name where it holds no result."""
+def read_result(path: Path) -> Result:
+    """Reads a result file. Raises ValueError, with the path, if it holds no valid result."""
     try:
         result = msgspec.json.decode(path.read_bytes(), type=Result)
     except (OSError, msgspec.DecodeError) as error:
         raise ValueError(f"{path}: {error}") from None
-    if result.version != VERSION:
-        raise ValueError(f"{path}: version {result.version}, not {VERSION}")
+    if result.version != RESULT_VERSION:
+        raise ValueError(f"{path}: result has version {result.version}; expected {RESULT_VERSION}")
     return result
 
 
 def write_tables(results: list[Result], folder: Path) -> None:
-    (folder / "report.md").write_text(markdown(results))
-    (folder / "report.csv").write_text(comma_separated(results))
-    chart(results, folder / "report.svg")
-    chart(results, folder / "report.png")
+    """Writes the Markdown and CSV tables and the charts of these runs to the folder."""
+    (folder / "report.md").write_text(to_markdown(results))
+    (folder / "report.csv").write_text(to_csv(results))
+    draw_chart(results, folder / "report.svg")
+    draw_chart(results, folder / "report.png")
--- a/larkcrank/lab/rules.py
+++ b/larkcrank/lab/rules.py
@@ -1,8 +1,9 @@
-"""The rules, checked over the whole fleet after the event, from the ledger alone.
+"""Checks the rules for the whole fleet after a run, using only the ledger.
 
-Each breach is named by its rule and by who did what when. `slack_ms` of the scenario is the bench's own: two
-ends of one machine are seen one after another by one loop. A process that was killed owes nothing, one that
-was stopped owes nothing for what the stop touched: no program could have kept it.
+Each breach names its rule, the member that caused it, the time and what happened. The scenario's `slack_ms`
+covers the measurement error of the bench: one event loop observes both ends of a connection one after the
+other. A sidecar that was killed or stopped is not held to requests that overlap the outage, because no
+program could have kept the rule then.
 """
 
 import itertools
@@ -14,203 +15,274 @@
 from larkcrank.core.interface import Effect, RequestClass
 from larkcrank.lab.ledger import Ask, Attempt, Ledger
 
-GRACE_S = 0.07  # the settings' 20 ms past a deadline, and 50 ms that sockets are given
+DEADLINE_GRACE_S = 0.07  # 20 ms that the settings allow after a deadline, plus 50 ms for the sockets
+
+LATEST_OVERLAP_S = 10.0  # requests that start this long after a request ended are not compared with it
 
 
 class Breach(msgspec.Struct, frozen=True):
+    """One violation of a rule, as it is written to the result file."""
+
     rule: str  # lost, late, after, invented, twice, resent, refused, copies, drain, cold, order, malformed
-    at: float
-    who: str
+    at: float  # seconds since the start of the load
+    who: str  # the sidecar or endpoint, e.g. `sidecar 3`
     text: str
 
 
-class Spans:
-    """For each sidecar, when it could not act: stopped or dead; and when it began anew."""
+class SidecarOutages:
+    """For each sidecar, the intervals in which it was stopped or dead, and when it became ready."""
 
     def __init__(self, ledger: Ledger) -> None:
-        self._spans: dict[int, list[list[float]]] = defaultdict(list)
-        self.starts: dict[int, list[float]] = defaultdict(list)
+        self._outages: dict[int, list[list[float]]] = defaultdict(list)
+        self.ready_times: dict[int, list[float]] = defaultdict(list)
         for event in ledger.events:
-            kind, _, number = event.who.partition(" ")
-            if kind != "sidecar":
+            member_kind, _, sidecar_number = event.who.partition(" ")
+            if member_kind != "sidecar":
                 continue
-            sidecar = int(number)
+            sidecar = int(sidecar_number)
             if event.what in ("stopped", "killed"):
-                self._spans[sidecar].append([event.at, float("inf")])
+                self._outages[sidecar].append([event.at, float("inf")])
             elif event.what in ("continued", "ready"):
-                if self._spans[sidecar] and self._spans[sidecar][-1][1] == float("inf"):
-                    self._spans[sidecar][-1][1] = event.at
+                if self._outages[sidecar] and self._outages[sidecar][-1][1] == float("inf"):
+                    self._outages[sidecar][-1][1] = event.at
                 if event.what == "ready":
-                    self.starts[sidecar].append(event.at)
+                    self.ready_times[sidecar].append(event.at)
 
-    def touched(self, sidecar: int, since: float, to: float) -> bool:
-        return any(since <= end and begin <= to for begin, end in self._spans[sidecar])
+    def overlaps_outage(self, sidecar: int, start: float, end: float) -> bool:
+        """Whether the sidecar was stopped or dead at any moment of the interval."""
+        return any(
+            start <= outage_end and outage_start <= end for outage_start, outage_end in self._outages[sidecar]
+        )
 
-    def acts_from(self, sidecar: int, at: float) -> float:
-        """When what came to it at this time can have been read."""
-        return max([at, *(end for begin, end in self._spans[sidecar] if begin <= at < end)])
+    def earliest_read_time(self, sidecar: int, arrived_at: float) -> float:
+        """The earliest time at which the sidecar can have read data that arrived at the given time."""
+        return max(
+            [
+                arrived_at,
+                *(
+                    outage_end
+                    for outage_start, outage_end in self._outages[sidecar]
+                    if outage_start <= arrived_at < outage_end
+                ),
+            ]
+        )
 
 
-def check(
+def find_breaches(
     ledger: Ledger,
     classes: dict[str, RequestClass],
     grace_s: float,
     slack_s: float,
-    only_draining_binds: bool = False,
-    quiet_s: float = 0.0,
-    second_copies: bool = False,
+    terminating_only: bool = False,
+    unanswered_hold_s: float = 0.0,
+    allow_second_copies: bool = False,
 ) -> list[Breach]:
-    """Every breach, by time."""
-    spans = Spans(ledger)
-    asks = {ask.id: ask for ask in ledger.asks}
-    attempts: dict[str, list[Attempt]] = defaultdict(list)
+    """Returns every breach, ordered by time.
+
+    `grace_s`: how long a sidecar may still send to an endpoint after it was told that the endpoint drains.
+    `slack_s`: the measurement error of the bench. `terminating_only`: the drain rule applies only to the
+    state `Terminating`. `unanswered_hold_s`: how long an ordering key stays blocked after an
+    attempt without an answer. `allow_second_copies`: a request may have two attempts in flight.
+    """
+    outages = SidecarOutages(ledger)
+    asks_by_id = {ask.id: ask for ask in ledger.asks}
+    attempts_by_request: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in sorted(ledger.attempts, key=lambda one: one.entered_at):
-        attempts[attempt.request].append(attempt)
-    found = [
-        *_answers(ledger.asks, attempts, spans, slack_s),
-        *_effects(ledger, asks, classes),
-        *_attempts(asks, attempts, classes, spans, slack_s, second_copies),
-        *_drains(ledger, spans, grace_s + slack_s, only_draining_binds),
-        *_order(ledger.asks, attempts, classes, spans, slack_s, quiet_s),
+        attempts_by_request[attempt.request].append(attempt)
+    breaches = [
+        *_answer_breaches(ledger.asks, attempts_by_request, outages, slack_s),
+        *_effect_breaches(ledger, asks_by_id, classes),
+        *_attempt_breaches(asks_by_id, attempts_by_request, classes, outages, slack_s, allow_second_copies),
+        *_drain_breaches(ledger, outages, grace_s + slack_s, terminating_only),
+        *_order_breaches(ledger.asks, attempts_by_request, classes, outages, slack_s, unanswered_hold_s),
     ]
     for event in ledger.events:
         if event.what == "fell":
-            found.append(Breach("cold", event.at, event.who, event.text))
+            breaches.append(Breach("cold", event.at, event.who, event.text))
         elif event.what == "malformed":
-            found.append(Breach("malformed", event.at, event.who, event.text))
-    return sorted(found, key=lambda breach: breach.at)
+            breaches.append(Breach("malformed", event.at, event.who, event.text))
+    return sorted(breaches, key=lambda breach: breach.at)
 
 
-def _answers(
-    asks: Iterable[Ask], attempts: dict[str, list[Attempt]], spans: Spans, slack_s: float
+def _answer_breaches(
+    asks: Iterable[Ask],
+    attempts_by_request: dict[str, list[Attempt]],
+    outages: SidecarOutages,
+    slack_s: float,
 ) -> Iterable[Breach]:
-    """Rule 1: one final answer in time for each request taken, and nothing sent for it afterwards."""
+    """Rule 1: each accepted request gets one final answer in time, and no attempt starts after it."""
     for ask in asks:
         if ask.sent_at < 0.0:
             continue
-        who, due = f"sidecar {ask.sidecar}", ask.asked_at + ask.deadline + GRACE_S + slack_s
-        ended = ask.ended_at if ask.ended_at >= 0.0 else due
-        if spans.touched(ask.sidecar, ask.sent_at, max(ended, due)):
+        sidecar, latest_end = (
+            f"sidecar {ask.sidecar}",
+            ask.asked_at + ask.deadline + DEADLINE_GRACE_S + slack_s,
+        )
+        ended_at = ask.ended_at if ask.ended_at >= 0.0 else latest_end
+        if outages.overlaps_outage(ask.sidecar, ask.sent_at, max(ended_at, latest_end)):
             continue
         if not ask.status:
-            yield Breach("lost", ended, who, f"{ask.id} ({ask.cls}) got no answer: {ask.why or 'none came'}")
-        elif ask.ended_at > due:
-            yield Breach("late", ended, who, f"{ask.id} answered {ask.ended_at - due + slack_s:.3f} s late")
+            yield Breach(
+                "lost",
+                ended_at,
+                sidecar,
+                f"{ask.id} ({ask.cls}) got no answer: {ask.why or 'no reason recorded'}",
+            )
+        elif ask.ended_at > latest_end:
+            yield Breach(
+                "late",
+                ended_at,
+                sidecar,
+                f"{ask.id} answered {ask.ended_at - latest_end + slack_s:.3f} s late",
+            )
         if ask.status == 200 and ask.body != f"did {ask.id}":
-            yield Breach("invented", ended, who, f"{ask.id} got an answer that no endpoint made for it")
-        for attempt in attempts.get(ask.id, ()):
-            if attempt.entered_at > ended + slack_s:
-                text = f"{ask.id} sent to {attempt.endpoint} {attempt.entered_at - ended:.3f} s after its end"
-                yield Breach("after", attempt.entered_at, who, text)
+            yield Breach(
+                "invented", ended_at, sidecar, f"{ask.id} got an answer that no endpoint produced for it"
+            )
+        for attempt in attempts_by_request.get(ask.id, ()):
+            if attempt.entered_at > ended_at + slack_s:
+                description = (
+                    f"{ask.id} sent to {attempt.endpoint} "
+                    f"{attempt.entered_at - ended_at:.3f} s after its answer"
+                )
+                yield Breach("after", attempt.entered_at, sidecar, description)
 
 
-def _effects(ledger: Ledger, asks: dict[str, Ask], classes: dict[str, RequestClass]) -> Iterable[Breach]:
-    """Rule 2: no effect twice, and no refusal of what has had its effect."""
-    seen: dict[str, str] = {}
-    ran: set[str] = set()
+def _effect_breaches(
+    ledger: Ledger, asks_by_id: dict[str, Ask], classes: dict[str, RequestClass]
+) -> Iterable[Breach]:
+    """Rule 2: no effect happens twice, and no unsafe request is refused after it had its effect."""
+    effect_at: dict[str, str] = {}  # endpoint by idempotency key, or by the id of the first try
+    executed_ids: set[str] = set()
     for effect in ledger.effects:
-        ask = asks.get(effect.request)
+        ask = asks_by_id.get(effect.request)
         if ask is None:
-            yield Breach("invented", effect.at, effect.endpoint, f"{effect.request!r} was never asked for")
+            yield Breach("invented", effect.at, effect.endpoint, f"{effect.request!r} was sent by no client")
             continue
-        cls = classes[ask.cls]
-        ran.add(ask.id)
-        if cls.effect is Effect.SAFE:
+        request_class = classes[ask.cls]
+        executed_ids.add(ask.id)
+        if request_class.effect is Effect.SAFE:
             continue
-        name = effect.key or ask.first
-        if name in seen:
-            text = f"{ask.id} ({ask.cls}) had its effect at {seen[name]} and at {effect.endpoint}"
-            yield Breach("twice", effect.at, f"sidecar {ask.sidecar}", text)
-        seen.setdefault(name, effect.endpoint)
-    for ask in asks.values():
-        if ask.status in (429, 503) and ask.id in ran and classes[ask.cls].effect is Effect.UNSAFE:
-            yield Breach("refused", ask.ended_at, f"sidecar {ask.sidecar}", f"{ask.id} was refused and ran")
-
-
-def _attempts(
-    asks: dict[str, Ask],
-    attempts: dict[str, list[Attempt]],
+        operation = effect.key or ask.first
+        if operation in effect_at:
+            description = (
+                f"{ask.id} ({ask.cls}) had its effect at {effect_at[operation]} and at {effect.endpoint}"
+            )
+            yield Breach("twice", effect.at, f"sidecar {ask.sidecar}", description)
+        effect_at.setdefault(operation, effect.endpoint)
+    for ask in asks_by_id.values():
+        if ask.status in (429, 503) and ask.id in executed_ids and classes[ask.cls].effect is Effect.UNSAFE:
+            yield Breach(
+                "refused", ask.ended_at, f"sidecar {ask.sidecar}", f"{ask.id} was refused although it had run"
+            )
+
+
+def _attempt_breaches(
+    asks_by_id: dict[str, Ask],
+    attempts_by_request: dict[str, list[Attempt]],
     classes: dict[str, RequestClass],
-    spans: Spans,
+    outages: SidecarOutages,
     slack_s: float,
-    second_copies: bool,
+    allow_second_copies: bool,
 ) -> Iterable[Breach]:
-    """Rule 2: nothing unsafe is sent again that may have run; one attempt at a time."""
-    for number, several in attempts.items():
-        ask = asks.get(number)
-        if ask is None or len(several) < 2:
+    """Rule 2: an unsafe request that may have run is not sent again, and attempts do not overlap."""
+    for request_id, request_attempts in attempts_by_request.items():
+        ask = asks_by_id.get(request_id)
+        if ask is None or len(request_attempts) < 2:
             continue
-        who = f"sidecar {ask.sidecar}"
-        for first, then in itertools.pairwise(several):
-            text = f"{number} ({ask.cls}) sent to {first.endpoint} and to {then.endpoint}"
-            if classes[ask.cls].effect is Effect.UNSAFE and first.status != 503 and not ask.resent:
-                yield Breach("resent", then.entered_at, who, text)
-            over = first.ended_at if first.ended_at >= 0.0 else float("inf")
-            early = then.entered_at + slack_s < over and not second_copies and not ask.resent
-            if early and not spans.touched(ask.sidecar, first.entered_at, then.entered_at):
-                yield Breach("copies", then.entered_at, who, text + " while the first was out")
-
-
-def _drains(ledger: Ledger, spans: Spans, grace_s: float, only_draining: bool) -> Iterable[Breach]:
-    """Rule 3: nothing new to what a sidecar was told drains or is gone, once the grace is over."""
-    # For each sidecar and name the times from which it was bound and from which it was free again.
-    bound: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
-    named: dict[int, set[str]] = defaultdict(set)
-    for told in sorted(ledger.tolds, key=lambda one: one.at):
-        at = spans.acts_from(told.sidecar, told.at)
-        states = dict(told.states)
-        if told.whole:
-            states |= dict.fromkeys(named[told.sidecar] - states.keys(), "Gone")
-        for name, state in states.items():
-            binds = state == "Terminating" or (state != "Ready" and not only_draining)
-            before = bound[told.sidecar, name]
-            if state == "Gone" and only_draining and before and before[-1][1]:
+        sidecar = f"sidecar {ask.sidecar}"
+        for previous, following in itertools.pairwise(request_attempts):
+            description = f"{request_id} ({ask.cls}) sent to {previous.endpoint} and to {following.endpoint}"
+            if classes[ask.cls].effect is Effect.UNSAFE and previous.status != 503 and not ask.resent:
+                yield Breach("resent", following.entered_at, sidecar, description)
+            previous_end = previous.ended_at if previous.ended_at >= 0.0 else float("inf")
+            overlaps = (
+                following.entered_at + slack_s < previous_end and not allow_second_copies and not ask.resent
+            )
+            if overlaps and not outages.overlaps_outage(
+                ask.sidecar, previous.entered_at, following.entered_at
+            ):
+                yield Breach(
+                    "copies",
+                    following.entered_at,
+                    sidecar,
+                    description + " while the first attempt was in flight",
+                )
+
+
+def _drain_breaches(
+    ledger: Ledger, outages: SidecarOutages, grace_s: float, terminating_only: bool
+) -> Iterable[Breach]:
+    """Rule 3: after the grace period, a sidecar starts no attempt at an endpoint that drains or is gone."""
+    # By sidecar and endpoint: the times at which new attempts became forbidden (True) or allowed (False).
+    block_changes: dict[tuple[int, str], list[tuple[float, bool]]] = defaultdict(list)
+    known_names: dict[int, set[str]] = defaultdict(set)
+    for update in sorted(ledger.tolds, key=lambda told: told.at):
+        read_at = outages.earliest_read_time(update.sidecar, update.at)
+        states = dict(update.states)
+        if update.whole:
+            states |= dict.fromkeys(known_names[update.sidecar] - states.keys(), "Gone")
+        for endpoint, state in states.items():
+            is_blocked = state == "Terminating" or (state != "Ready" and not terminating_only)
+            history = block_changes[update.sidecar, endpoint]
+            if state == "Gone" and terminating_only and history and history[-1][1]:
                 continue
-            if not before or before[-1][1] != binds:
-                before.append((at, binds))
-        named[told.sidecar] |= states.keys()
-    for sidecar, starts in spans.starts.items():  # a process that began anew was told nothing yet
-        for (one, _), changes in bound.items():
-            if one == sidecar:
-                changes.extend((start, False) for start in starts)
+            if not history or history[-1][1] != is_blocked:
+                history.append((read_at, is_blocked))
+        known_names[update.sidecar] |= states.keys()
+    # A restarted process has not received any list yet.
+    for sidecar, ready_times in outages.ready_times.items():
+        for (told_sidecar, _), changes in block_changes.items():
+            if told_sidecar == sidecar:
+                changes.extend((ready_at, False) for ready_at in ready_times)
                 changes.sort(key=lambda change: change[0])
     for attempt in ledger.attempts:
-        changes = bound.get((attempt.sidecar, attempt.endpoint), [])
-        last = [change for change in changes if change[0] <= attempt.entered_at]
-        if last and last[-1][1] and attempt.entered_at > last[-1][0] + grace_s:
-            text = (
-                f"{attempt.request} sent to {attempt.endpoint} {attempt.entered_at - last[-1][0]:.2f} s after"
+        changes = block_changes.get((attempt.sidecar, attempt.endpoint), [])
+        past_changes = [change for change in changes if change[0] <= attempt.entered_at]
+        if past_changes and past_changes[-1][1] and attempt.entered_at > past_changes[-1][0] + grace_s:
+            description = (
+                f"{attempt.request} sent to {attempt.endpoint} "
+                f"{attempt.entered_at - past_changes[-1][0]:.2f} s after it"
+            )
+            yield Breach(
+                "drain", attempt.entered_at, f"sidecar {attempt.sidecar}", description + " was told not to"
             )
-            yield Breach("drain", attempt.entered_at, f"sidecar {attempt.sidecar}", text + " it was told")
 
 
-def _order(
+def _order_breaches(
     asks: Iterable[Ask],
-    attempts: dict[str, list[Attempt]],
+    attempts_by_request: dict[str, list[Attempt]],
     classes: dict[str, RequestClass],
-    spans: Spans,
+    outages: SidecarOutages,
     slack_s: float,
-    quiet_s: float,
+    unanswered_hold_s: float,
 ) -> Iterable[Breach]:
-    """Rule 5: requests of a key run one at a time, as they came; the key rests after what may still run."""
-    lines: dict[tuple[int, int], list[Ask]] = defaultdict(list)
-    for ask in asks:
-        if ask.subject and ask.sent_at >= 0.0 and classes[ask.cls].in_turn:
-            lines[ask.sidecar, ask.subject].append(ask)
-    for (sidecar, subject), line in lines.items():
-        line.sort(key=lambda one: one.sent_at)
-        for index, ask in enumerate(line):
-            for later in line[index + 1 :]:
-                if later.sent_at - ask.sent_at < slack_s:
-                    continue  # who was taken first can't be told
-                free = ask.ended_at if ask.ended_at >= 0.0 else ask.asked_at + ask.deadline
-                if later.sent_at > free + slack_s + 10.0:
+    """Rule 5: requests with the same ordering key run one at a time, in the order of their arrival.
+
+    After an attempt without an answer, which may still run, the key stays blocked for `unanswered_hold_s`.
+    """
+    requests_by_key: dict[tuple[int, int], list[Ask]] = defaultdict(list)
+    for earlier in asks:
+        if earlier.subject and earlier.sent_at >= 0.0 and classes[earlier.cls].in_turn:
+            requests_by_key[earlier.sidecar, earlier.subject].append(earlier)
+    for (sidecar, subject), key_requests in requests_by_key.items():
+        key_requests.sort(key=lambda attempt: attempt.sent_at)
+        for index, earlier in enumerate(key_requests):
+            for later in key_requests[index + 1 :]:
+                if later.sent_at - earlier.sent_at < slack_s:
+                    continue  # the order in which the sidecar accepted them cannot be determined
+                key_free_at = (
+                    earlier.ended_at if earlier.ended_at >= 0.0 else earlier.asked_at + earlier.deadline
+                )
+                if later.sent_at > key_free_at + slack_s + LATEST_OVERLAP_S:
                     break
-                for one in attempts.get(ask.id, ()):
-                    rest = 0.0 if one.status else quiet_s
-                    free = max(free, (one.ended_at if one.ended_at >= 0.0 else free) + rest)
-                for one in attempts.get(later.id, ()):
-                    touched = spans.touched(sidecar, ask.sent_at, one.entered_at)
-                    if one.entered_at + slack_s < free and not touched:
-                        text = f"{later.id} of subject {subject} ran before {ask.id} was over"
-                        yield Breach("order", one.entered_at, f"sidecar {sidecar}", text)
+                for attempt in attempts_by_request.get(earlier.id, ()):
+                    hold_s = 0.0 if attempt.status else unanswered_hold_s
+                    key_free_at = max(
+                        key_free_at, (attempt.ended_at if attempt.ended_at >= 0.0 else key_free_at) + hold_s
+                    )
+                for attempt in attempts_by_request.get(later.id, ()):
+                    during_outage = outages.overlaps_outage(sidecar, earlier.sent_at, attempt.entered_at)
+                    if attempt.entered_at + slack_s < key_free_at and not during_outage:
+                        description = f"{later.id} of subject {subject} ran before {earlier.id} had ended"
+                        yield Breach("order", attempt.entered_at, f"sidecar {sidecar}", description)
--- a/tests/test_lab_rules.py
+++ b/tests/test_lab_rules.py
@@ -33,7 +33,7 @@
     ledger = Ledger()
     for one in found:
         getattr(ledger, f"{type(one).__name__.lower()}s").append(one)
-    return rules.check(ledger, CLASSES, 2.0, SLACK_S, **more)
+    return rules.find_breaches(ledger, CLASSES, 2.0, SLACK_S, **more)
 
 
 def names(*found: Any, **more: Any) -> list[str]:
@@ -101,7 +101,7 @@
     pair = attempt("1", to=1.6), attempt("1", "b", 1.3, 1.5)
     late = ask("1", ended_at=1.7)
     assert names(late, *pair) == ["copies"]
-    assert names(late, *pair, second_copies=True) == []
+    assert names(late, *pair, allow_second_copies=True) == []
     assert names(late, attempt("1", to=-1.0), pair[1]) == ["copies"]
 
 
@@ -113,8 +113,8 @@
     assert names(*late, drains, told(2.0, a="Ready")) == []
     assert names(*late, told(0.5, True, a="Ready", b="Ready"), told(1.0, True, b="Ready")) == ["drain"]
     assert names(*late, told(1.0, a="Gone")) == ["drain"]
-    assert names(*late, told(1.0, a="Gone"), only_draining_binds=True) == []
-    assert names(*late, drains, told(1.5, a="Gone"), only_draining_binds=True) == ["drain"]
+    assert names(*late, told(1.0, a="Gone"), terminating_only=True) == []
+    assert names(*late, drains, told(1.5, a="Gone"), terminating_only=True) == ["drain"]
     # A process that began anew was told nothing yet; one that stood still heard it when it went on.
     assert names(*late, drains, Event(2.0, "ready", "sidecar 0")) == []
     stood = Event(0.9, "stopped", "sidecar 0"), Event(1.5, "continued", "sidecar 0")
@@ -138,4 +138,4 @@
     assert names(first, close, runs, attempt("2", at=1.5, to=1.6)) == []
     # After a time-out the key rests.
     cut = attempt("1", to=1.95, status=0)
-    assert names(first, then, cut, attempt("2", at=2.05, to=2.1), quiet_s=1.0) == ["order"]
+    assert names(first, then, cut, attempt("2", at=2.05, to=2.1), unanswered_hold_s=1.0) == ["order"]
