--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -83,7 +83,7 @@
         try:
             if folder is not None:
                 folder.mkdir(parents=True, exist_ok=True)
-                (folder / report.RESULT).unlink(missing_ok=True)
+                (folder / report.RESULT_FILE).unlink(missing_ok=True)
             log.info("playing", scenario=one.name, seed=one.seed, processes=one.fleet.processes)
             played = bench.play(one, lambda text: log.info("progress", text=text))
             if folder is not None:
@@ -97,14 +97,14 @@
         except OSError as error:
             log.error("run_ended", reason=str(error))
             sys.exit(3)
-        result = report.summary(one, played)
+        result = report.summarize(one, played)
         if folder is not None:
-            report.write(result, folder)
-        for breach in result.breaches[: report.SHOWN_BREACHES]:
+            report.write_result(result, folder)
+        for breach in result.breaches[: report.MAX_SHOWN_BREACHES]:
             log.error("breach", rule=breach.rule, at=round(breach.at, 3), who=breach.who, text=breach.text)
         log.info("played", seed=one.seed, passed=result.passed, served=round(result.served, 3))
         results.append(result)
-    click.echo(report.markdown(results), nl=False)
+    click.echo(report.to_markdown(results), nl=False)
     if out is not None:
         report.write_tables(results, out)
     sys.exit(0 if all(result.passed for result in results) else 1)
@@ -118,12 +118,12 @@
     from larkcrank.lab import report
 
     try:
-        results = [report.read(folder / report.RESULT) for folder in folders]
+        results = [report.read_result(folder / report.RESULT_FILE) for folder in folders]
     except ValueError as error:
         _refuse(str(error))
     if len({result.scenario for result in results}) > 1:
         _refuse("the runs are of different scenarios")
-    click.echo(report.markdown(results), nl=False)
+    click.echo(report.to_markdown(results), nl=False)
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         report.write_tables(results, out)
--- a/larkcrank/lab/bench.py
+++ b/larkcrank/lab/bench.py
@@ -164,7 +164,7 @@
 
     def _check(self) -> list[rules.Breach]:
         decisions, scenario = self._site.decisions, self._scenario
-        return rules.check(
+        return rules.find_breaches(
             self._ledger,
             self._classes,
             scenario.grace_ms / 1000.0,
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -101,7 +101,7 @@
     missed = {way: found[way] for way, rule in named.items() if rule not in found[way]}
     assert not missed
     assert "twice" in found["resend"]
-    assert not report.summary(wrong, played).passed
+    assert not report.summarize(wrong, played).passed
 
 
 @pytest.fixture(scope="module")
@@ -115,7 +115,7 @@
 
 
 def test_small_scenario_keeps_the_rules_through_its_faults(small: Path) -> None:
-    result = report.read(small / "small-1" / report.RESULT)
+    result = report.read_result(small / "small-1" / report.RESULT_FILE)
     assert result.passed and result.breaches == []
     assert {what for _, what, _ in result.faults} == {"cut", "replace", "drain", "kill", "stop", "slow"}
     assert result.unreached > 0  # two processes were dead for a second
@@ -129,7 +129,7 @@
     lines = [json.loads(line) for line in (small / "small-1/ledger.jsonl").read_bytes().splitlines()]
     kinds = {line["type"] for line in lines}
     assert kinds == {"ask", "attempt", "effect", "told", "event"}
-    result = report.read(small / "small-1" / report.RESULT)
+    result = report.read_result(small / "small-1" / report.RESULT_FILE)
     asks = [line for line in lines if line["type"] == "ask"]
     assert sum(line["status"] == 503 for line in asks) == result.refused
     events = [line["what"] for line in lines if line["type"] == "event"]
@@ -139,10 +139,10 @@
 
 def test_report_of_runs(small: Path, tmp_path: Path) -> None:
     folder = small / "small-1"
-    result = report.read(folder / report.RESULT)
+    result = report.read_result(folder / report.RESULT_FILE)
     other = tmp_path / "other"
     other.mkdir()
-    report.write(msgspec.structs.replace(result, seed=2, served=result.served / 2), other)
+    report.write_result(msgspec.structs.replace(result, seed=2, served=result.served / 2), other)
     out = tmp_path / "tables"
     said = CliRunner().invoke(main, ["fleet", "report", str(folder), str(other), "--out", str(out)])
     assert said.exit_code == 0
@@ -153,7 +153,7 @@
     assert float(served[3]) < float(served[4]) < float(served[5])
     assert (out / "report.svg").read_text().startswith("<?xml")
     assert (out / "report.png").read_bytes().startswith(b"\x89PNG")
-    (other / report.RESULT).write_text("{}")
+    (other / report.RESULT_FILE).write_text("{}")
     broken = CliRunner().invoke(main, ["fleet", "report", str(other)])
     assert broken.exit_code == 2 and "result.json" in broken.output
 
@@ -175,10 +175,10 @@
     window = Window(name="all", since=0.0, to=1.0, at_least=0.5)
     settle = Settle(at=0.1, within=0.3)
     one = tiny(faults=[dead], windows=[window], settles=[settle])
-    result = report.summary(one, bench.play(one, quiet))
+    result = report.summarize(one, bench.play(one, quiet))
     assert not result.passed and result.unsettled == 1 and result.windows[0].served < 0.5
     calm = tiny(windows=[window])
-    assert report.summary(calm, bench.play(calm, quiet)).passed
+    assert report.summarize(calm, bench.play(calm, quiet)).passed
 
 
 def test_the_load_goes_on_while_a_counter_that_needs_it_is_waited_for() -> None:
@@ -246,7 +246,7 @@
     out = tmp_path / "out"
     result = CliRunner().invoke(main, ["fleet", "run", str(path), "--out", str(out)])
     assert result.exit_code == 3 and said in result.output
-    assert not list(out.rglob(report.RESULT))
+    assert not list(out.rglob(report.RESULT_FILE))
 
 
 def test_a_process_that_dies_by_itself_ends_the_run() -> None:
@@ -281,7 +281,7 @@
         run.wait(LONG_S)
         until(lambda: not any(child.is_running() and child.status() != "zombie" for child in children))
         assert run.returncode != 0
-        assert not list(tmp_path.rglob(report.RESULT))
+        assert not list(tmp_path.rglob(report.RESULT_FILE))
         bench._sweep()  # as the next run does
         left = Path(tempfile.gettempdir()).glob(f"{bench.FOLDER}{run.pid}-*")
         assert not list(left)
