--- a/larkcrank/lab/virtual.py
+++ b/larkcrank/lab/virtual.py
@@ -1,7 +1,8 @@
-"""Members in virtual time: datagrams, losses, cuts, deaths and stalls on one heap, repeatable by the seed.
+"""Simulates fleet members in virtual time: datagrams, losses, partitions, crashes and stalls.
 
-SimPy was the other way: its processes are generators, a few times slower than plain calls on a heap, and the
-members here are state machines already, with nothing to wait in.
+All events are on one heap, and a seed makes a run repeatable. SimPy was not used: its processes are
+generators, a few times slower than plain calls from a heap, and the members are state machines already, which
+never wait inside a call.
 """
 
 import heapq
@@ -14,170 +15,192 @@
 from larkcrank.fleet.records import Record
 from larkcrank.fleet.wire import Codec, DatagramError
 
-STARVED_ON_MS, STARVED_OFF_MS = 1000.0, 3000.0  # most that a starved member runs and stands
-COUNT_MS = 1000.0  # between a member's looks at how many there are
+# Longest run and longest stop of a member that does not get enough CPU.
+STARVED_MAX_RUN_MS, STARVED_MAX_STOP_MS = 1000.0, 3000.0
+FLEET_SIZE_CHECK_MS = 1000.0  # interval at which a member checks the fleet size
 
 
-class World:
-    """Members by number; times in ms."""
+class VirtualFleet:
+    """A simulated fleet. Members are identified by their number; times are in ms."""
 
-    def __init__(self, count: int, seed: int, seeds: int = 3, delay_ms: float = 2.0, zones: int = 1) -> None:
+    def __init__(
+        self, count: int, seed: int, seed_count: int = 3, delay_ms: float = 2.0, zone_count: int = 1
+    ) -> None:
         self.rng = Random(seed)
         self.now = 0.0
-        self.loss = 0.0
+        self.loss_rate = 0.0
         self.delay_ms, self.jitter_ms = delay_ms, delay_ms
-        self.cut: Callable[[int, int], bool] = lambda source, to: False
-        self.members: dict[int, Membership] = {}  # those whose process lives
-        self.ranks: dict[int, Ranks] = {}  # theirs
-        self.sizes: list[tuple[float, int, FleetSize]] = []  # when, to whom, what its balancer was told
-        self.configured = count  # the number of members that configurations tell
+        self.is_link_cut: Callable[[int, int], bool] = lambda source, receiver: False
+        self.members: dict[int, Membership] = {}  # those whose process is running
+        self.ranks: dict[int, Ranks] = {}  # of the running members
+        self.reported_sizes: list[
+            tuple[float, int, FleetSize]
+        ] = []  # time, member, size told to its balancer
+        self.configured_count = count  # the number of members in every configuration
         self.stopped: set[int] = set()
-        self.sent = self.bytes = 0
-        self.refused: dict[str, int] = {}
-        self.deaths: list[tuple[float, int, str]] = []  # when, in whose view, who
+        self.sent_datagrams = self.sent_bytes = 0
+        self.rejected_datagrams: dict[str, int] = {}  # count by reason
+        self.deaths: list[tuple[float, int, str]] = []  # time, declaring member, name of the dead one
         self._codec = Codec("world")
-        self._zones = zones
-        self.seeds = [f"m:{index}" for index in range(seeds)]
-        self._lives: dict[int, int] = {}
-        self._heap: list[tuple[float, int, Callable[[], None]]] = []
-        self._sequence = 0
-        self._inbox: dict[int, list[tuple[str, bytes]]] = {}  # what came while a member stood still
+        self._zone_count = zone_count
+        self.seed_addresses = [f"m:{index}" for index in range(seed_count)]
+        self._boot_ids: dict[int, int] = {}
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._event_count = 0
+        # By stopped member: source address and data of the datagrams that arrived meanwhile.
+        self._unread_datagrams: dict[int, list[tuple[str, bytes]]] = {}
         for number in range(count):
             self.start(number)
 
     # Faults
 
     def start(self, number: int, name: str = "") -> None:
-        """A process under this name and address with nothing kept; its life is drawn anew."""
-        life = self.rng.getrandbits(62)
-        self._lives[number] = life
-        me = Record(name or f"n{number}", f"m:{number}", f"z{number % self._zones}", life, 1)
-        self.members[number] = Membership(me, self.seeds, Random(self.rng.getrandbits(62)), self.now)
-        self.ranks[number] = Ranks(me.name, self.configured, number, self.now)
-        self.at(self.now + self.rng.random() * TICK_MS, lambda: self._tick(number, life))
-        self.at(self.now + self.rng.random() * COUNT_MS, lambda: self._count(number, life))
+        """Starts a process under this name and address, without stored state and with a random boot ID."""
+        boot_id = self.rng.getrandbits(62)
+        self._boot_ids[number] = boot_id
+        me = Record(name or f"n{number}", f"m:{number}", f"z{number % self._zone_count}", boot_id, 1)
+        self.members[number] = Membership(me, self.seed_addresses, Random(self.rng.getrandbits(62)), self.now)
+        self.ranks[number] = Ranks(me.name, self.configured_count, number, self.now)
+        self.schedule(self.now + self.rng.random() * TICK_MS, lambda: self._tick(number, boot_id))
+        self.schedule(
+            self.now + self.rng.random() * FLEET_SIZE_CHECK_MS, lambda: self._count(number, boot_id)
+        )
 
     def kill(self, numbers: Iterable[int]) -> None:
         for number in numbers:
             self.members.pop(number, None)
             self.ranks.pop(number, None)
             self.stopped.discard(number)
-            self._inbox.pop(number, None)
+            self._unread_datagrams.pop(number, None)
 
     def stop(self, numbers: Iterable[int]) -> None:
+        """Suspends these members, as SIGSTOP does."""
         self.stopped |= set(numbers)
 
-    def go_on(self, numbers: Iterable[int]) -> None:
-        """What waited in their sockets is read now."""
+    def resume(self, numbers: Iterable[int]) -> None:
+        """Resumes these members, which first read the datagrams that wait in their sockets."""
         for number in numbers:
             self.stopped.discard(number)
-            for place, data in self._inbox.pop(number, []):
-                self._arrive(number, place, data)
+            for source_address, data in self._unread_datagrams.pop(number, []):
+                self._arrive(number, source_address, data)
 
     def starve(self, numbers: Iterable[int]) -> None:
-        """From now on these get the CPU for moments only: they stand up to 3 s, and go on up to 1 s."""
+        """Simulates a lack of CPU from now on: in turn, members stop for up to 3 s and run for up to 1 s."""
         for number in numbers:
-            self._starve(number, self._lives[number], stands=False)
+            self._starve(number, self._boot_ids[number], is_stopped=False)
 
-    def _starve(self, number: int, life: int, stands: bool) -> None:
-        if self._lives[number] != life or number not in self.members:
+    def _starve(self, number: int, boot_id: int, is_stopped: bool) -> None:
+        if self._boot_ids[number] != boot_id or number not in self.members:
             return
-        (self.go_on if stands else self.stop)([number])
-        wait = self.rng.random() * (STARVED_ON_MS if stands else STARVED_OFF_MS)
-        self.at(self.now + wait, lambda: self._starve(number, life, not stands))
+        (self.resume if is_stopped else self.stop)([number])
+        wait_ms = self.rng.random() * (STARVED_MAX_RUN_MS if is_stopped else STARVED_MAX_STOP_MS)
+        self.schedule(self.now + wait_ms, lambda: self._starve(number, boot_id, not is_stopped))
 
     def leave(self, number: int) -> None:
+        """Lets a member announce that it leaves, and ends its process."""
         self._send(number, self.members[number].leave(self.now))
         self.kill([number])
 
     # Time
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
-        self._sequence += 1
-        heapq.heappush(self._heap, (when, self._sequence, do))
-
-    def run(self, ms: float) -> None:
-        end = self.now + ms
-        while self._heap and self._heap[0][0] <= end:
-            self.now, _, do = heapq.heappop(self._heap)
-            do()
-        self.now = end
-
-    def settle(self, most_ms: float, step_ms: float = 500.0) -> float | None:
-        """Time until all views are the truth; None: not by then."""
-        began = self.now
-        while self.now - began < most_ms:
-            if self.is_settled():
-                return self.now - began
+    def schedule(self, due: float, action: Callable[[], None]) -> None:
+        """Schedules an action for a virtual time. Actions of one time run in the order of scheduling."""
+        self._event_count += 1
+        heapq.heappush(self._events, (due, self._event_count, action))
+
+    def run(self, duration_ms: float) -> None:
+        end_ms = self.now + duration_ms
+        while self._events and self._events[0][0] <= end_ms:
+            self.now, _, action = heapq.heappop(self._events)
+            action()
+        self.now = end_ms
+
+    def run_until_converged(self, timeout_ms: float, step_ms: float = 500.0) -> float | None:
+        """Runs until all views are correct and returns the time that it took, or None after `timeout_ms`."""
+        started_at = self.now
+        while self.now - started_at < timeout_ms:
+            if self.has_converged():
+                return self.now - started_at
             self.run(step_ms)
-        return self.now - began if self.is_settled() else None
+        return self.now - started_at if self.has_converged() else None
 
-    def truth(self) -> set[tuple[str, int]]:
+    def live_identities(self) -> set[tuple[str, int]]:
+        """Name and boot ID of every running member."""
         return {(member.me.name, member.me.life) for member in self.members.values()}
 
-    def is_settled(self) -> bool:
-        """Every live member holds just the live ones, and all digests are the same."""
-        truth = self.truth()
+    def has_converged(self) -> bool:
+        """Whether every running member holds exactly the running ones, and all digests are equal."""
+        expected = self.live_identities()
         if len({member.digest.whole for member in self.members.values()}) > 1:
             return False
-        views = ({(one.name, one.life) for one in member.live()} for member in self.members.values())
-        return all(view == truth for view in views)
+        views = (
+            {(member_record.name, member_record.life) for member_record in member.live()}
+            for member in self.members.values()
+        )
+        return all(view == expected for view in views)
 
-    def _tick(self, number: int, life: int) -> None:
+    def _tick(self, number: int, boot_id: int) -> None:
         member = self.members.get(number)
-        if member is None or self._lives[number] != life:
+        if member is None or self._boot_ids[number] != boot_id:
             return
         if number not in self.stopped:
             self._send(number, member.tick(self.now))
             self._note(number, member)
-        self.at(self.now + TICK_MS, lambda: self._tick(number, life))
+        self.schedule(self.now + TICK_MS, lambda: self._tick(number, boot_id))
 
-    def _count(self, number: int, life: int) -> None:
+    def _count(self, number: int, boot_id: int) -> None:
+        """Checks the fleet size in the view of a member and records what its balancer is told."""
         member = self.members.get(number)
-        if member is None or self._lives[number] != life:
+        if member is None or self._boot_ids[number] != boot_id:
             return
         if number not in self.stopped and not member.is_duplicate:
-            slow = member.doubt * 2 >= DOUBT_MOST
+            is_doubtful = member.doubt * 2 >= DOUBT_MOST
             ranks = self.ranks[number]
-            told = ranks.observe(self.now, member.lives, member.met_at, member.differed_at, slow)
-            if told is not None:
-                self.sizes.append((self.now, number, told))
-        self.at(self.now + COUNT_MS, lambda: self._count(number, life))
-
-    def are_placed(self) -> bool:
-        """Every live member has a place of its own, and counts right."""
-        told = [ranks.told for ranks in self.ranks.values()]
-        everyone = set(range(len(self.members)))
-        return {one.ordinal for one in told} == everyone and {one.count for one in told} == {len(told)}
+            fleet_size = ranks.observe(self.now, member.lives, member.met_at, member.differed_at, is_doubtful)
+            if fleet_size is not None:
+                self.reported_sizes.append((self.now, number, fleet_size))
+        self.schedule(self.now + FLEET_SIZE_CHECK_MS, lambda: self._count(number, boot_id))
+
+    def has_correct_ordinals(self) -> bool:
+        """Whether the running members have distinct ordinals from 0 on and know the correct fleet size."""
+        sizes = [ranks.told for ranks in self.ranks.values()]
+        all_ordinals = set(range(len(self.members)))
+        return {size.ordinal for size in sizes} == all_ordinals and {size.count for size in sizes} == {
+            len(sizes)
+        }
 
     def _note(self, number: int, member: Membership) -> None:
+        """Records the deaths among the changes of a member's view and clears these changes."""
         for change in member.changes:
             if change.standing.name == "DEAD":
                 self.deaths.append((self.now, number, change.name))
         member.changes.clear()
 
-    def _send(self, source: int, outs: list[Out]) -> None:
-        for out in outs:
-            data = self._codec.encode(out.message)
-            self.sent += 1
-            self.bytes += len(data)
-            to = int(out.place[2:])
-            if self.rng.random() < self.loss or self.cut(source, to):
+    def _send(self, source: int, datagrams: list[Out]) -> None:
+        for datagram in datagrams:
+            data = self._codec.encode(datagram.message)
+            self.sent_datagrams += 1
+            self.sent_bytes += len(data)
+            receiver = int(datagram.place[2:])
+            if self.rng.random() < self.loss_rate or self.is_link_cut(source, receiver):
                 continue
-            when = self.now + self.delay_ms + self.rng.random() * self.jitter_ms
-            self.at(when, lambda to=to, data=data: self._arrive(to, f"m:{source}", data))  # type: ignore[misc]
-
-    def _arrive(self, to: int, place: str, data: bytes) -> None:
-        member = self.members.get(to)
+            due = self.now + self.delay_ms + self.rng.random() * self.jitter_ms
+            self.schedule(
+                due,
+                lambda receiver=receiver, data=data: self._arrive(receiver, f"m:{source}", data),  # type: ignore[misc]
+            )
+
+    def _arrive(self, receiver: int, source_address: str, data: bytes) -> None:
+        member = self.members.get(receiver)
         if member is None:
             return
-        if to in self.stopped:
-            self._inbox.setdefault(to, []).append((place, data))
+        if receiver in self.stopped:
+            self._unread_datagrams.setdefault(receiver, []).append((source_address, data))
             return
         try:
             message = self._codec.decode(data)
-        except DatagramError as refused:
-            self.refused[refused.why] = self.refused.get(refused.why, 0) + 1
+        except DatagramError as error:
+            self.rejected_datagrams[error.why] = self.rejected_datagrams.get(error.why, 0) + 1
             return
-        self._send(to, member.receive(self.now, place, message))
-        self._note(to, member)
+        self._send(receiver, member.receive(self.now, source_address, message))
+        self._note(receiver, member)
--- a/larkcrank/lab/worlds.py
+++ b/larkcrank/lab/worlds.py
@@ -1,7 +1,8 @@
-"""Worlds of members for a search: drawn from a seed, or every one of a bounded kind. What must hold in each.
+"""Searches simulated fleets for violations of the membership's guarantees.
 
-After quiet (no fault any more) every live member holds just the live ones, all with one digest; and all the
-while no view goes back to a record that an earlier one outranked, and nobody lowers its own incarnation.
+A fleet's faults are drawn from a seed, or enumerated completely for three members. After the last fault every
+running member has to hold exactly the running members, all with the same digest. At all times no view may
+replace a record by one of lower rank, and no member may lower its own incarnation.
 """
 
 import os
@@ -12,185 +13,208 @@
 from random import Random
 
 from larkcrank.fleet.records import Record
-from larkcrank.lab.virtual import World
+from larkcrank.lab.virtual import VirtualFleet
 
-QUIET_MS = 300_000.0
-STEP_MS = 500.0
-PLACES_MS = 330_000.0  # after so long those who died hold no place any more
-SPELL_MS = 20_000.0  # of a bounded search: long enough that a silent member is declared dead
+CONVERGENCE_LIMIT_MS = 300_000.0  # time without faults within which all views have to agree
+CHECK_INTERVAL_MS = 500.0  # virtual time between two checks of all views
+ORDINAL_RELEASE_MS = 330_000.0  # after this time dead members hold no ordinal any more
+STEP_DURATION_MS = 20_000.0  # of the complete search: long enough for a silent member to be declared dead
 
-Cut = Callable[[int, int], bool]
-Step = tuple[str, int, str, int]  # what befalls whom, then which way is cut, from or to whom
+LinkFilter = Callable[[int, int], bool]  # whether datagrams from a member to another are dropped
+Step = tuple[str, int, str, int]  # member fault and its member, then link fault and its member
 
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """A world in which something did not hold."""
-
-    world: str
-    what: str
-
-
-class Watch:
-    """Looks at a world while it runs."""
-
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.found: list[str] = []
-        self._seen: dict[tuple[int, int, str], Record] = {}
-
-    def run(self, ms: float) -> None:
-        until = self.world.now + ms
-        while self.world.now < until:
-            self.world.run(min(STEP_MS, until - self.world.now))
-            self._look()
-
-    def settle(self) -> float | None:
-        """Quiet from now on: the time that it took."""
-        began = self.world.now
-        while self.world.now < began + QUIET_MS:
-            if self.world.is_settled():
-                return self.world.now - began
-            self.run(STEP_MS)
-        if not can_meet(self.world):
+    """A simulated fleet in which a guarantee was violated."""
+
+    reproducer: str  # the seed or the steps that reproduce it
+    problem: str
+
+
+class FleetMonitor:
+    """Runs a simulated fleet and checks the views of its members at regular times."""
+
+    def __init__(self, fleet: VirtualFleet) -> None:
+        self.fleet = fleet
+        self.violations: list[str] = []
+        self._last_records: dict[tuple[int, int, str], Record] = {}
+
+    def run(self, duration_ms: float) -> None:
+        end_ms = self.fleet.now + duration_ms
+        while self.fleet.now < end_ms:
+            self.fleet.run(min(CHECK_INTERVAL_MS, end_ms - self.fleet.now))
+            self._check_views()
+
+    def run_until_converged(self) -> float | None:
+        """Runs without further faults until all views agree, and returns the time that it took.
+
+        Returns None if they do not agree in time, which is a violation if they could have met.
+        """
+        started_at = self.fleet.now
+        while self.fleet.now < started_at + CONVERGENCE_LIMIT_MS:
+            if self.fleet.has_converged():
+                return self.fleet.now - started_at
+            self.run(CHECK_INTERVAL_MS)
+        if not is_connected(self.fleet):
             return None
-        live = {number: sorted(member.lives) for number, member in self.world.members.items()}
-        self.found.append(f"not settled after {QUIET_MS / 1000:.0f} s: {live}")
+        boot_ids = {
+            member_number: sorted(member.lives) for member_number, member in self.fleet.members.items()
+        }
+        self.violations.append(f"not settled after {CONVERGENCE_LIMIT_MS / 1000:.0f} s: {boot_ids}")
         return None
 
-    def _look(self) -> None:
-        for number, member in self.world.members.items():
+    def _check_views(self) -> None:
+        for number, member in self.fleet.members.items():
             for name, record in member.members.items():
-                before = self._seen.get((number, member.me.life, name))
-                if before is not None and _rank(before) > _rank(record):
-                    self.found.append(f"n{number} went back from {before} to {record}")
-                self._seen[number, member.me.life, name] = record
-
-
-def can_meet(world: World) -> bool:
-    """Whether those that live know of each other at all, directly or by others: seeds may have died unmet."""
-    places = {f"m:{number}": number for number in world.members}
-    knows: dict[int, set[int]] = {number: set() for number in world.members}
-    for number, member in world.members.items():
-        known = {record.place for record in member.members.values()} | set(world.seeds)
-        for other in (places[place] for place in known if place in places):
-            knows[number].add(other)
-            knows[other].add(number)
-    met, waiting = set[int](), list(world.members)[:1]
-    while waiting:
-        if (number := waiting.pop()) not in met:
-            met.add(number)
-            waiting += knows[number]
-    return len(met) == len(world.members)
-
-
-def _rank(record: Record) -> tuple[int, int, int]:
-    """Written out once more: what is searched for must not follow what is searched."""
+                earlier = self._last_records.get((number, member.me.life, name))
+                if earlier is not None and _record_order(earlier) > _record_order(record):
+                    self.violations.append(f"n{number} went back from {earlier} to {record}")
+                self._last_records[number, member.me.life, name] = record
+
+
+def is_connected(fleet: VirtualFleet) -> bool:
+    """Whether the running members know each other, directly or through others.
+
+    They may not if the seeds died before others met them.
+    """
+    numbers_by_address = {f"m:{number}": number for number in fleet.members}
+    neighbours: dict[int, set[int]] = {number: set() for number in fleet.members}
+    for number, member in fleet.members.items():
+        known_addresses = {record.place for record in member.members.values()} | set(fleet.seed_addresses)
+        for neighbour in (
+            numbers_by_address[address] for address in known_addresses if address in numbers_by_address
+        ):
+            neighbours[number].add(neighbour)
+            neighbours[neighbour].add(number)
+    reached, to_visit = set[int](), list(fleet.members)[:1]
+    while to_visit:
+        if (number := to_visit.pop()) not in reached:
+            reached.add(number)
+            to_visit += neighbours[number]
+    return len(reached) == len(fleet.members)
+
+
+def _record_order(record: Record) -> tuple[int, int, int]:
+    """The order in which records outrank each other.
+
+    It is repeated here so that the check does not depend on the code under test.
+    """
     return record.incarnation, record.standing, record.life
 
 
-def heal(world: World) -> None:
-    world.cut = lambda a, b: False
-    world.loss = 0.0
-    world.go_on(list(world.stopped))
+def heal(fleet: VirtualFleet) -> None:
+    """Ends all link faults, datagram losses and stops."""
+    fleet.is_link_cut = lambda source, receiver: False
+    fleet.loss_rate = 0.0
+    fleet.resume(list(fleet.stopped))
 
 
-def random_world(seed: int) -> Watch:
-    """Faults of all kinds, alone and together, then healed. Not yet settled."""
+def run_random_fleet(seed: int) -> FleetMonitor:
+    """Runs a fleet through random faults and heals it. Does not wait until the views agree again."""
     rng = Random(seed)
     count = rng.randint(3, 14) if rng.random() < 0.95 else rng.randint(15, 50)
-    world = World(count, seed, seeds=rng.randint(1, 3), delay_ms=rng.choice([1.0, 5.0, 300.0]))
-    watch = Watch(world)
-    if watch.settle() is None:
-        return watch
+    fleet = VirtualFleet(count, seed, seed_count=rng.randint(1, 3), delay_ms=rng.choice([1.0, 5.0, 300.0]))
+    monitor = FleetMonitor(fleet)
+    if monitor.run_until_converged() is None:
+        return monitor
     for _ in range(rng.randint(1, 6)):
-        who = rng.sample(range(count), rng.randint(1, max(1, count // 2)))
-        some = set(who)
-        ways: list[Cut] = [
-            lambda a, b, s=some: (a in s) != (b in s),  # type: ignore[misc]
-            lambda a, b, s=some: a in s and b not in s,  # type: ignore[misc]
-            lambda a, b, s=some: {a, b} <= s,  # type: ignore[misc]
-            lambda a, b: False,
+        affected = rng.sample(range(count), rng.randint(1, max(1, count // 2)))
+        affected_set = set(affected)
+        link_filters: list[LinkFilter] = [
+            lambda source, receiver, members=affected_set: (source in members) != (receiver in members),  # type: ignore[misc]
+            lambda source, receiver, members=affected_set: source in members and receiver not in members,  # type: ignore[misc]
+            lambda source, receiver, members=affected_set: {source, receiver} <= members,  # type: ignore[misc]
+            lambda source, receiver: False,
         ]
         match rng.choice(["kill", "start", "stop", "cut", "lose", "leave", "go on"]):
             case "kill":
-                world.kill(who)
+                fleet.kill(affected)
             case "start":
-                world.kill(who)
-                for number in who:
-                    world.start(number)
+                fleet.kill(affected)
+                for number in affected:
+                    fleet.start(number)
             case "stop":
-                world.stop(who)
+                fleet.stop(affected)
             case "cut":
-                world.cut = rng.choice(ways)
+                fleet.is_link_cut = rng.choice(link_filters)
             case "lose":
-                world.loss = rng.choice([0.0, 0.1, 0.3])
-            case "leave" if who[0] in world.members and who[0] not in world.stopped:
-                world.leave(who[0])
+                fleet.loss_rate = rng.choice([0.0, 0.1, 0.3])
+            case "leave" if affected[0] in fleet.members and affected[0] not in fleet.stopped:
+                fleet.leave(affected[0])
             case "go on":
-                world.go_on(list(world.stopped))
-        watch.run(rng.choice([500.0, 3_000.0, 20_000.0, 60_000.0]))
-    heal(world)
-    return watch
+                fleet.resume(list(fleet.stopped))
+        monitor.run(rng.choice([500.0, 3_000.0, 20_000.0, 60_000.0]))
+    heal(fleet)
+    return monitor
 
 
-def play_seed(seed: int) -> Finding | None:
-    watch = random_world(seed)
-    watch.settle()
-    if not watch.found and watch.world.members and seed % 10 == 0:
-        watch.run(PLACES_MS)
-        if not watch.world.are_placed():
-            told = {number: ranks.told for number, ranks in watch.world.ranks.items()}
-            watch.found.append(f"not placed: {told}")
-    return Finding(f"seed {seed}", watch.found[0]) if watch.found else None
+def check_seed(seed: int) -> Finding | None:
+    """Checks the random fleet of this seed; every tenth seed checks the ordinals too."""
+    monitor = run_random_fleet(seed)
+    monitor.run_until_converged()
+    if not monitor.violations and monitor.fleet.members and seed % 10 == 0:
+        monitor.run(ORDINAL_RELEASE_MS)
+        if not monitor.fleet.has_correct_ordinals():
+            sizes = {number: ranks.told for number, ranks in monitor.fleet.ranks.items()}
+            monitor.violations.append(f"wrong ordinals or fleet sizes: {sizes}")
+    return Finding(f"seed {seed}", monitor.violations[0]) if monitor.violations else None
 
 
-# Every world of three members: before each spell one is killed, restarted or nobody is; in it ways are cut.
+# The complete search over three members. At the start of each step one member or none is killed or restarted,
+# and during the step some links are cut.
 
-_BEFALLS = [("none", 0), *product(("kill", "restart"), range(3))]
-_CUTS = [("none", 0), *product(("alone", "dumb", "deaf", "pair"), range(3))]
-STEPS: list[Step] = [(*befalls, *cut) for befalls, cut in product(_BEFALLS, _CUTS)]
+_MEMBER_FAULTS = [("none", 0), *product(("kill", "restart"), range(3))]
+_LINK_FAULTS = [("none", 0), *product(("alone", "dumb", "deaf", "pair"), range(3))]
+ALL_STEPS: list[Step] = [
+    (*member_fault, *link_fault) for member_fault, link_fault in product(_MEMBER_FAULTS, _LINK_FAULTS)
+]
 
 
-def _way(word: str, whom: int) -> Cut:
-    others = {0, 1, 2} - {whom}
+def _link_filter(fault: str, member: int) -> LinkFilter:
+    """The links that a fault cuts: all of a member, those from it or to it, or that between the others."""
+    others = {0, 1, 2} - {member}
     return {
-        "none": lambda a, b: False,
-        "alone": lambda a, b: whom in (a, b),
-        "dumb": lambda a, b: a == whom,
-        "deaf": lambda a, b: b == whom,
-        "pair": lambda a, b: {a, b} == others,
-    }[word]
-
-
-def every(depth: int) -> Iterator[tuple[Step, ...]]:
-    """All worlds of so many spells: 91 of one, 8281 of two."""
-    return product(STEPS, repeat=depth)
-
-
-def play_steps(steps: Iterable[Step]) -> Finding | None:
-    world = World(3, 1)
-    watch = Watch(world)
-    watch.settle()
-    for befalls, whom, cut, at in steps:
-        if befalls != "none":
-            world.kill([whom])
-        if befalls == "restart":
-            world.start(whom)
-        world.cut = _way(cut, at)
-        watch.run(SPELL_MS)
-    heal(world)
-    watch.settle()
-    return Finding(repr(tuple(steps)), watch.found[0]) if watch.found else None
-
-
-def hunt(seeds: range, depth: int, jobs: int = 0) -> Iterator[tuple[int, list[Finding]]]:
-    """Play all of them side by side: how many are done, and what was found since."""
+        "none": lambda source, receiver: False,
+        "alone": lambda source, receiver: member in (source, receiver),
+        "dumb": lambda source, receiver: source == member,
+        "deaf": lambda source, receiver: receiver == member,
+        "pair": lambda source, receiver: {source, receiver} == others,
+    }[fault]
+
+
+def all_step_sequences(depth: int) -> Iterator[tuple[Step, ...]]:
+    """All sequences of `depth` steps: 91 of one step, 8281 of two."""
+    return product(ALL_STEPS, repeat=depth)
+
+
+def check_steps(steps: Iterable[Step]) -> Finding | None:
+    """Runs three members through these steps and checks them."""
+    fleet = VirtualFleet(3, 1)
+    monitor = FleetMonitor(fleet)
+    monitor.run_until_converged()
+    for member_fault, faulty_member, link_fault, link_fault_member in steps:
+        if member_fault != "none":
+            fleet.kill([faulty_member])
+        if member_fault == "restart":
+            fleet.start(faulty_member)
+        fleet.is_link_cut = _link_filter(link_fault, link_fault_member)
+        monitor.run(STEP_DURATION_MS)
+    heal(fleet)
+    monitor.run_until_converged()
+    return Finding(repr(tuple(steps)), monitor.violations[0]) if monitor.violations else None
+
+
+def search(seeds: range, depth: int, jobs: int = 0) -> Iterator[tuple[int, list[Finding]]]:
+    """Checks all seeds and step sequences in parallel processes.
+
+    After each one, yields the number checked so far and the findings of that one.
+    """
     done = 0
     with ProcessPoolExecutor(jobs or os.cpu_count()) as pool:
-        for found in pool.map(play_seed, seeds, chunksize=4):
+        for finding in pool.map(check_seed, seeds, chunksize=4):
             done += 1
-            yield done, [found] if found is not None else []
-        for found in pool.map(play_steps, every(depth) if depth else (), chunksize=8):
+            yield done, [finding] if finding is not None else []
+        for finding in pool.map(check_steps, all_step_sequences(depth) if depth else (), chunksize=8):
             done += 1
-            yield done, [found] if found is not None else []
+            yield done, [finding] if finding is not None else []
