--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -150,10 +150,10 @@
     from larkcrank.lab import worlds
 
     log, done, findings = _log(), 0, 0
-    for done, found in worlds.hunt(range(first, first + seeds), depth, jobs):
+    for done, found in worlds.search(range(first, first + seeds), depth, jobs):
         findings += len(found)
         for one in found:
-            log.error("finding", world=one.world, what=one.what)
+            log.error("finding", world=one.reproducer, what=one.problem)
         if done % PROGRESS_WORLDS == 0:
             log.info("progress", played=done, found=findings)
     click.echo(f"{done} worlds, {findings} findings")
@@ -169,9 +169,9 @@
 
     click.echo("| members | what | figure | |\n| --- | --- | --- | --- |")
     for count in members:
-        for part in (settling.settling, settling.cost, settling.wrong_deaths):
+        for part in (settling.convergence_times, settling.steady_state_traffic, settling.false_death_rates):
             for row in part(count, seed):
-                click.echo(f"| {row.members} | {row.what} | {row.figure:.2f} | {row.unit} |")
+                click.echo(f"| {row.members} | {row.quantity} | {row.value:.2f} | {row.unit} |")
 
 
 @fleet.command("view")
--- a/larkcrank/lab/scale/view.py
+++ b/larkcrank/lab/scale/view.py
@@ -36,7 +36,7 @@
 from larkcrank.lab.scale import machine, slopes
 from larkcrank.lab.scale.fit import FitError
 from larkcrank.lab.scale.slopes import Slope, made
-from larkcrank.lab.virtual import COUNT_MS, World
+from larkcrank.lab.virtual import FLEET_SIZE_CHECK_MS, VirtualFleet
 
 SEEDS = (1, 2, 3)
 SIZES = (100, 200, 400, 800, 1333)  # of whole fleets
@@ -64,12 +64,12 @@
 VIEWS = 8  # of one size side by side, so that their memory is well above the noise
 
 
-class SettledWorld(World):
+class SettledWorld(VirtualFleet):
     """Members that know each other from the start, with nothing left to tell. None counts places: that is
     measured on one member, and would take half of the time here."""
 
     def __init__(self, count: int, seed: int) -> None:
-        super().__init__(count, seed, seeds=min(count, 3))
+        super().__init__(count, seed, seed_count=min(count, 3))
         records = [member.me for member in self.members.values()]
         for member in self.members.values():
             know(member, records, self.now)
@@ -108,10 +108,13 @@
 def calm(case: Case) -> Found:
     world = SettledWorld(case.members, case.seed)
     world.run(WARM_MS)
-    sent, size = world.sent, world.bytes
+    sent, size = world.sent_datagrams, world.sent_bytes
     world.run(CALM_MS)
     seconds = case.members * CALM_MS / 1000.0
-    return {"datagrams": (world.sent - sent) / seconds, "bytes": (world.bytes - size) / seconds}
+    return {
+        "datagrams": (world.sent_datagrams - sent) / seconds,
+        "bytes": (world.sent_bytes - size) / seconds,
+    }
 
 
 def lose(case: Case) -> Found:
@@ -119,27 +122,27 @@
     world = SettledWorld(case.members, case.seed)
     world.run(WARM_MS)
     lost = Random(case.seed).sample(range(case.members), int(case.amount))
-    sent, size, left = world.sent, world.bytes, case.members - len(lost)
+    sent, size, left = world.sent_datagrams, world.sent_bytes, case.members - len(lost)
     world.kill(lost)
     names = {f"n{number}" for number in lost}
-    took = world.settle(MOST_MS, STEP_MS)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     seconds = (MOST_MS if took is None else took) / 1000.0
     wrong = {name for _, _, name in world.deaths if name not in names}
     return {
         "settled_s": math.inf if took is None else seconds,
-        "datagrams": (world.sent - sent) / left / seconds,
-        "bytes": (world.bytes - size) / left / seconds,
+        "datagrams": (world.sent_datagrams - sent) / left / seconds,
+        "bytes": (world.sent_bytes - size) / left / seconds,
         "wrong": float(len(wrong)),
     }
 
 
 def join(case: Case) -> Found:
     """All start at one moment with nothing but three seeds; then two minutes in which the joins are told."""
-    world = World(case.members, case.seed)
-    took = world.settle(MOST_MS, STEP_MS)
-    size, began = world.bytes, world.now
+    world = VirtualFleet(case.members, case.seed)
+    took = world.run_until_converged(MOST_MS, STEP_MS)
+    size, began = world.sent_bytes, world.now
     world.run(RATES_MS)
-    told = (world.bytes - size) / case.members / ((world.now - began) / 1000.0)
+    told = (world.sent_bytes - size) / case.members / ((world.now - began) / 1000.0)
     return {"settled_s": math.inf if took is None else took / 1000.0, "bytes": told}
 
 
@@ -147,7 +150,7 @@
     """Members killed and started again with nothing, so many a second."""
     world = SettledWorld(case.members, case.seed)
     world.run(WARM_MS)
-    rng, size, began = Random(case.seed), world.bytes, world.now
+    rng, size, began = Random(case.seed), world.sent_bytes, world.now
     count = round(case.amount * RATES_MS / 1000.0)
     for number in rng.choices(range(case.members), k=count):
         world.run(RATES_MS / count)
@@ -156,7 +159,7 @@
     world.run(max(began + RATES_MS - world.now, 0.0))
     seconds = RATES_MS / 1000.0
     return {
-        "bytes": (world.bytes - size) / case.members / seconds,
+        "bytes": (world.sent_bytes - size) / case.members / seconds,
         "lines": world.lines / case.members / seconds,
     }
 
@@ -166,13 +169,13 @@
     world = SettledWorld(case.members, case.seed)
     world.run(WARM_MS)
     within = part_of(case.members, REGION)
-    world.cut = lambda a, b: (a < within) != (b < within)
+    world.is_link_cut = lambda a, b: (a < within) != (b < within)
     world.run(APART_MS)
-    world.cut = lambda a, b: False
-    size = world.bytes
-    took = world.settle(MOST_MS, STEP_MS)
+    world.is_link_cut = lambda a, b: False
+    size = world.sent_bytes
+    took = world.run_until_converged(MOST_MS, STEP_MS)
     seconds = (MOST_MS if took is None else took) / 1000.0
-    told = (world.bytes - size) / case.members
+    told = (world.sent_bytes - size) / case.members
     return {"settled_s": math.inf if took is None else seconds, "told": told}
 
 
@@ -222,7 +225,7 @@
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._sequence = itertools.count()
         self._silent: set[str] = set()
-        for every, do in ((TICK_MS, self._tick), (COUNT_MS, self._count), (1000.0, self._ask)):
+        for every, do in ((TICK_MS, self._tick), (FLEET_SIZE_CHECK_MS, self._count), (1000.0, self._ask)):
             self._at(every * self.rng.random(), self._each(every, do))
 
     def run(self, ms: float) -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -229,10 +229,10 @@
 
 def test_a_settled_world_has_nothing_to_tell() -> None:
     world = view.SettledWorld(30, 1)
-    assert world.is_settled()
+    assert world.has_converged()
     world.run(5000.0)
-    assert world.is_settled() and not world.deaths and not world.lines
-    assert world.sent <= 30 * 2 * 6  # one probe a period, and its answer
+    assert world.has_converged() and not world.deaths and not world.lines
+    assert world.sent_datagrams <= 30 * 2 * 6  # one probe a period, and its answer
 
 
 def test_a_loss_ends_with_every_view_true_and_repeats_by_its_seed() -> None:
--- a/tests/test_fleet_ranks.py
+++ b/tests/test_fleet_ranks.py
@@ -11,7 +11,7 @@
 from larkcrank.core.interface import Endpoint, FleetSize, ServerList, Settings
 from larkcrank.fleet import ranks as module
 from larkcrank.fleet.ranks import CUT_MS, HOLD_MOST_MS, HOLD_MS, RECKON_MS, Doubt, Ranks, rank_of
-from larkcrank.lab.virtual import World
+from larkcrank.lab.virtual import VirtualFleet
 from tests.test_balancer import CLASSES
 
 names = st.sets(st.text(max_size=6), min_size=1, max_size=30)
@@ -138,34 +138,34 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_fleet_places_itself_after_joins_deaths_and_splits(seed: int) -> None:
     rng = Random(seed)
-    world = World(14, seed)
+    world = VirtualFleet(14, seed)
     world.run(30_000)
-    assert world.is_settled() and world.are_placed()
+    assert world.has_converged() and world.has_correct_ordinals()
     world.kill(rng.sample(range(14), 4))
     world.run(120_000)
-    assert world.are_placed()
-    world.cut = lambda a, b: a % 2 != b % 2
+    assert world.has_correct_ordinals()
+    world.is_link_cut = lambda a, b: a % 2 != b % 2
     world.run(120_000)
     told = [world.ranks[number].told for number in world.members]
     assert all(
         one.count < 10 <= one.max_instances for one in told
     )  # each side keeps to all servers by itself
-    world.cut = lambda a, b: False
+    world.is_link_cut = lambda a, b: False
     world.run(120_000)
-    assert world.is_settled() and world.are_placed()
+    assert world.has_converged() and world.has_correct_ordinals()
 
 
 def test_in_a_fleet_that_is_cut_for_half_a_minute_nobody_moves() -> None:
-    world = World(12, 1)
+    world = VirtualFleet(12, 1)
     world.run(30_000)
-    before = len(world.sizes)
-    world.cut = lambda a, b: (a < 6) != (b < 6)
+    before = len(world.reported_sizes)
+    world.is_link_cut = lambda a, b: (a < 6) != (b < 6)
     world.run(25_000)
     assert len(world.deaths) > 30
-    world.cut = lambda a, b: False
+    world.is_link_cut = lambda a, b: False
     world.run(60_000)
-    assert all(ranks.moves <= 1 for ranks in world.ranks.values()) and world.are_placed()
-    assert {told.count for _, _, told in world.sizes[before:]} <= {12}
+    assert all(ranks.moves <= 1 for ranks in world.ranks.values()) and world.has_correct_ordinals()
+    assert {told.count for _, _, told in world.reported_sizes[before:]} <= {12}
 
 
 # What the balancer makes of it
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -15,7 +15,7 @@
 from larkcrank.fleet.records import BUCKETS, Digest, Record, Standing
 from larkcrank.fleet.wire import Ack, Codec, DatagramError, Message, Once, Page, Ping, size_of
 from larkcrank.lab import worlds
-from larkcrank.lab.virtual import World
+from larkcrank.lab.virtual import VirtualFleet
 from tests.frames import CONFIG
 
 QUIET_MS = 300_000.0
@@ -25,9 +25,9 @@
     return Record(name, "m:1", "z", life, incarnation, standing)
 
 
-def settled(count: int, seed: int = 1, **more: int) -> World:
-    world = World(count, seed, **more)
-    assert world.settle(QUIET_MS) is not None
+def settled(count: int, seed: int = 1, **more: int) -> VirtualFleet:
+    world = VirtualFleet(count, seed, **more)
+    assert world.run_until_converged(QUIET_MS) is not None
     return world
 
 
@@ -131,10 +131,10 @@
 
     monkeypatch.setattr(Membership, "receive", watch)
     world = settled(24)
-    world.cut = lambda a, b: (a < 8) != (b < 8)
+    world.is_link_cut = lambda a, b: (a < 8) != (b < 8)
     world.run(60_000)
-    world.cut = lambda a, b: False
-    assert world.settle(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(QUIET_MS) is not None
     assert watched[0] > 1000
 
 
@@ -173,10 +173,10 @@
     world = settled(count)
     dead = list(range(0, count, 3))
     world.kill(dead)
-    assert world.settle(QUIET_MS) is not None
+    assert world.run_until_converged(QUIET_MS) is not None
     for number in dead:
         world.start(number)  # with incarnation 1: it outranks its former life without a disk or a clock
-    assert world.settle(QUIET_MS) is not None
+    assert world.run_until_converged(QUIET_MS) is not None
 
 
 @pytest.mark.parametrize("side", [1, 6])
@@ -184,41 +184,41 @@
 def test_a_split_heals_by_itself(side: int, length: float) -> None:
     """Even and one against all, for seconds and for minutes; all seeds lie on one side."""
     world = settled(12)
-    world.cut = lambda a, b: (a >= 12 - side) != (b >= 12 - side)
+    world.is_link_cut = lambda a, b: (a >= 12 - side) != (b >= 12 - side)
     world.run(length)
     if length > 100_000:
         views = [len(member.live()) for member in world.members.values()]
         assert views == [12 - side] * (12 - side) + [side] * side  # both go on, each with its own
-    world.cut = lambda a, b: False
-    assert world.settle(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(QUIET_MS) is not None
 
 
 def test_split_in_three_that_heals_in_another_order_with_all_seeds_dead() -> None:
     world = settled(12)
     world.kill([0, 1, 2])
-    assert world.settle(QUIET_MS) is not None
-    world.cut = lambda a, b: a % 3 != b % 3
+    assert world.run_until_converged(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: a % 3 != b % 3
     world.run(120_000)
-    world.cut = lambda a, b: 0 in (a % 3, b % 3) and a % 3 != b % 3
+    world.is_link_cut = lambda a, b: 0 in (a % 3, b % 3) and a % 3 != b % 3
     world.run(60_000)
-    world.cut = lambda a, b: False
-    assert world.settle(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(QUIET_MS) is not None
 
 
 def test_a_merge_revives_no_dead_member() -> None:
     world = settled(10)
-    world.cut = lambda a, b: (a < 5) != (b < 5)
+    world.is_link_cut = lambda a, b: (a < 5) != (b < 5)
     world.run(60_000)
     world.kill([4, 9])
     world.run(60_000)
-    world.cut = lambda a, b: False
-    assert world.settle(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(QUIET_MS) is not None
     before = len(world.deaths)
     world.run(120_000)
-    assert len(world.deaths) == before and world.is_settled()
+    assert len(world.deaths) == before and world.has_converged()
 
 
-def flaps(world: World, ms: float) -> int:
+def flaps(world: VirtualFleet, ms: float) -> int:
     before = len(world.deaths)
     world.run(ms)
     return len(world.deaths) - before
@@ -227,31 +227,31 @@
 def test_a_pair_that_cannot_hear_each_other_stays_in_both_views() -> None:
     """A hears B and B hears C only: others answer for them, nobody is declared dead."""
     world = settled(8)
-    world.cut = lambda a, b: {a, b} == {3, 5}
-    assert flaps(world, 300_000) == 0 and world.is_settled()
+    world.is_link_cut = lambda a, b: {a, b} == {3, 5}
+    assert flaps(world, 300_000) == 0 and world.has_converged()
 
 
 def test_a_member_that_is_not_heard_is_dead_once_and_not_by_turns() -> None:
     """One way out is lost: the others drop it, and it does not flap. It is back when the way is."""
     world = settled(8)
-    world.cut = lambda a, b: a == 5
+    world.is_link_cut = lambda a, b: a == 5
     world.run(120_000)
     assert all("n5" not in {r.name for r in m.live()} for n, m in world.members.items() if n != 5)
     others = [death for death in world.deaths if death[1] != 5]
     world.run(300_000)
     assert [death for death in world.deaths if death[1] != 5] == others
-    world.cut = lambda a, b: False
-    assert world.settle(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(QUIET_MS) is not None
 
 
 @pytest.mark.parametrize(("loss", "delay"), [(0.3, 2.0), (0.0, 300.0)])
 def test_lossy_and_slow_links(loss: float, delay: float) -> None:
     world = settled(12, delay_ms=delay)  # type: ignore[arg-type]
-    world.loss = loss
+    world.loss_rate = loss
     died = flaps(world, 300_000)
     assert died <= 12  # of 12 members in five minutes, over all views
-    world.loss = 0.0
-    assert world.settle(QUIET_MS) is not None
+    world.loss_rate = 0.0
+    assert world.run_until_converged(QUIET_MS) is not None
 
 
 def test_members_that_stood_still_come_back() -> None:
@@ -259,8 +259,8 @@
     world = settled(12)
     world.stop([3, 4])
     world.run(10_000)
-    world.go_on([3, 4])
-    assert world.settle(QUIET_MS) is not None
+    world.resume([3, 4])
+    assert world.run_until_converged(QUIET_MS) is not None
     blamed = {name for _, viewer, name in world.deaths if viewer in (3, 4)}
     assert blamed <= {"n3", "n4"}
 
@@ -271,7 +271,7 @@
     world = settled(8, seed)
     world.kill([5])
     world.start(5)
-    took = world.settle(QUIET_MS)
+    took = world.run_until_converged(QUIET_MS)
     assert took is not None and took <= 5_000.0 and world.deaths == []
 
 
@@ -280,22 +280,22 @@
     world.kill(range(6))
     for number in range(6):
         world.start(number)
-    assert world.settle(QUIET_MS) is not None
-    world.cut = lambda a, b: a % 2 != b % 2
+    assert world.run_until_converged(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: a % 2 != b % 2
     for number in range(12):
         world.kill([number])
         world.run(1_000)
         world.start(number)
         world.run(2_000)
-    world.cut = lambda a, b: False
-    assert world.settle(QUIET_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(QUIET_MS) is not None
 
 
 def test_a_planned_leave_is_known_without_suspicion() -> None:
     world = settled(12)
     before = len(world.deaths)
     world.leave(7)
-    took = world.settle(QUIET_MS)
+    took = world.run_until_converged(QUIET_MS)
     assert took is not None and took <= 5_000.0
     assert len(world.deaths) == before
 
@@ -324,7 +324,7 @@
     world = settled(6)
     data = bytes([wire.VERSION + 1]) + bytes(100)
     world._arrive(2, "m:5", data)
-    assert world.refused == {"other_version": 1} and world.is_settled()
+    assert world.rejected_datagrams == {"other_version": 1} and world.has_converged()
 
 
 def test_datagrams_are_flat_in_the_size_of_the_fleet() -> None:
@@ -332,9 +332,9 @@
     for count in (5, 40):
         world = settled(count)
         world.run(200_000)  # all that the joins had to tell is told
-        before, size = world.sent, world.bytes
+        before, size = world.sent_datagrams, world.sent_bytes
         world.run(30_000)
-        rates.append(((world.sent - before) / count / 30, (world.bytes - size) / count / 30))
+        rates.append(((world.sent_datagrams - before) / count / 30, (world.sent_bytes - size) / count / 30))
     (few, few_bytes), (many, many_bytes) = rates
     assert many <= 2.2 and abs(many - few) < 0.2
     assert many_bytes < 500 and many_bytes < few_bytes * 1.2
@@ -343,34 +343,34 @@
 @pytest.mark.parametrize("block", range(4))
 def test_after_quiet_every_view_is_the_truth(block: int) -> None:
     for seed in range(block * 10, block * 10 + 10):
-        assert worlds.play_seed(seed) is None
+        assert worlds.check_seed(seed) is None
 
 
 def test_who_is_left_alone_counts_itself_alone() -> None:
     """Seed 90: the last of four doubted itself for ever, with nobody to probe; its count stayed four."""
-    assert worlds.play_seed(90) is None
+    assert worlds.check_seed(90) is None
 
 
 @pytest.mark.parametrize("seed", [1109, 4716])
 def test_who_left_and_comes_again_is_found_though_all_seeds_are_dead(seed: int) -> None:
     """Found by the search: only the dead were looked for, and it knew nobody."""
-    assert worlds.play_seed(seed) is None
+    assert worlds.check_seed(seed) is None
 
 
 def test_worlds_in_which_nobody_knows_of_the_other_are_told_apart() -> None:
-    world = World(4, 1, seeds=1)
-    assert world.settle(QUIET_MS) is not None
+    world = VirtualFleet(4, 1, seed_count=1)
+    assert world.run_until_converged(QUIET_MS) is not None
     world.kill([0, 1])
-    assert worlds.can_meet(world)  # the seed is dead, and they know each other
+    assert worlds.is_connected(world)  # the seed is dead, and they know each other
     world.kill([2, 3])
     world.start(2)
     world.start(3)
-    assert not worlds.can_meet(world)
+    assert not worlds.is_connected(world)
 
 
 def test_every_world_of_three_members_and_one_spell() -> None:
     """Killed, restarted or nobody; then alone, dumb, deaf, a pair apart. Two spells: `fleet hunt`."""
-    played = [worlds.play_steps(steps) for steps in worlds.every(1)]
+    played = [worlds.check_steps(steps) for steps in worlds.all_step_sequences(1)]
     assert len(played) == 91 and not any(played)
 
 
@@ -407,19 +407,19 @@
             monkeypatch.setattr(Record, "outranks", lambda self, other: True)
         case "a refutation goes back":
             monkeypatch.setattr(Membership, "_become", _falls_back)
-    monkeypatch.setattr(worlds, "QUIET_MS", 60_000.0)
-    found = (worlds.play_steps(steps) for steps in worlds.every(1))
-    assert any(one is not None and what in one.what for one in found)
+    monkeypatch.setattr(worlds, "CONVERGENCE_LIMIT_MS", 60_000.0)
+    found = (worlds.check_steps(steps) for steps in worlds.all_step_sequences(1))
+    assert any(one is not None and what in one.problem for one in found)
 
 
 def test_the_search_finds_what_news_and_pages_are_for(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "_compare", lambda self: [])
-    monkeypatch.setattr(worlds, "QUIET_MS", 60_000.0)
-    assert any(worlds.play_seed(seed) is not None for seed in range(200, 240))
+    monkeypatch.setattr(worlds, "CONVERGENCE_LIMIT_MS", 60_000.0)
+    assert any(worlds.check_seed(seed) is not None for seed in range(200, 240))
 
 
 def test_a_hunt_plays_all_side_by_side() -> None:
-    played = list(worlds.hunt(range(6), depth=0, jobs=2))
+    played = list(worlds.search(range(6), depth=0, jobs=2))
     assert [done for done, _ in played] == list(range(1, 7))
     assert not any(found for _, found in played)
 
@@ -476,4 +476,4 @@
     """Found by the search: answers took longer than half of a period, so that incarnations never
     came to rest; one that agreed with a suspicion of another life took the name back (103); and answers of
     members that had stood still made the period of others long (153)."""
-    assert worlds.play_seed(seed) is None
+    assert worlds.check_seed(seed) is None
