--- a/larkcrank/lab/tiers.py
+++ b/larkcrank/lab/tiers.py
@@ -1,7 +1,8 @@
-"""Tier processes, and what stands round them: discovery, plain watchers, and relays that can go wrong.
+"""Runs tier processes together with a fake discovery, plain watchers and relays that inject network faults.
 
-Used by the tests of the tiers and by the runs in `docs/scale/`. Everything speaks discovery's published
-protocol; nothing here imports the package `tiers`. Each process, socket and task has one owner that ends it.
+The tests of the tiers and the runs in `docs/scale/` use this module. Everything speaks the published protocol
+of discovery; nothing here imports the package `tiers`. Each process, socket and task has one owner, which
+ends it.
 """
 
 import asyncio
@@ -22,30 +23,30 @@
 from larkcrank.lab.processes import end_with_parent
 from larkcrank.protocol import http1
 
-Place: TypeAlias = tuple[str, int]
-Line: TypeAlias = dict[str, Any]
+Address: TypeAlias = tuple[str, int]
+InstanceEntry: TypeAlias = dict[str, Any]
 
-START_S = 60.0  # a process that does not listen by then does not start; the machine may be crowded
-CALL_S = 10.0
-ANSWER_MOST = 64 << 20
-LOG_LINES = 2000
-WATCH_SLACK_S = 1.5  # as the sidecar's: a call not answered so long after its wait is silent
-TARGET = b"/registry/instances"
-_WATCH = re.compile(rb"after=(\d+)&wait_ms=(\d+)")
-_RESET = struct.pack("ii", 1, 0)
+START_TIMEOUT_S = 60.0  # long, because the machine may be busy
+OPS_CALL_TIMEOUT_S = 10.0
+MAX_ANSWER_BYTES = 64 << 20
+MAX_LOG_LINES = 2000
+WATCH_ANSWER_SLACK_S = 1.5  # added to the wait time of a call to get its timeout, as in the sidecar
+LIST_TARGET = b"/registry/instances"
+_WATCH_QUERY = re.compile(rb"after=(\d+)&wait_ms=(\d+)")
+_LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-def written(place: Place) -> str:
-    return f"{place[0]}:{place[1]}"
+def format_address(address: Address) -> str:
+    return f"{address[0]}:{address[1]}"
 
 
-def read_place(text: str) -> Place:
+def parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return host, int(port)
 
 
-async def _request(reader: asyncio.StreamReader) -> bytes | None:
-    """The target of the next request; None where the connection ended."""
+async def _read_request_target(reader: asyncio.StreamReader) -> bytes | None:
+    """Reads a request and returns its target, or None if the connection has ended."""
     try:
         head = await reader.readuntil(b"\r\n\r\n")
     except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, ConnectionError):
@@ -53,99 +54,108 @@
     return head.split(b" ", 2)[1]
 
 
-class Source:
-    """Discovery's stand-in for one service or more; its generations count from `first` on.
+class FakeDiscovery:
+    """A fake discovery server for one or more services. Its generations start at `first_generation`.
 
-    `body` in place of an answer, `status`, `silent` and `denies` are ways in which it can be wrong.
+    It can be made faulty: `body_override` replaces every answer, a `status` other than 200 fails every call,
+    and `is_silent` withholds all answers.
     """
 
-    def __init__(self, lines: Iterable[Line] = (), first: int = 1, owner: str = "") -> None:
-        """With an `owner` it answers as a tier of this name would, to a tier below."""
+    def __init__(
+        self, entries: Iterable[InstanceEntry] = (), first_generation: int = 1, owner: str = ""
+    ) -> None:
+        """With an `owner`, it answers like a tier of this name answers a lower tier."""
         self.owner = owner
-        self.lines: dict[str, Line] = {line["instanceId"]: line for line in lines}
-        self.generation = first
-        self.calls = self.whole_answers = self.watches = 0
-        self.body: bytes | None = None
+        self.instances: dict[str, InstanceEntry] = {entry["instanceId"]: entry for entry in entries}
+        self.generation = first_generation
+        self.call_count = self.full_answer_count = self.watch_count = 0
+        self.body_override: bytes | None = None
         self.status = 200
-        self.silent = False
-        self._log: list[tuple[int, str]] = []  # generation, instance
-        self._gone: dict[str, Line] = {}
-        self._changed = asyncio.Event()
+        self.is_silent = False
+        self._change_log: list[tuple[int, str]] = []  # generation, instance ID
+        self._removed: dict[str, InstanceEntry] = {}
+        self._state_changed = asyncio.Event()
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        self._first = first
-        self.place: Place = ("127.0.0.1", 0)
+        self._first_generation = first_generation
+        self.address: Address = ("127.0.0.1", 0)
 
     async def start(self) -> None:
-        self._server = await asyncio.start_server(self._connected, *self.place)
-        self.place = self._server.sockets[0].getsockname()[:2]
+        self._server = await asyncio.start_server(self._serve_connection, *self.address)
+        self.address = self._server.sockets[0].getsockname()[:2]
 
     def stop(self) -> None:
-        """It is gone: connections are reset, and nobody listens."""
+        """Resets all connections and closes the listening socket."""
         if self._server is not None:
             self._server.close()
             self._server = None
         for writer in list(self._writers):
-            abort(writer.transport)
-        self.wake()
+            reset_connection(writer.transport)
+        self.notify_watchers()
 
-    def tell(self, lines: Iterable[Line]) -> None:
-        """One generation in which these lines change; `Gone` takes one off the list."""
+    def publish(self, entries: Iterable[InstanceEntry]) -> None:
+        """Publishes one generation with these changed entries; the lifecycle `Gone` removes an entry."""
         self.generation += 1
-        for line in lines:
-            name = line["instanceId"]
-            self.lines.pop(name, None)
-            self._gone.pop(name, None)
-            (self._gone if line["lifecycle"] == "Gone" else self.lines)[name] = line
-            self._log.append((self.generation, name))
-        self.wake()
-
-    def anew(self, first: int = 1) -> None:
-        """It counts anew, as one that lost all and was told it once more; what is gone it knows no more."""
-        self.generation = self._first = first
-        self._log.clear()
-        self._gone.clear()
-        self.wake()
-
-    def wake(self) -> None:
-        self._changed.set()
-        self._changed = asyncio.Event()
-
-    def answer(self, after: int | None) -> bytes:
-        if self.body is not None:
-            return self.body
-        if after is None or after > self.generation or after < self._first:
-            self.whole_answers += 1
-            return self.encode(True, list(self.lines.values()))
-        names = dict.fromkeys(name for generation, name in self._log if generation > after)
-        changed = [self.lines.get(name) or self._gone[name] for name in names]
-        return self.encode(False, changed)
-
-    def encode(self, whole: bool, lines: list[Line], generation: int | None = None) -> bytes:
-        """An answer's body with these lines."""
+        for entry in entries:
+            name = entry["instanceId"]
+            self.instances.pop(name, None)
+            self._removed.pop(name, None)
+            (self._removed if entry["lifecycle"] == "Gone" else self.instances)[name] = entry
+            self._change_log.append((self.generation, name))
+        self.notify_watchers()
+
+    def restart_generations(self, first_generation: int = 1) -> None:
+        """Restarts the count of generations, as a discovery does that lost its state and was filled again.
+
+        It no longer knows which instances were removed.
+        """
+        self.generation = self._first_generation = first_generation
+        self._change_log.clear()
+        self._removed.clear()
+        self.notify_watchers()
+
+    def notify_watchers(self) -> None:
+        self._state_changed.set()
+        self._state_changed = asyncio.Event()
+
+    def answer_body(self, after: int | None) -> bytes:
+        """The body for a call: all entries, or those that changed after a known generation."""
+        if self.body_override is not None:
+            return self.body_override
+        if after is None or after > self.generation or after < self._first_generation:
+            self.full_answer_count += 1
+            return self.encode_answer(True, list(self.instances.values()))
+        changed_names = dict.fromkeys(name for generation, name in self._change_log if generation > after)
+        changed = [self.instances.get(name) or self._removed[name] for name in changed_names]
+        return self.encode_answer(False, changed)
+
+    def encode_answer(
+        self, is_full: bool, entries: list[InstanceEntry], generation: int | None = None
+    ) -> bytes:
+        """Encodes an answer with these entries."""
         generation = self.generation if generation is None else generation
-        told: dict[str, Any] = {"generation": generation, "reset": whole, "instances": lines}
+        answer: dict[str, Any] = {"generation": generation, "reset": is_full, "instances": entries}
         if self.owner:
             version = [1, generation]
-            told["owners"] = {self.owner: version}
-            told["instances"] = [line | {"owner": self.owner, "version": version} for line in lines]
-        return json.dumps(told).encode()
+            answer["owners"] = {self.owner: version}
+            answer["instances"] = [entry | {"owner": self.owner, "version": version} for entry in entries]
+        return json.dumps(answer).encode()
 
-    async def _connected(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _serve_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
         try:
-            while (target := await _request(reader)) is not None:
-                self.calls += 1
-                watch = _WATCH.search(target)
-                after = None if watch is None else int(watch[1])
-                if watch is not None:
-                    await self._wait(int(watch[1]), int(watch[2]) / 1000.0)
-                while self.silent:
-                    await self._changed.wait()
+            while (target := await _read_request_target(reader)) is not None:
+                self.call_count += 1
+                watch_query = _WATCH_QUERY.search(target)
+                after = None if watch_query is None else int(watch_query[1])
+                if watch_query is not None:
+                    await self._wait_for_change(int(watch_query[1]), int(watch_query[2]) / 1000.0)
+                while self.is_silent:
+                    await self._state_changed.wait()
                 if self.status != 200:
                     writer.write(http1.response_bytes(self.status, (), b""))
                 else:
-                    writer.write(http1.response_bytes(200, (), self.answer(after)))
+                    writer.write(http1.response_bytes(200, (), self.answer_body(after)))
                 await writer.drain()
         except ConnectionError:
             pass
@@ -153,120 +163,131 @@
             self._writers.discard(writer)
             writer.close()
 
-    async def _wait(self, after: int, wait_s: float) -> None:
-        self.watches += 1
+    async def _wait_for_change(self, after: int, wait_s: float) -> None:
+        self.watch_count += 1
         loop = asyncio.get_running_loop()
-        until = loop.time() + wait_s
-        while self._server is not None and self.generation == after and self.body is None:
-            changed = self._changed
+        deadline = loop.time() + wait_s
+        while self._server is not None and self.generation == after and self.body_override is None:
+            state_changed = self._state_changed
             try:
-                await asyncio.wait_for(changed.wait(), max(0.0, until - loop.time()))
+                await asyncio.wait_for(state_changed.wait(), max(0.0, deadline - loop.time()))
             except TimeoutError:
                 return
 
 
-def abort(transport: asyncio.WriteTransport) -> None:
-    """End a connection by a reset."""
+def reset_connection(transport: asyncio.WriteTransport) -> None:
+    """Closes a connection with a TCP reset."""
     sock = transport.get_extra_info("socket")
     if sock is not None and sock.fileno() >= 0:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
     transport.abort()
 
 
-class _Leg(asyncio.Protocol):
-    """One end of a relayed connection."""
+class _RelaySide(asyncio.Protocol):
+    """The relay's connection to the client or to the target."""
 
-    def __init__(self, relay: "Relay", far: "_Leg | None") -> None:
-        self.relay, self.far = relay, far
+    def __init__(self, relay: "Relay", peer: "_RelaySide | None") -> None:
+        self.relay, self.peer = relay, peer
         self.transport: asyncio.Transport | None = None
-        self.is_near = far is None  # towards who connected
-        self.held: list[bytes] = []
+        self.is_client_side = peer is None  # the connection that the client opened
+        self.unsent_data: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.relay._legs.add(self)
-        if self.is_near:
-            self.relay.accepted += 1
-            if self.relay.resets:
-                abort(transport)
+        self.relay._sides.add(self)
+        if self.is_client_side:
+            self.relay.accepted_count += 1
+            if self.relay.resets_connections:
+                reset_connection(transport)
                 return
-            self.relay._reach(self)
-        self.follow()
+            self.relay._start_connecting(self)
+        self.update_reading()
 
-    def follow(self) -> None:
-        """Read on or not, as the relay's faults are now."""
+    def update_reading(self) -> None:
+        """Pauses or resumes reading according to the current faults of the relay."""
         if self.transport is None or self.transport.is_closing():
             return
-        passes = self.relay.up if self.is_near else self.relay.down
-        if passes and self.far is not None:
+        forwards = self.relay.forwards_to_target if self.is_client_side else self.relay.forwards_to_client
+        if forwards and self.peer is not None:
             self.transport.resume_reading()
         else:
             self.transport.pause_reading()
 
     def data_received(self, data: bytes) -> None:
-        far = self.far
-        if self.is_near:
-            self.relay.bytes_up += len(data)
+        peer = self.peer
+        if self.is_client_side:
+            self.relay.bytes_to_target += len(data)
         else:
-            self.relay.bytes_down += len(data)
-        if far is not None and far.transport is not None:
-            far.transport.write(data)
+            self.relay.bytes_to_client += len(data)
+        if peer is not None and peer.transport is not None:
+            peer.transport.write(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.relay._legs.discard(self)
+        self.relay._sides.discard(self)
         self.transport = None
-        far, self.far = self.far, None
-        if far is not None:
-            far.far = None
-            if far.transport is not None and (self.relay.up and self.relay.down):
+        peer, self.peer = self.peer, None
+        if peer is not None:
+            peer.peer = None
+            if peer.transport is not None and (
+                self.relay.forwards_to_target and self.relay.forwards_to_client
+            ):
                 if exc is not None:
-                    abort(far.transport)
+                    reset_connection(peer.transport)
                 else:
-                    far.transport.close()
+                    peer.transport.close()
 
 
 class Relay:
-    """Between one process and another's listening socket: passes on, one way only, nothing, or resets.
+    """A TCP relay that can forward in both directions, in one or in none, or reset connections.
 
-    With neither way open a connection is accepted and nothing is said: half-open. An end is not passed on
-    either while a way is shut.
+    Without forwarding, connections are accepted but carry no data, as half-open ones do. While a direction is
+    blocked, the end of a connection is not passed on either.
     """
 
-    def __init__(self, target: Place | None = None) -> None:
+    def __init__(self, target: Address | None = None) -> None:
         self.target = target
-        self.up = self.down = True
-        self.resets = False
-        self.accepted = self.bytes_up = self.bytes_down = 0
-        self._legs: set[_Leg] = set()
+        self.forwards_to_target = self.forwards_to_client = True
+        self.resets_connections = False
+        self.accepted_count = self.bytes_to_target = self.bytes_to_client = 0
+        self._sides: set[_RelaySide] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._server: asyncio.Server | None = None
-        self.place: Place = ("127.0.0.1", 0)
+        self.address: Address = ("127.0.0.1", 0)
 
     async def start(self) -> None:
         loop = asyncio.get_running_loop()
-        self._server = await loop.create_server(lambda: _Leg(self, None), *self.place)
-        self.place = self._server.sockets[0].getsockname()[:2]
-
-    def set(self, up: bool = True, down: bool = True, resets: bool = False) -> None:
-        self.up, self.down, self.resets = up, down, resets
-        for leg in list(self._legs):
-            if resets and leg.transport is not None:
-                abort(leg.transport)
+        self._server = await loop.create_server(lambda: _RelaySide(self, None), *self.address)
+        self.address = self._server.sockets[0].getsockname()[:2]
+
+    def set_faults(self, to_target: bool = True, to_client: bool = True, resets: bool = False) -> None:
+        """Sets which directions are forwarded, and whether all connections are reset."""
+        self.forwards_to_target, self.forwards_to_client, self.resets_connections = (
+            to_target,
+            to_client,
+            resets,
+        )
+        for side in list(self._sides):
+            if resets and side.transport is not None:
+                reset_connection(side.transport)
             else:
-                leg.follow()
-
-    def cut(self) -> None:
-        self.set(up=False, down=False)
-
-    def heal(self) -> None:
-        """Whole again. Connections of before end by a reset, as where a machine is back after a cut."""
-        for leg in list(self._legs):
-            if leg.transport is not None and leg.is_near and not (self.up and self.down):
-                abort(leg.transport)
-                if leg.far is not None and leg.far.transport is not None:
-                    abort(leg.far.transport)
-        self.set()
+                side.update_reading()
+
+    def block(self) -> None:
+        self.set_faults(to_target=False, to_client=False)
+
+    def restore(self) -> None:
+        """Forwards both directions again. Blocked connections are reset, as after a network partition."""
+        for side in list(self._sides):
+            if (
+                side.transport is not None
+                and side.is_client_side
+                and not (self.forwards_to_target and self.forwards_to_client)
+            ):
+                reset_connection(side.transport)
+                if side.peer is not None and side.peer.transport is not None:
+                    reset_connection(side.peer.transport)
+        self.set_faults()
 
     def close(self) -> None:
         if self._server is not None:
@@ -274,82 +295,85 @@
             self._server = None
         for task in self._tasks:
             task.cancel()
-        for leg in list(self._legs):
-            if leg.transport is not None:
-                leg.transport.abort()
+        for side in list(self._sides):
+            if side.transport is not None:
+                side.transport.abort()
 
-    def _reach(self, near: _Leg) -> None:
-        task = asyncio.get_running_loop().create_task(self._connect(near))
+    def _start_connecting(self, client_side: _RelaySide) -> None:
+        task = asyncio.get_running_loop().create_task(self._connect(client_side))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _connect(self, near: _Leg) -> None:
+    async def _connect(self, client_side: _RelaySide) -> None:
         loop = asyncio.get_running_loop()
-        while not self.up:  # nothing gets to the other side: not the wish to connect either
-            if near.transport is None:
+        while not self.forwards_to_target:  # a blocked relay does not open a connection to the target either
+            if client_side.transport is None:
                 return
             await asyncio.sleep(0.02)
         try:
             if self.target is None:
                 raise ConnectionRefusedError
-            _, far = await loop.create_connection(lambda: _Leg(self, near), *self.target)
+            _, target_side = await loop.create_connection(lambda: _RelaySide(self, client_side), *self.target)
         except OSError:
-            if near.transport is not None:
-                abort(near.transport)
+            if client_side.transport is not None:
+                reset_connection(client_side.transport)
             return
-        near.far = far
-        near.follow()
-        if near.transport is None and far.transport is not None:
-            far.transport.abort()
+        client_side.peer = target_side
+        client_side.update_reading()
+        if client_side.transport is None and target_side.transport is not None:
+            target_side.transport.abort()
 
 
 @dataclass(slots=True)
-class Answer:
-    """One call's end as a watcher saw it."""
-
-    kind: str  # whole, changes, quiet, failed
-    at: float
-    place: Place
-    lines: int = 0
-    bytes: int = 0
+class CallResult:
+    """The result of one call of a watcher."""
+
+    kind: str  # `whole` (a full list), `changes`, `quiet` (no change) or `failed`
+    ended_at: float
+    address: Address
+    entry_count: int = 0
+    body_bytes: int = 0
     generation: int = 0
     error: str = ""
 
 
 @dataclass(slots=True)
-class _Kept:
-    """The connection of a watcher."""
+class _WatchConnection:
+    """The open connection of a watcher."""
 
-    place: Place
+    address: Address
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
-    generation: int = -1  # the last that was told on it
+    generation: int = -1  # the last one received on this connection
 
 
 class Watcher:
-    """A plain sidecar's side of the protocol, which also checks what it is told. `places`: its own first."""
+    """Speaks the discovery protocol as a sidecar does, and records violations of it in `violations`.
+
+    It calls the first of `addresses`, and the next one after each failed call.
+    """
 
     def __init__(
         self,
-        places: list[Place],
+        addresses: list[Address],
         name: str = "",
         wait_ms: int = 20000,
         generation: int | None = None,
-        held: Iterable[Line] = (),
-        again_s: float = 0.2,
+        initial_instances: Iterable[InstanceEntry] = (),
+        retry_delay_s: float = 0.2,
     ) -> None:
-        self.places, self.name, self.wait_ms, self.again_s = places, name, wait_ms, again_s
+        self.addresses, self.name, self.wait_ms, self.retry_delay_s = addresses, name, wait_ms, retry_delay_s
         self.generation = generation
-        self.held: dict[str, Line] = {line["instanceId"]: line for line in held}
-        self.answers: list[Answer] = []
-        self.faults: list[str] = []
-        self.gone: set[str] = set()
-        self.seen_at: dict[tuple[str, str], float] = {}  # instance, lifecycle: when first told
-        self.at = 0  # index of its place
-        self.receives = asyncio.Event()  # cleared: it reads no more
-        self.receives.set()
+        self.instances: dict[str, InstanceEntry] = {entry["instanceId"]: entry for entry in initial_instances}
+        self.results: list[CallResult] = []
+        self.violations: list[str] = []
+        self.removed_names: set[str] = set()
+        self.first_seen_at: dict[tuple[str, str], float] = {}  # instance ID, lifecycle: when first received
+        self.address_index = 0  # position of the current address, modulo their number
+        self.may_read = asyncio.Event()  # cleared while reading is paused
+        self.may_read.set()
         self._task: asyncio.Task[None] | None = None
-        self._kept: _Kept | None = None
+        self._connection: _WatchConnection | None = None
 
     def start(self) -> None:
         self._task = asyncio.get_running_loop().create_task(self._run())
@@ -358,161 +382,173 @@
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
-        self.hang_up()
+        self.close_connection()
 
-    def hold(self) -> None:
-        """It stands still: it takes nothing from its socket and says nothing any more."""
-        self.receives.clear()
-        if self._kept is not None:
-            self._kept.writer.transport.pause_reading()  # type: ignore[attr-defined]
+    def pause_reading(self) -> None:
+        """Stops reading from the socket, and with that sends no further calls."""
+        self.may_read.clear()
+        if self._connection is not None:
+            self._connection.writer.transport.pause_reading()  # type: ignore[attr-defined]
 
-    def release(self) -> None:
-        self.receives.set()
-        if self._kept is not None and not self._kept.writer.transport.is_closing():
-            self._kept.writer.transport.resume_reading()  # type: ignore[attr-defined]
+    def resume_reading(self) -> None:
+        self.may_read.set()
+        if self._connection is not None and not self._connection.writer.transport.is_closing():
+            self._connection.writer.transport.resume_reading()  # type: ignore[attr-defined]
 
     @property
-    def port(self) -> int:
-        """Its own, of the connection that it has now."""
-        assert self._kept is not None
-        return int(self._kept.writer.get_extra_info("sockname")[1])
+    def local_port(self) -> int:
+        """The local port of the open connection."""
+        assert self._connection is not None
+        return int(self._connection.writer.get_extra_info("sockname")[1])
 
-    def hang_up(self) -> None:
-        if self._kept is not None:
-            self._kept.writer.transport.abort()
-            self._kept = None
+    def close_connection(self) -> None:
+        if self._connection is not None:
+            self._connection.writer.transport.abort()
+            self._connection = None
 
-    def count(self, kind: str, since: int = 0) -> int:
-        return sum(answer.kind == kind for answer in self.answers[since:])
+    def count_results(self, kind: str, start: int = 0) -> int:
+        return sum(result.kind == kind for result in self.results[start:])
 
     @property
-    def states(self) -> dict[str, str]:
-        return {name: line["lifecycle"] for name, line in self.held.items()}
+    def lifecycles(self) -> dict[str, str]:
+        """Lifecycle by instance ID."""
+        return {name: entry["lifecycle"] for name, entry in self.instances.items()}
 
     async def _run(self) -> None:
         while True:
-            place = self.places[self.at % len(self.places)]
+            address = self.addresses[self.address_index % len(self.addresses)]
             try:
-                await self._call(place)
+                await self._call(address)
             except (OSError, TimeoutError, asyncio.IncompleteReadError, ValueError) as error:
-                self.hang_up()
+                self.close_connection()
                 now = asyncio.get_running_loop().time()
-                text = str(error) or type(error).__name__
-                self.answers.append(Answer("failed", now, place, error=text))
-                self.at += 1
-                await asyncio.sleep(self.again_s)
+                message = str(error) or type(error).__name__
+                self.results.append(CallResult("failed", now, address, error=message))
+                self.address_index += 1
+                await asyncio.sleep(self.retry_delay_s)
 
-    async def _call(self, place: Place) -> None:
+    async def _call(self, address: Address) -> None:
         loop = asyncio.get_running_loop()
-        limit = 3.0 if self.generation is None else self.wait_ms / 1000.0 + WATCH_SLACK_S
-        async with asyncio.timeout(limit):
-            kept = self._kept
-            if kept is None or kept.place != place:
-                self.hang_up()
-                reader, writer = await asyncio.open_connection(*place, limit=1 << 20)
-                kept = self._kept = _Kept(place, reader, writer)
-            target = TARGET
+        timeout_s = 3.0 if self.generation is None else self.wait_ms / 1000.0 + WATCH_ANSWER_SLACK_S
+        async with asyncio.timeout(timeout_s):
+            connection = self._connection
+            if connection is None or connection.address != address:
+                self.close_connection()
+                reader, writer = await asyncio.open_connection(*address, limit=1 << 20)
+                connection = self._connection = _WatchConnection(address, reader, writer)
+            target = LIST_TARGET
             if self.generation is not None:
                 target += b"?after=%d&wait_ms=%d" % (self.generation, self.wait_ms)
-            kept.writer.write(http1.request_bytes(b"GET", target, (b"Host: " + written(place).encode(),)))
-            parser = http1.ResponseParser(max_body=ANSWER_MOST)
+            connection.writer.write(
+                http1.request_bytes(b"GET", target, (b"Host: " + format_address(address).encode(),))
+            )
+            parser = http1.ResponseParser(max_body=MAX_ANSWER_BYTES)
             while not parser.complete:
-                data = await kept.reader.read(65536)
-                await self.receives.wait()
+                data = await connection.reader.read(65536)
+                await self.may_read.wait()
                 if not data:
-                    raise ConnectionResetError("ended")
+                    raise ConnectionResetError("connection ended before the answer was complete")
                 parser.feed(data)
             response = parser.response()
         if response.status != 200:
             raise ValueError(str(response.status))
-        told = json.loads(response.body)
-        self._take(kept, told, loop.time(), len(response.body))
+        answer = json.loads(response.body)
+        self._apply_answer(connection, answer, loop.time(), len(response.body))
         if not response.keep_alive:
-            self.hang_up()
-
-    def _take(self, kept: _Kept, told: dict[str, Any], now: float, size: int) -> None:
-        generation, whole, lines = told["generation"], told["reset"], told["instances"]
-        whole = whole or self.generation is None
-        if generation < kept.generation or (lines and not whole and generation == kept.generation):
-            self.faults.append(f"generation {generation} after {kept.generation} on one connection")
-        if whole and not lines and self.held:
-            self.faults.append("an empty whole list")
-        kept.generation = self.generation = generation
-        kind = "whole" if whole else "changes" if lines else "quiet"
-        self.answers.append(Answer(kind, now, kept.place, len(lines), size, generation))
-        if whole:
-            names = {line["instanceId"] for line in lines}
-            self.gone |= self.held.keys() - names
-            self.held = {name: line for name, line in self.held.items() if name in names}
-        for line in lines:
-            name, lifecycle = line["instanceId"], line["lifecycle"]
-            self.seen_at.setdefault((name, lifecycle), now)
+            self.close_connection()
+
+    def _apply_answer(
+        self, connection: _WatchConnection, answer: dict[str, Any], now: float, body_bytes: int
+    ) -> None:
+        generation, is_full, entries = answer["generation"], answer["reset"], answer["instances"]
+        is_full = is_full or self.generation is None
+        if generation < connection.generation or (
+            entries and not is_full and generation == connection.generation
+        ):
+            self.violations.append(f"generation {generation} after {connection.generation} on one connection")
+        if is_full and not entries and self.instances:
+            self.violations.append("an empty full list")
+        connection.generation = self.generation = generation
+        kind = "whole" if is_full else "changes" if entries else "quiet"
+        self.results.append(CallResult(kind, now, connection.address, len(entries), body_bytes, generation))
+        if is_full:
+            listed_names = {entry["instanceId"] for entry in entries}
+            self.removed_names |= self.instances.keys() - listed_names
+            self.instances = {name: entry for name, entry in self.instances.items() if name in listed_names}
+        for entry in entries:
+            name, lifecycle = entry["instanceId"], entry["lifecycle"]
+            self.first_seen_at.setdefault((name, lifecycle), now)
             if lifecycle == "Gone":
-                self.held.pop(name, None)
-                self.gone.add(name)
+                self.instances.pop(name, None)
+                self.removed_names.add(name)
                 continue
-            if name in self.gone:
-                self.faults.append(f"{name} was gone, and returns")
-            before = self.held.get(name)
-            if before is not None and before["lifecycle"] == "Terminating" and lifecycle == "Ready":
-                self.faults.append(f"{name} was terminating, and is ready again")
-            self.held[name] = line
+            if name in self.removed_names:
+                self.violations.append(f"{name} returns after it was gone")
+            previous = self.instances.get(name)
+            if previous is not None and previous["lifecycle"] == "Terminating" and lifecycle == "Ready":
+                self.violations.append(f"{name} is ready again after it was terminating")
+            self.instances[name] = entry
 
 
 class TierError(Exception):
-    """A tier's process did not start, or ended; the message holds its last log lines."""
+    """A tier process did not start, or has ended. The message contains its last log lines."""
 
 
 @dataclass
-class Tier:
-    """One process `larkcrank tier`, under the same name and addresses through all its lives."""
+class TierProcess:
+    """A process `larkcrank tier`, which keeps its name and addresses when it is started again."""
 
     folder: Path
     config: dict[str, Any]
-    event: Callable[[str, dict[str, Any]], None] = lambda name, line: None
-    prefix: tuple[str, ...] = ()  # before the command, as `taskset -c 4-7`
-    log: deque[dict[str, Any]] = field(default_factory=lambda: deque(maxlen=LOG_LINES))
-    other: deque[str] = field(default_factory=lambda: deque(maxlen=50))  # lines that are none of its log
-    lives: int = 0
+    on_log_event: Callable[[str, dict[str, Any]], None] = lambda name, event: None
+    command_prefix: tuple[str, ...] = ()  # put before the command, e.g. `taskset -c 4-7`
+    log: deque[dict[str, Any]] = field(default_factory=lambda: deque(maxlen=MAX_LOG_LINES))
+    # Lines of output that are not JSON.
+    unparsed_lines: deque[str] = field(default_factory=lambda: deque(maxlen=50))
+    start_count: int = 0
     process: asyncio.subprocess.Process | None = None
-    listening: dict[str, Any] | None = None
+    listening_event: dict[str, Any] | None = None
 
     @property
     def name(self) -> str:
         return str(self.config.get("name", "nameless"))
 
     @property
-    def listen(self) -> Place:
-        return read_place(self._told()["listen"])
+    def listen_address(self) -> Address:
+        return parse_address(self._require_listening()["listen"])
 
     @property
-    def own(self) -> Place:
-        return read_place(self._told()["own"])
+    def own_address(self) -> Address:
+        """The address at which its parent tier reads the records of this tier and those below it."""
+        return parse_address(self._require_listening()["own"])
 
     @property
-    def ops(self) -> Place:
-        return read_place(self._told()["ops"])
+    def ops_address(self) -> Address:
+        return parse_address(self._require_listening()["ops"])
 
     @property
-    def doors(self) -> list[Place]:
+    def door_addresses(self) -> list[Address]:
+        """The listening addresses at which it serves sidecars and lower tiers."""
         return [
-            read_place(door if isinstance(door, str) else door["listen"]) for door in self._told()["doors"]
+            parse_address(door if isinstance(door, str) else door["listen"])
+            for door in self._require_listening()["doors"]
         ]
 
-    def _told(self) -> dict[str, Any]:
-        if self.listening is None:
-            raise TierError(f"{self.name} does not listen")
-        return self.listening
+    def _require_listening(self) -> dict[str, Any]:
+        """The log event with its addresses. Raises `TierError` before the process listens."""
+        if self.listening_event is None:
+            raise TierError(f"{self.name} is not listening")
+        return self.listening_event
 
     def events(self, name: str) -> list[dict[str, Any]]:
-        return [line for line in self.log if line.get("event") == name]
+        return [entry for entry in self.log if entry.get("event") == name]
 
     async def spawn(self) -> None:
-        """Start the process and do not wait until it listens."""
+        """Starts the process without waiting until it listens."""
         path = self.folder / f"{self.name}.json"
         path.write_text(json.dumps(self.config))
         self.process = await asyncio.create_subprocess_exec(
-            *self.prefix,
+            *self.command_prefix,
             sys.executable,
             "-m",
             "larkcrank",
@@ -524,52 +560,57 @@
             limit=1 << 22,
             preexec_fn=end_with_parent,
         )
-        self.lives += 1
-        self._up: asyncio.Event = asyncio.Event()
-        self._reader = asyncio.get_running_loop().create_task(self._read(self.process))
+        self.start_count += 1
+        self._is_listening: asyncio.Event = asyncio.Event()
+        self._log_reader = asyncio.get_running_loop().create_task(self._read_log(self.process))
 
     async def start(self) -> None:
-        """Returns once it listens. Raises `TierError`."""
+        """Starts the process and waits until it listens. Raises `TierError`."""
         await self.spawn()
-        ended = asyncio.ensure_future(self._reader)
-        up = asyncio.ensure_future(self._up.wait())
-        await asyncio.wait((up, ended), timeout=START_S, return_when=asyncio.FIRST_COMPLETED)
-        if not up.done():
-            up.cancel()
-            raise TierError(f"{self.name} does not listen: {list(self.log)[-3:]} {list(self.other)[-12:]}")
-        told = self._told()  # another life listens at the same addresses
+        log_ended = asyncio.ensure_future(self._log_reader)
+        listening_seen = asyncio.ensure_future(self._is_listening.wait())
+        await asyncio.wait(
+            (listening_seen, log_ended), timeout=START_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+        )
+        if not listening_seen.done():
+            listening_seen.cancel()
+            raise TierError(
+                f"{self.name} is not listening; last log lines: "
+                f"{list(self.log)[-3:]} {list(self.unparsed_lines)[-12:]}"
+            )
+        listening_event = self._require_listening()  # a later start has to use the same addresses
         for key in ("listen", "own", "ops"):
-            if self.config.get(key) and told.get(key):
-                self.config[key] = told[key]
-        for door, place in zip(self.config.get("doors", ()), self.doors, strict=True):
-            door["listen"] = written(place)
+            if self.config.get(key) and listening_event.get(key):
+                self.config[key] = listening_event[key]
+        for door, address in zip(self.config.get("doors", ()), self.door_addresses, strict=True):
+            door["listen"] = format_address(address)
 
-    async def _read(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
-        async for text in process.stderr:
+        async for line in process.stderr:
             try:
-                line = json.loads(text)
+                entry = json.loads(line)
             except ValueError:
-                self.other.append(text.decode("utf-8", "replace").rstrip())
+                self.unparsed_lines.append(line.decode("utf-8", "replace").rstrip())
                 continue
-            self.log.append(line)
-            if line.get("event") == "tier_listening":
-                self.listening = line
-                self._up.set()
-            self.event(self.name, line)
+            self.log.append(entry)
+            if entry.get("event") == "tier_listening":
+                self.listening_event = entry
+                self._is_listening.set()
+            self.on_log_event(self.name, entry)
         await process.wait()
 
-    async def ended(self) -> int:
-        """Its exit code, once it has ended by itself."""
+    async def wait_for_exit(self) -> int:
+        """Waits until the process has ended by itself and returns its exit code."""
         assert self.process is not None
-        await self._reader
+        await self._log_reader
         return await self.process.wait()
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         assert self.process is not None
         self.process.send_signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         assert self.process is not None
         self.process.send_signal(signal.SIGCONT)
 
@@ -577,29 +618,29 @@
         if self.process is not None:
             if self.process.returncode is None:
                 self.process.kill()
-            await self._reader
+            await self._log_reader
             self.process = None
 
-    async def call(self, text: str) -> str:
-        """An operators' call and its answer. Raises TimeoutError, OSError."""
-        async with asyncio.timeout(CALL_S):
-            reader, writer = await asyncio.open_connection(*self.ops, limit=1 << 22)
+    async def ops_call(self, command: str) -> str:
+        """Sends a command to the operators' address and returns the answer. Raises TimeoutError, OSError."""
+        async with asyncio.timeout(OPS_CALL_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(*self.ops_address, limit=1 << 22)
             try:
-                writer.write(text.encode() + b"\n")
+                writer.write(command.encode() + b"\n")
                 return (await reader.read()).decode().strip()
             finally:
                 writer.close()
 
-    async def told(self, text: str) -> dict[str, Any]:
-        """An operators' call whose answer holds a JSON object."""
-        answer = await self.call(text)
-        found = json.loads(answer[answer.index("{") :])
-        assert isinstance(found, dict)
-        return found
+    async def ops_call_json(self, command: str) -> dict[str, Any]:
+        """Sends an operators' command and returns the JSON object in its answer."""
+        answer = await self.ops_call(command)
+        parsed = json.loads(answer[answer.index("{") :])
+        assert isinstance(parsed, dict)
+        return parsed
 
-    def usage(self) -> tuple[float, float]:
-        """Memory that is its own (MB), processor time (s)."""
+    def resource_usage(self) -> tuple[float, float]:
+        """Unshared memory (MB) and CPU time (s)."""
         assert self.process is not None
         process = psutil.Process(self.process.pid)
-        cpu = process.cpu_times()
-        return process.memory_full_info().uss / (1 << 20), cpu.user + cpu.system
+        cpu_times = process.cpu_times()
+        return process.memory_full_info().uss / (1 << 20), cpu_times.user + cpu_times.system
--- a/tests/tiers_world.py
+++ b/tests/tiers_world.py
@@ -1,7 +1,7 @@
-"""Real tier processes on loopback: an origin, regions and zones, discovery and plain watchers round them.
+"""A testbed with real tier processes on loopback: origin, regions and zones, fake discoveries and watchers.
 
-Every way between two processes leads through a relay of the test's own, which is where faults stand. Verdicts
-are on counts and order: a bound in time only ends a test that hangs.
+All connections between two tiers pass through a relay of the test, which injects the faults. The tests assert
+counts and order; the time limit only ends a test that hangs.
 """
 
 import asyncio
@@ -11,133 +11,165 @@
 from pathlib import Path
 from typing import Any
 
-from larkcrank.lab.tiers import Line, Place, Relay, Source, Tier, Watcher, written
+from larkcrank.lab.tiers import (
+    Address,
+    FakeDiscovery,
+    InstanceEntry,
+    Relay,
+    TierProcess,
+    Watcher,
+    format_address,
+)
 
-LONG_S = 120.0  # nothing is timed by it: it ends a test that hangs
+TEST_TIMEOUT_S = 120.0  # only ends a test that hangs
 
 
-def run(work: Coroutine[Any, Any, None]) -> None:
-    async def limited() -> None:
-        async with asyncio.timeout(LONG_S):
-            await work
+def run_with_timeout(scenario: Coroutine[Any, Any, None]) -> None:
+    async def run_limited() -> None:
+        async with asyncio.timeout(TEST_TIMEOUT_S):
+            await scenario
 
-    asyncio.run(limited())
+    asyncio.run(run_limited())
 
 
-async def until(true: Callable[[], bool], what: Callable[[], object] = lambda: "") -> None:
-    """Wait for it. What the test waited for in vain is told when the test's own time is over."""
+async def wait_until(condition: Callable[[], bool], describe: Callable[[], object] = lambda: "") -> None:
+    """Waits for a condition. When the test times out, raises AssertionError with the description."""
     try:
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
     except asyncio.CancelledError:
-        raise AssertionError(f"never came: {what()}") from None
+        raise AssertionError(f"condition was not met: {describe()}") from None
 
 
-def line(name: str, lifecycle: str = "Ready", service: str = "", **more: Any) -> Line:
-    made = {
-        "instanceId": name,
+def instance_entry(
+    instance_id: str, lifecycle: str = "Ready", service: str = "", **fields: Any
+) -> InstanceEntry:
+    entry = {
+        "instanceId": instance_id,
         "hostPort": "10.0.0.1:8000",
         "zone": "z",
         "lifecycle": lifecycle,
         "weight": 1.0,
         "startedAtMs": 0,
     }
-    return made | ({"service": service} if service else {}) | more
+    return entry | ({"service": service} if service else {}) | fields
 
 
-def lines(prefix: str, count: int, lifecycle: str = "Ready", service: str = "", first: int = 0) -> list[Line]:
+def instance_entries(
+    prefix: str, count: int, lifecycle: str = "Ready", service: str = "", first: int = 0
+) -> list[InstanceEntry]:
     return [
-        line(f"{prefix}-{index}", lifecycle, service, hostPort=f"10.0.{index // 250}.{index % 250 + 1}:80")
+        instance_entry(
+            f"{prefix}-{index}", lifecycle, service, hostPort=f"10.0.{index // 250}.{index % 250 + 1}:80"
+        )
         for index in range(first, first + count)
     ]
 
 
-def names(prefix: str, count: int, first: int = 0) -> set[str]:
+def instance_ids(prefix: str, count: int, first: int = 0) -> set[str]:
     return {f"{prefix}-{index}" for index in range(first, first + count)}
 
 
 @dataclass
-class World:
+class TierTestbed:
+    """The processes, relays and watchers of a test."""
+
     folder: Path
-    sources: dict[str, Source] = field(default_factory=dict)
-    tiers: dict[str, Tier] = field(default_factory=dict)
+    discoveries: dict[str, FakeDiscovery] = field(default_factory=dict)
+    tiers: dict[str, TierProcess] = field(default_factory=dict)
     relays: dict[tuple[str, str], Relay] = field(default_factory=dict)
     watchers: list[Watcher] = field(default_factory=list)
 
-    async def source(self, name: str, told: Iterable[Line] = (), first: int = 1) -> Source:
-        source = self.sources[name] = Source(told, first)
-        await source.start()
-        return source
+    async def start_discovery(
+        self, name: str, entries: Iterable[InstanceEntry] = (), first_generation: int = 1
+    ) -> FakeDiscovery:
+        discovery = self.discoveries[name] = FakeDiscovery(entries, first_generation)
+        await discovery.start()
+        return discovery
 
-    async def relay(self, near: str, far: str, target: Place | None = None) -> Relay:
-        """The way from one process to another; its target may come later."""
-        relay = self.relays[near, far] = Relay(target)
+    async def start_relay(self, client_name: str, target_name: str, target: Address | None = None) -> Relay:
+        """Starts a relay between two processes. Its target may be set later."""
+        relay = self.relays[client_name, target_name] = Relay(target)
         await relay.start()
         return relay
 
-    async def relayed(self, near: str, far: str, target: Place | None = None) -> str:
-        return written((await self.relay(near, far, target)).place)
+    async def start_relay_address(
+        self, client_name: str, target_name: str, target: Address | None = None
+    ) -> str:
+        return format_address((await self.start_relay(client_name, target_name, target)).address)
 
-    async def tier(self, name: str, start: bool = True, **config: Any) -> Tier:
-        """A tier with free ports, which keeps them. `start`: until it listens."""
+    async def add_tier(self, name: str, start: bool = True, **config: Any) -> TierProcess:
+        """Adds a tier that takes free ports and keeps them. `start`: starts it and waits until it listens."""
         config = {"name": name, "listen": "127.0.0.1:0", "ops": "127.0.0.1:0", **config}
-        tier = self.tiers[name] = Tier(self.folder, config)
+        tier = self.tiers[name] = TierProcess(self.folder, config)
         if start:
             await tier.start()
         return tier
 
-    async def watcher(
-        self, place: Place, *others: Place, relay: bool = False, known: bool = False, **more: Any
+    async def start_watcher(
+        self,
+        address: Address,
+        *other_addresses: Address,
+        relay: bool = False,
+        wait_for_list: bool = False,
+        **options: Any,
     ) -> Watcher:
-        """A plain sidecar at a door. `known`: returns once it holds a list."""
-        watcher = Watcher([place, *others], f"w{len(self.watchers)}", **more)
+        """Starts a watcher that calls a door like a sidecar. `wait_for_list`: waits until it has a list."""
+        watcher = Watcher([address, *other_addresses], f"w{len(self.watchers)}", **options)
         self.watchers.append(watcher)
         watcher.start()
-        if known:
-            await until(lambda: watcher.generation is not None, lambda: watcher.answers[-3:])
+        if wait_for_list:
+            await wait_until(lambda: watcher.generation is not None, lambda: watcher.results[-3:])
         return watcher
 
-    async def crowd(self, count: int, place: Place, *others: Place, **more: Any) -> list[Watcher]:
-        crowd = [await self.watcher(place, *others, **more) for _ in range(count)]
-        await until(
-            lambda: all(watcher.generation is not None for watcher in crowd),
-            lambda: [watcher.answers[-1:] for watcher in crowd],
+    async def start_watchers(
+        self, count: int, address: Address, *other_addresses: Address, **options: Any
+    ) -> list[Watcher]:
+        watchers = [await self.start_watcher(address, *other_addresses, **options) for _ in range(count)]
+        await wait_until(
+            lambda: all(watcher.generation is not None for watcher in watchers),
+            lambda: [watcher.results[-1:] for watcher in watchers],
         )
-        return crowd
+        return watchers
 
-    async def agreed(self, watchers: Iterable[Watcher], expected: dict[str, str]) -> None:
-        """Until each of them holds just that: lifecycle by instance."""
+    async def wait_for_lifecycles(self, watchers: Iterable[Watcher], expected: dict[str, str]) -> None:
+        """Waits until each watcher holds exactly these instances with these lifecycles."""
         watchers = list(watchers)
 
-        def differ() -> list[str]:
+        def differences() -> list[str]:
             return [
-                f"{watcher.name} at {watcher.at}: {sorted(watcher.states.items() ^ expected.items())[:5]}"
+                f"{watcher.name} at {watcher.address_index}: "
+                f"{sorted(watcher.lifecycles.items() ^ expected.items())[:5]}"
                 for watcher in watchers
-                if watcher.states != expected
+                if watcher.lifecycles != expected
             ]
 
-        await until(lambda: not differ(), differ)
+        await wait_until(lambda: not differences(), differences)
 
-    async def complete(self, *tiers: Tier) -> None:
-        """Until each has heard from all that it depends on: from then on its generations stay its own."""
-        wanted = tiers or tuple(self.tiers.values())
-        await until(
-            lambda: all(tier.events("tier_complete") for tier in wanted),
-            lambda: [(tier.name, list(tier.log)[-3:]) for tier in wanted if not tier.events("tier_complete")],
+    async def wait_until_complete(self, *tiers: TierProcess) -> None:
+        """Waits until each tier has heard from all its sources; from then on its generations stay its own."""
+        awaited = tiers or tuple(self.tiers.values())
+        await wait_until(
+            lambda: all(tier.events("tier_complete") for tier in awaited),
+            lambda: [
+                (tier.name, list(tier.log)[-3:]) for tier in awaited if not tier.events("tier_complete")
+            ],
         )
 
-    async def told(self, watchers: Iterable[Watcher], name: str, lifecycle: str) -> None:
-        """Until each of them was told that state of that instance."""
+    async def wait_for_change(self, watchers: Iterable[Watcher], instance_id: str, lifecycle: str) -> None:
+        """Waits until each watcher has received this lifecycle of this instance."""
         watchers = list(watchers)
-        await until(
-            lambda: all((name, lifecycle) in watcher.seen_at for watcher in watchers),
-            lambda: [w.name for w in watchers if (name, lifecycle) not in w.seen_at],
+        await wait_until(
+            lambda: all((instance_id, lifecycle) in watcher.first_seen_at for watcher in watchers),
+            lambda: [late.name for late in watchers if (instance_id, lifecycle) not in late.first_seen_at],
         )
 
-    def check(self) -> None:
-        """What no watcher may ever see, and no tier may ever log."""
-        faults = [f"{watcher.name}: {fault}" for watcher in self.watchers for fault in watcher.faults]
-        assert not faults, faults[:10]
+    def assert_no_violations(self) -> None:
+        """Fails if a watcher saw a protocol violation or a tier logged a crash."""
+        violations = [
+            f"{watcher.name}: {violation}" for watcher in self.watchers for violation in watcher.violations
+        ]
+        assert not violations, violations[:10]
         for tier in self.tiers.values():
             assert not tier.events("crashed"), tier.events("crashed")[:3]
 
@@ -148,23 +180,23 @@
             await tier.kill()
         for relay in self.relays.values():
             relay.close()
-        for source in self.sources.values():
-            source.stop()
+        for discovery in self.discoveries.values():
+            discovery.stop()
 
 
 @asynccontextmanager
-async def world(folder: Path) -> AsyncIterator[World]:
-    """Checked at its end for what may never be; nothing of it is left after."""
-    made = World(folder)
+async def running_testbed(folder: Path) -> AsyncIterator[TierTestbed]:
+    """Provides a testbed, checks it for violations at the end, and stops all its processes."""
+    testbed = TierTestbed(folder)
     try:
-        yield made
-        made.check()
+        yield testbed
+        testbed.assert_no_violations()
     finally:
-        await made.close()
+        await testbed.close()
 
 
-async def three_levels(
-    world: World,
+async def start_three_levels(
+    testbed: TierTestbed,
     regions: int = 2,
     zones: int = 1,
     endpoints: int = 10,
@@ -172,54 +204,63 @@
     services: bool = False,
     **settings: Any,
 ) -> None:
-    """An origin `o`, regions `r0`.. and zones `r0z0`..; each region has a discovery of its own.
+    """Starts an origin `o`, regions `r0`.. and zones `r0z0`..; each region has its own fake discovery.
 
-    Relays: (region, origin), (origin, region), (zone, region) with every region in `above`, its own first.
+    Relays connect (region, origin), (origin, region), (region, discovery) and (zone, region). Each zone has
+    all regions in `above`, its own first.
     """
-    for r in range(regions):
-        name = f"r{r}"
-        service = f"s{r}" if services else ""
-        await world.source(name, lines(name, endpoints, service=service))
-        await world.relay("o", name)
-        await world.relay(name, "o")
-        await world.relay(name, f"d{r}", world.sources[name].place)
-    origin = await world.tier(
+    for region_index in range(regions):
+        tier_name = f"r{region_index}"
+        service = f"s{region_index}" if services else ""
+        await testbed.start_discovery(tier_name, instance_entries(tier_name, endpoints, service=service))
+        await testbed.start_relay("o", tier_name)
+        await testbed.start_relay(tier_name, "o")
+        await testbed.start_relay(tier_name, f"d{region_index}", testbed.discoveries[tier_name].address)
+    origin = await testbed.add_tier(
         "o",
-        sources=[{"discovery": written(world.relays["o", f"r{r}"].place)} for r in range(regions)],
+        sources=[
+            {"discovery": format_address(testbed.relays["o", f"r{region_index}"].address)}
+            for region_index in range(regions)
+        ],
         doors=[{"listen": "127.0.0.1:0", "services": ["*"]}],
         settings=settings,
     )
-    for r in range(regions):
-        name = f"r{r}"
-        world.relays[name, "o"].target = origin.listen
-        region = await world.tier(
-            name,
+    for region_index in range(regions):
+        tier_name = f"r{region_index}"
+        testbed.relays[tier_name, "o"].target = origin.listen_address
+        region = await testbed.add_tier(
+            tier_name,
             own="127.0.0.1:0",
-            sources=[{"discovery": written(world.relays[name, f"d{r}"].place)}],
-            above=[written(world.relays[name, "o"].place)],
+            sources=[{"discovery": format_address(testbed.relays[tier_name, f"d{region_index}"].address)}],
+            above=[format_address(testbed.relays[tier_name, "o"].address)],
             doors=[{"listen": "127.0.0.1:0", "services": ["*"]}],
             settings=settings,
         )
-        world.relays["o", name].target = region.own
-    await world.complete()  # else a zone may begin at a neighbour, and stay there for a while
-    for r in range(regions):
-        for z in range(zones):
-            name = f"r{r}z{z}"
+        testbed.relays["o", tier_name].target = region.own_address
+    # Otherwise a zone might first connect to another region and stay there for a while.
+    await testbed.wait_until_complete()
+    for region_index in range(regions):
+        for zone_index in range(zones):
+            tier_name = f"r{region_index}z{zone_index}"
             above = []
-            for k in range(regions):
-                other = f"r{(r + k) % regions}"
-                above.append(await world.relayed(name, other, world.tiers[other].listen))
-            await world.tier(
-                name,
+            for offset in range(regions):
+                other_name = f"r{(region_index + offset) % regions}"
+                above.append(
+                    await testbed.start_relay_address(
+                        tier_name, other_name, testbed.tiers[other_name].listen_address
+                    )
+                )
+            await testbed.add_tier(
+                tier_name,
                 above=above,
                 doors=[{"listen": "127.0.0.1:0", "services": [door]} for door in doors],
                 settings=settings,
             )
-    await world.complete()
+    await testbed.wait_until_complete()
 
 
-def all_ready(regions: int = 2, endpoints: int = 10) -> dict[str, str]:
+def all_ready_lifecycles(regions: int = 2, endpoints: int = 10) -> dict[str, str]:
     return dict.fromkeys(
-        (name for r in range(regions) for name in names(f"r{r}", endpoints)),
+        (instance_id for region in range(regions) for instance_id in instance_ids(f"r{region}", endpoints)),
         "Ready",
     )
