--- a/larkcrank/lab/scale/way.py
+++ b/larkcrank/lab/scale/way.py
@@ -30,7 +30,7 @@
 from larkcrank.lab.scale.registry import RegistryProcess
 from larkcrank.lab.scale.registry import Spec as RegistrySpec
 from larkcrank.lab.scale.slopes import RUNS, write_json
-from larkcrank.lab.tiers import Line, Source, Tier, TierError, written
+from larkcrank.lab.tiers import FakeDiscovery, InstanceEntry, TierError, TierProcess, format_address
 
 REGIONS = 9
 ZONES = 33
@@ -76,7 +76,7 @@
         """The services whose sidecars stand in a zone: each has a door there."""
         return sorted({self.service(n) for n in range(zone, self.size, ZONES)})
 
-    def line(self, n: int, lifecycle: str = "Ready", change: int = 0) -> Line:
+    def line(self, n: int, lifecycle: str = "Ready", change: int = 0) -> InstanceEntry:
         return {
             "instanceId": f"s-{n:08x}",
             "hostPort": f"127.{200 + (n >> 14) % 50}.{(n >> 7) & 127}.{(n & 127) + 1}:8000",
@@ -157,10 +157,10 @@
     def __init__(self, shape: Shape, folder: Path) -> None:
         self.shape = shape
         self.sources = [
-            Source(shape.line(n) for n in range(shape.size) if shape.region(shape.zone(n)) == region)
+            FakeDiscovery(shape.line(n) for n in range(shape.size) if shape.region(shape.zone(n)) == region)
             for region in range(REGIONS)
         ]
-        self.tiers: dict[str, Tier] = {}
+        self.tiers: dict[str, TierProcess] = {}
         self._folder = folder
         self._number = 0
         self.discovery: list[str] = []
@@ -179,13 +179,13 @@
             by_door |= doors
         self.discovery = [by_door[shape.zone(n), shape.service(n)] for n in range(shape.size)]
 
-    async def _region(self, region: int, regions: list[tuple[str, str]], origin: str) -> Tier:
+    async def _region(self, region: int, regions: list[tuple[str, str]], origin: str) -> TierProcess:
         listen, own = regions[region]
         return await self._tier(
             f"region-{region}",
             listen=listen,
             own=own,
-            sources=[{"discovery": written(self.sources[region].place)}],
+            sources=[{"discovery": format_address(self.sources[region].address)}],
             above=[origin],
         )
 
@@ -205,17 +205,20 @@
                 for service in served
             ],
         )
-        return {(zone, service): written(place) for service, place in zip(served, tier.doors, strict=True)}
+        return {
+            (zone, service): format_address(place)
+            for service, place in zip(served, tier.door_addresses, strict=True)
+        }
 
-    async def _tier(self, tier_name: str, **config: Any) -> Tier:
-        tier = Tier(self._folder, {"name": tier_name, "ops": "127.0.0.1:0", **config})
+    async def _tier(self, tier_name: str, **config: Any) -> TierProcess:
+        tier = TierProcess(self._folder, {"name": tier_name, "ops": "127.0.0.1:0", **config})
         self.tiers[tier_name] = tier
         await tier.start()
         return tier
 
     async def change(self, numbers: list[int], lifecycle: str) -> list[Changed]:
         """These endpoints change at one moment."""
-        by_region: dict[int, list[Line]] = {}
+        by_region: dict[int, list[InstanceEntry]] = {}
         made = []
         for n in numbers:
             self._number += 1
@@ -224,17 +227,17 @@
             made.append((self._number, n))
         at = time.monotonic()
         for region, lines in by_region.items():
-            self.sources[region].tell(lines)
+            self.sources[region].publish(lines)
         return [Changed(number, at, self.shape.service(n)) for number, n in made]
 
     def usage(self) -> dict[str, tuple[float, float]]:
-        return {tier_name: tier.usage() for tier_name, tier in self.tiers.items()}
+        return {tier_name: tier.resource_usage() for tier_name, tier in self.tiers.items()}
 
     async def states(self) -> dict[str, dict[str, Any]]:
-        return {tier_name: await tier.told("STATE") for tier_name, tier in self.tiers.items()}
+        return {tier_name: await tier.ops_call_json("STATE") for tier_name, tier in self.tiers.items()}
 
     async def held(self) -> dict[str, Any]:
-        return await self.tiers["origin"].told("HELD")
+        return await self.tiers["origin"].ops_call_json("HELD")
 
     async def close(self) -> None:
         for tier in self.tiers.values():
@@ -252,7 +255,7 @@
         sock = socket.socket()
         sock.bind(("127.0.2.1", 0))
         open_ones.append(sock)
-        found.append(written(sock.getsockname()))
+        found.append(format_address(sock.getsockname()))
     for sock in open_ones:
         sock.close()
     return found
