--- a/larkcrank/lab/cold.py
+++ b/larkcrank/lab/cold.py
@@ -243,6 +243,7 @@
     # Scenario
 
     def _schedule_scenario(self) -> None:
+        """Schedules the restarts of the scenario. In "all" there are none: all servers start cold."""
         case, servers = self.case, list(self._servers.values())
         if case.scenario == "one":
             self._schedule(SCENARIO_START_MS, partial(self._restart_servers, servers[:1]))
@@ -315,6 +316,7 @@
         )
 
     def _new_request(self, process: int) -> None:
+        """Lets a new client request arrive at a process and schedules the next one."""
         class_index = self._rng.choices(range(len(self._class_shares)), self._class_shares)[0]
         during_cold_start = any(self._relative_speed(server) < 1.0 for server in self._servers.values())
         self.result.request_count += 1
@@ -413,6 +415,7 @@
         return min(self.case.cold_from + (1.0 - self.case.cold_from) * warm_share, 1.0)
 
     def _receive_attempt(self, attempt: _Attempt) -> None:
+        """Lets an attempt arrive at its server."""
         server = attempt.server
         if not server.is_up:
             self._end_attempt(attempt, Result.CONNECT_FAILED)
@@ -454,6 +457,7 @@
             self._schedule(self.now + busy_ms, partial(self._finish_work, attempt, server.restart_count))
 
     def _finish_work(self, attempt: _Attempt, restart_count: int) -> None:
+        """Frees the worker of an attempt, unless the server has restarted since the attempt began."""
         server = attempt.server
         if server.restart_count != restart_count:
             return
--- a/larkcrank/lab/report.py
+++ b/larkcrank/lab/report.py
@@ -24,7 +24,7 @@
 
 RESULT_FILE = "result.json"
 RESULT_VERSION = 1  # format of the result file
-MAX_LATENCY_US = 120_000_000
+MAX_LATENCY_US = 120_000_000  # upper bound of the latency histogram
 MAX_SHOWN_BREACHES = 20
 
 
@@ -112,8 +112,8 @@
     served, asked = share(-math.inf, math.inf, all_sidecars)
     later_tries = [ask for ask in ledger.asks if ask.first != ask.id]
     list_calls_by_second = Counter(int(at) for at, _ in ledger.list_calls)
-    unsettled_count = sum(math.isinf(item.took) for item in played.settled)
-    missed_windows = [item for item in windows if item.served < item.at_least]
+    unsettled_count = sum(math.isinf(settled.took) for settled in played.settled)
+    missed_windows = [measured for measured in windows if measured.served < measured.at_least]
     return Result(
         RESULT_VERSION,
         scenario.name,
@@ -135,8 +135,8 @@
         dict(Counter(breach.rule for breach in played.breaches)),
         windows,
         [
-            msgspec.structs.replace(item, took=-1.0) if math.isinf(item.took) else item
-            for item in played.settled
+            msgspec.structs.replace(settled, took=-1.0) if math.isinf(settled.took) else settled
+            for settled in played.settled
         ],
         unsettled_count,
         played.use,
--- a/larkcrank/lab/virtual.py
+++ b/larkcrank/lab/virtual.py
@@ -28,14 +28,14 @@
     ) -> None:
         self.rng = Random(seed)
         self.now = 0.0
-        self.loss_rate = 0.0
+        self.loss_rate = 0.0  # probability that a datagram is lost
         self.delay_ms, self.jitter_ms = delay_ms, delay_ms
+        # Whether datagrams from the first member to the second are dropped.
         self.is_link_cut: Callable[[int, int], bool] = lambda source, receiver: False
         self.members: dict[int, Membership] = {}  # those whose process is running
-        self.ranks: dict[int, Ranks] = {}  # of the running members
-        self.reported_sizes: list[
-            tuple[float, int, FleetSize]
-        ] = []  # time, member, size told to its balancer
+        self.ranks: dict[int, Ranks] = {}  # ordinal and fleet size as each running member knows them
+        # Time, member, and the size that its balancer was told.
+        self.reported_sizes: list[tuple[float, int, FleetSize]] = []
         self.configured_count = count  # the number of members in every configuration
         self.stopped: set[int] = set()
         self.sent_datagrams = self.sent_bytes = 0
@@ -67,6 +67,7 @@
         )
 
     def kill(self, numbers: Iterable[int]) -> None:
+        """Ends the processes of these members without notice to the others."""
         for number in numbers:
             self.members.pop(number, None)
             self.ranks.pop(number, None)
--- a/larkcrank/lab/worlds.py
+++ b/larkcrank/lab/worlds.py
@@ -38,6 +38,7 @@
     def __init__(self, fleet: VirtualFleet) -> None:
         self.fleet = fleet
         self.violations: list[str] = []
+        # By member, its boot ID and a name: the record that its view held at the last check.
         self._last_records: dict[tuple[int, int, str], Record] = {}
 
     def run(self, duration_ms: float) -> None:
@@ -65,6 +66,7 @@
         return None
 
     def _check_views(self) -> None:
+        """Records a violation for each record that was replaced by one of lower rank."""
         for number, member in self.fleet.members.items():
             for name, record in member.members.items():
                 earlier = self._last_records.get((number, member.me.life, name))
@@ -206,7 +208,7 @@
 
 
 def search(seeds: range, depth: int, jobs: int = 0) -> Iterator[tuple[int, list[Finding]]]:
-    """Checks all seeds and step sequences in parallel processes.
+    """Checks all seeds and step sequences in `jobs` parallel processes, or one per CPU if it is 0.
 
     After each one, yields the number checked so far and the findings of that one.
     """
