--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -88,7 +88,7 @@
         try:
             if directory is not None:
                 directory.mkdir(parents=True, exist_ok=True)
-                (directory / report.RESULT).unlink(missing_ok=True)
+                (directory / report.RESULT_FILE).unlink(missing_ok=True)
             log.info(
                 "playing",
                 scenario=run_scenario.name,
@@ -107,14 +107,14 @@
         except OSError as error:
             log.error("run_ended", reason=str(error))
             sys.exit(3)
-        result = report.summary(run_scenario, recording)
+        result = report.summarize(run_scenario, recording)
         if directory is not None:
-            report.write(result, directory)
-        for breach in result.breaches[: report.SHOWN_BREACHES]:
+            report.write_result(result, directory)
+        for breach in result.breaches[: report.MAX_SHOWN_BREACHES]:
             log.error("breach", rule=breach.rule, at=round(breach.at, 3), who=breach.who, text=breach.text)
         log.info("played", seed=run_scenario.seed, passed=result.passed, served=round(result.served, 3))
         results.append(result)
-    click.echo(report.markdown(results), nl=False)
+    click.echo(report.to_markdown(results), nl=False)
     if out is not None:
         report.write_tables(results, out)
     sys.exit(0 if all(result.passed for result in results) else 1)
@@ -128,12 +128,12 @@
     from larkcrank.lab import report
 
     try:
-        results = [report.read(folder / report.RESULT) for folder in folders]
+        results = [report.read_result(folder / report.RESULT_FILE) for folder in folders]
     except ValueError as error:
         _exit_bad_input(str(error))
     if len({result.scenario for result in results}) > 1:
         _exit_bad_input("the runs are of different scenarios")
-    click.echo(report.markdown(results), nl=False)
+    click.echo(report.to_markdown(results), nl=False)
     if out is not None:
         out.mkdir(parents=True, exist_ok=True)
         report.write_tables(results, out)
@@ -169,10 +169,10 @@
     from larkcrank.lab import worlds
 
     log, worlds_done, finding_count = _configure_log(), 0, 0
-    for worlds_done, new_findings in worlds.hunt(range(first, first + seeds), depth, jobs):
+    for worlds_done, new_findings in worlds.search(range(first, first + seeds), depth, jobs):
         finding_count += len(new_findings)
         for finding in new_findings:
-            log.error("finding", world=finding.world, what=finding.what)
+            log.error("finding", world=finding.reproducer, what=finding.problem)
         if worlds_done % PROGRESS_INTERVAL_WORLDS == 0:
             log.info("progress", played=worlds_done, found=finding_count)
     click.echo(f"{worlds_done} worlds, {finding_count} findings")
@@ -188,9 +188,13 @@
 
     click.echo("| members | what | figure | |\n| --- | --- | --- | --- |")
     for member_count in members:
-        for measure in (settling.settling, settling.cost, settling.wrong_deaths):
+        for measure in (
+            settling.convergence_times,
+            settling.steady_state_traffic,
+            settling.false_death_rates,
+        ):
             for row in measure(member_count, seed):
-                click.echo(f"| {row.members} | {row.what} | {row.figure:.2f} | {row.unit} |")
+                click.echo(f"| {row.members} | {row.quantity} | {row.value:.2f} | {row.unit} |")
 
 
 @fleet.command("view")
--- a/larkcrank/lab/bench.py
+++ b/larkcrank/lab/bench.py
@@ -181,7 +181,7 @@
 
     def _check_rules(self) -> list[rules.Breach]:
         decisions, scenario = self._site.decisions, self._scenario
-        return rules.check(
+        return rules.find_breaches(
             self._ledger,
             self._classes,
             scenario.grace_ms / 1000.0,
--- a/tests/test_fleet_ranks.py
+++ b/tests/test_fleet_ranks.py
@@ -19,7 +19,7 @@
     FleetSizeTracker,
     ordinal_of,
 )
-from larkcrank.lab.virtual import World
+from larkcrank.lab.virtual import VirtualFleet
 from tests.test_balancer import CLASSES
 
 name_sets = st.sets(st.text(max_size=6), min_size=1, max_size=30)
@@ -161,34 +161,34 @@
 @pytest.mark.parametrize("seed", range(6))
 def test_a_fleet_agrees_on_ordinals_after_joins_deaths_and_partitions(seed: int) -> None:
     rng = Random(seed)
-    world = World(14, seed)
+    world = VirtualFleet(14, seed)
     world.run(30_000)
-    assert world.is_settled() and world.are_placed()
+    assert world.has_converged() and world.has_correct_ordinals()
     world.kill(rng.sample(range(14), 4))
     world.run(120_000)
-    assert world.are_placed()
-    world.cut = lambda a, b: a % 2 != b % 2
+    assert world.has_correct_ordinals()
+    world.is_link_cut = lambda a, b: a % 2 != b % 2
     world.run(120_000)
     sizes = [world.ranks[number].current for number in world.members]
     assert all(
         size.count < 10 <= size.max_instances for size in sizes
     )  # the members of each side cover all servers by themselves
-    world.cut = lambda a, b: False
+    world.is_link_cut = lambda a, b: False
     world.run(120_000)
-    assert world.is_settled() and world.are_placed()
+    assert world.has_converged() and world.has_correct_ordinals()
 
 
 def test_a_partition_of_half_a_minute_changes_no_ordinal() -> None:
-    world = World(12, 1)
+    world = VirtualFleet(12, 1)
     world.run(30_000)
-    before = len(world.sizes)
-    world.cut = lambda a, b: (a < 6) != (b < 6)
+    before = len(world.reported_sizes)
+    world.is_link_cut = lambda a, b: (a < 6) != (b < 6)
     world.run(25_000)
     assert len(world.deaths) > 30
-    world.cut = lambda a, b: False
+    world.is_link_cut = lambda a, b: False
     world.run(60_000)
-    assert all(tracker.move_count <= 1 for tracker in world.ranks.values()) and world.are_placed()
-    assert {size.count for _, _, size in world.sizes[before:]} <= {12}
+    assert all(tracker.move_count <= 1 for tracker in world.ranks.values()) and world.has_correct_ordinals()
+    assert {size.count for _, _, size in world.reported_sizes[before:]} <= {12}
 
 
 # How the balancer uses the size
--- a/tests/test_fleet_view.py
+++ b/tests/test_fleet_view.py
@@ -24,7 +24,7 @@
     encoded_size,
 )
 from larkcrank.lab import worlds
-from larkcrank.lab.virtual import World
+from larkcrank.lab.virtual import VirtualFleet
 from tests.frames import CONFIG
 
 CONVERGENCE_LIMIT_MS = 300_000.0
@@ -36,9 +36,9 @@
     return MemberRecord(name, "m:1", "z", boot_id, incarnation, standing)
 
 
-def settled_world(count: int, seed: int = 1, **options: int) -> World:
-    world = World(count, seed, **options)
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+def settled_world(count: int, seed: int = 1, **options: int) -> VirtualFleet:
+    world = VirtualFleet(count, seed, **options)
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
     return world
 
 
@@ -152,10 +152,10 @@
 
     monkeypatch.setattr(Membership, "receive", checked_receive)
     world = settled_world(24)
-    world.cut = lambda a, b: (a < 8) != (b < 8)
+    world.is_link_cut = lambda a, b: (a < 8) != (b < 8)
     world.run(60_000)
-    world.cut = lambda a, b: False
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
     assert checked[0] > 1000
 
 
@@ -205,11 +205,11 @@
     world = settled_world(count)
     killed = list(range(0, count, 3))
     world.kill(killed)
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
     for number in killed:
         # It starts with incarnation 1, and must supersede its former process without a disk or a clock.
         world.start(number)
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
 
 
 @pytest.mark.parametrize("side_size", [1, 6])
@@ -217,42 +217,42 @@
 def test_a_partition_heals_without_intervention(side_size: int, duration_ms: float) -> None:
     """A half or one member is cut off, for seconds or minutes. All seeds are on one side."""
     world = settled_world(12)
-    world.cut = lambda a, b: (a >= 12 - side_size) != (b >= 12 - side_size)
+    world.is_link_cut = lambda a, b: (a >= 12 - side_size) != (b >= 12 - side_size)
     world.run(duration_ms)
     if duration_ms > 100_000:
         view_sizes = [len(member.live_records()) for member in world.members.values()]
         # Each side keeps a view of its own.
         assert view_sizes == [12 - side_size] * (12 - side_size) + [side_size] * side_size
-    world.cut = lambda a, b: False
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
 
 
 def test_a_three_way_partition_heals_step_by_step_with_all_seeds_dead() -> None:
     world = settled_world(12)
     world.kill([0, 1, 2])
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
-    world.cut = lambda a, b: a % 3 != b % 3
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: a % 3 != b % 3
     world.run(120_000)
-    world.cut = lambda a, b: 0 in (a % 3, b % 3) and a % 3 != b % 3
+    world.is_link_cut = lambda a, b: 0 in (a % 3, b % 3) and a % 3 != b % 3
     world.run(60_000)
-    world.cut = lambda a, b: False
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
 
 
 def test_a_healed_partition_revives_no_dead_member() -> None:
     world = settled_world(10)
-    world.cut = lambda a, b: (a < 5) != (b < 5)
+    world.is_link_cut = lambda a, b: (a < 5) != (b < 5)
     world.run(60_000)
     world.kill([4, 9])
     world.run(60_000)
-    world.cut = lambda a, b: False
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
     deaths_before = len(world.deaths)
     world.run(120_000)
-    assert len(world.deaths) == deaths_before and world.is_settled()
+    assert len(world.deaths) == deaths_before and world.has_converged()
 
 
-def count_deaths(world: World, ms: float) -> int:
+def count_deaths(world: VirtualFleet, ms: float) -> int:
     """Run a world and return the number of deaths that its members declare meanwhile."""
     deaths_before = len(world.deaths)
     world.run(ms)
@@ -262,14 +262,14 @@
 def test_two_members_that_cannot_reach_each_other_stay_in_all_views() -> None:
     """Other members can reach both, and answer for them, so no member is declared dead."""
     world = settled_world(8)
-    world.cut = lambda a, b: {a, b} == {3, 5}
-    assert count_deaths(world, 300_000) == 0 and world.is_settled()
+    world.is_link_cut = lambda a, b: {a, b} == {3, 5}
+    assert count_deaths(world, 300_000) == 0 and world.has_converged()
 
 
 def test_a_member_that_cannot_send_is_declared_dead_once_and_does_not_flap() -> None:
     """Only its outgoing datagrams are lost. It comes back when they arrive again."""
     world = settled_world(8)
-    world.cut = lambda a, b: a == 5
+    world.is_link_cut = lambda a, b: a == 5
     world.run(120_000)
     assert all(
         "n5" not in {record.name for record in member.live_records()}
@@ -279,18 +279,18 @@
     deaths_seen_by_others = [death for death in world.deaths if death[1] != 5]
     world.run(300_000)
     assert [death for death in world.deaths if death[1] != 5] == deaths_seen_by_others
-    world.cut = lambda a, b: False
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
 
 
 @pytest.mark.parametrize(("loss", "delay_ms"), [(0.3, 2.0), (0.0, 300.0)])
 def test_lossy_and_slow_links_cause_few_deaths(loss: float, delay_ms: float) -> None:
     world = settled_world(12, delay_ms=delay_ms)  # type: ignore[arg-type]
-    world.loss = loss
+    world.loss_rate = loss
     death_count = count_deaths(world, 300_000)
     assert death_count <= 12  # of 12 members in five minutes, summed over all views
-    world.loss = 0.0
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.loss_rate = 0.0
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
 
 
 def test_stalled_members_come_back_and_blame_no_other() -> None:
@@ -298,8 +298,8 @@
     world = settled_world(12)
     world.stop([3, 4])
     world.run(10_000)
-    world.go_on([3, 4])
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.resume([3, 4])
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
     blamed = {name for _, viewer, name in world.deaths if viewer in (3, 4)}
     assert blamed <= {"n3", "n4"}
 
@@ -310,7 +310,7 @@
     world = settled_world(8, seed)
     world.kill([5])
     world.start(5)
-    settled_after_ms = world.settle(CONVERGENCE_LIMIT_MS)
+    settled_after_ms = world.run_until_converged(CONVERGENCE_LIMIT_MS)
     assert settled_after_ms is not None and settled_after_ms <= 5_000.0 and world.deaths == []
 
 
@@ -319,22 +319,22 @@
     world.kill(range(6))
     for number in range(6):
         world.start(number)
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
-    world.cut = lambda a, b: a % 2 != b % 2
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: a % 2 != b % 2
     for number in range(12):
         world.kill([number])
         world.run(1_000)
         world.start(number)
         world.run(2_000)
-    world.cut = lambda a, b: False
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world.is_link_cut = lambda a, b: False
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
 
 
 def test_a_planned_leave_spreads_without_suspicion() -> None:
     world = settled_world(12)
     deaths_before = len(world.deaths)
     world.leave(7)
-    settled_after_ms = world.settle(CONVERGENCE_LIMIT_MS)
+    settled_after_ms = world.run_until_converged(CONVERGENCE_LIMIT_MS)
     assert settled_after_ms is not None and settled_after_ms <= 5_000.0
     assert len(world.deaths) == deaths_before
 
@@ -371,7 +371,7 @@
     world = settled_world(6)
     data = bytes([wire.PROTOCOL_VERSION + 1]) + bytes(100)
     world._arrive(2, "m:5", data)
-    assert world.refused == {"other_version": 1} and world.is_settled()
+    assert world.rejected_datagrams == {"other_version": 1} and world.has_converged()
 
 
 def test_traffic_per_member_does_not_grow_with_the_fleet() -> None:
@@ -379,9 +379,14 @@
     for count in (5, 40):
         world = settled_world(count)
         world.run(200_000)  # until all updates about the joins have been sent
-        sent_before, bytes_before = world.sent, world.bytes
+        sent_before, bytes_before = world.sent_datagrams, world.sent_bytes
         world.run(30_000)
-        rates.append(((world.sent - sent_before) / count / 30, (world.bytes - bytes_before) / count / 30))
+        rates.append(
+            (
+                (world.sent_datagrams - sent_before) / count / 30,
+                (world.sent_bytes - bytes_before) / count / 30,
+            )
+        )
     (small_fleet, small_fleet_bytes), (large_fleet, large_fleet_bytes) = rates
     assert large_fleet <= 2.2 and abs(large_fleet - small_fleet) < 0.2
     assert large_fleet_bytes < 500 and large_fleet_bytes < small_fleet_bytes * 1.2
@@ -390,7 +395,7 @@
 @pytest.mark.parametrize("block", range(4))
 def test_views_are_correct_after_random_faults_end(block: int) -> None:
     for seed in range(block * 10, block * 10 + 10):
-        assert worlds.play_seed(seed) is None
+        assert worlds.check_seed(seed) is None
 
 
 def test_the_only_remaining_member_counts_only_itself() -> None:
@@ -398,24 +403,24 @@
 
     It therefore kept counting four members.
     """
-    assert worlds.play_seed(90) is None
+    assert worlds.check_seed(90) is None
 
 
 @pytest.mark.parametrize("seed", [1109, 4716])
 def test_a_member_that_left_and_returns_is_found_with_all_seeds_dead(seed: int) -> None:
     """Found by random search: only dead members were contacted again, and the returning one knew nobody."""
-    assert worlds.play_seed(seed) is None
+    assert worlds.check_seed(seed) is None
 
 
 def test_worlds_whose_members_cannot_know_of_each_other_are_recognized() -> None:
-    world = World(4, 1, seeds=1)
-    assert world.settle(CONVERGENCE_LIMIT_MS) is not None
+    world = VirtualFleet(4, 1, seed_count=1)
+    assert world.run_until_converged(CONVERGENCE_LIMIT_MS) is not None
     world.kill([0, 1])
-    assert worlds.can_meet(world)  # the seed is dead, but the others know each other
+    assert worlds.is_connected(world)  # the seed is dead, but the others know each other
     world.kill([2, 3])
     world.start(2)
     world.start(3)
-    assert not worlds.can_meet(world)
+    assert not worlds.is_connected(world)
 
 
 def test_all_worlds_of_three_members_and_one_fault_period_converge() -> None:
@@ -423,7 +428,7 @@
 
     `fleet hunt` covers two fault periods.
     """
-    findings = [worlds.play_steps(steps) for steps in worlds.every(1)]
+    findings = [worlds.check_steps(steps) for steps in worlds.all_step_sequences(1)]
     assert len(findings) == 91 and not any(findings)
 
 
@@ -462,19 +467,19 @@
             monkeypatch.setattr(MemberRecord, "supersedes", lambda self, other: True)
         case "a refutation lowers the incarnation":
             monkeypatch.setattr(Membership, "_set_local_record", _set_lower_incarnation)
-    monkeypatch.setattr(worlds, "QUIET_MS", 60_000.0)
-    findings = (worlds.play_steps(steps) for steps in worlds.every(1))
-    assert any(finding is not None and expected_finding in finding.what for finding in findings)
+    monkeypatch.setattr(worlds, "CONVERGENCE_LIMIT_MS", 60_000.0)
+    findings = (worlds.check_steps(steps) for steps in worlds.all_step_sequences(1))
+    assert any(finding is not None and expected_finding in finding.problem for finding in findings)
 
 
 def test_the_random_search_detects_a_missing_view_comparison(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(Membership, "_start_sync", lambda self: [])
-    monkeypatch.setattr(worlds, "QUIET_MS", 60_000.0)
-    assert any(worlds.play_seed(seed) is not None for seed in range(200, 240))
+    monkeypatch.setattr(worlds, "CONVERGENCE_LIMIT_MS", 60_000.0)
+    assert any(worlds.check_seed(seed) is not None for seed in range(200, 240))
 
 
 def test_a_search_runs_all_its_seeds_in_parallel() -> None:
-    results = list(worlds.hunt(range(6), depth=0, jobs=2))
+    results = list(worlds.search(range(6), depth=0, jobs=2))
     assert [done for done, _ in results] == list(range(1, 7))
     assert not any(findings for _, findings in results)
 
@@ -537,4 +542,4 @@
     With seed 103, a confirmation of a suspicion of another process took the name back. With seed 153, answers
     of members that had stalled made the probe periods of other members long.
     """
-    assert worlds.play_seed(seed) is None
+    assert worlds.check_seed(seed) is None
--- a/tests/test_lab_fleet.py
+++ b/tests/test_lab_fleet.py
@@ -113,7 +113,7 @@
     }
     assert not missed
     assert "twice" in broken_rules["resend"]
-    assert not report.summary(spec, outcome).passed
+    assert not report.summarize(spec, outcome).passed
 
 
 @pytest.fixture(scope="module")
@@ -127,7 +127,7 @@
 
 
 def test_the_small_scenario_breaks_no_rule_despite_its_faults(small_run_folder: Path) -> None:
-    result = report.read(small_run_folder / "small-1" / report.RESULT)
+    result = report.read_result(small_run_folder / "small-1" / report.RESULT_FILE)
     assert result.passed and result.breaches == []
     assert {what for _, what, _ in result.faults} == {"cut", "replace", "drain", "kill", "stop", "slow"}
     assert result.unreached > 0  # two processes were down for a second
@@ -143,7 +143,7 @@
     ]
     kinds = {line["type"] for line in lines}
     assert kinds == {"ask", "attempt", "effect", "told", "event"}
-    result = report.read(small_run_folder / "small-1" / report.RESULT)
+    result = report.read_result(small_run_folder / "small-1" / report.RESULT_FILE)
     asks = [line for line in lines if line["type"] == "ask"]
     assert sum(line["status"] == 503 for line in asks) == result.refused
     events = [line["what"] for line in lines if line["type"] == "event"]
@@ -153,10 +153,10 @@
 
 def test_the_report_compares_runs_and_rejects_a_broken_result(small_run_folder: Path, tmp_path: Path) -> None:
     folder = small_run_folder / "small-1"
-    result = report.read(folder / report.RESULT)
+    result = report.read_result(folder / report.RESULT_FILE)
     other_folder = tmp_path / "other"
     other_folder.mkdir()
-    report.write(msgspec.structs.replace(result, seed=2, served=result.served / 2), other_folder)
+    report.write_result(msgspec.structs.replace(result, seed=2, served=result.served / 2), other_folder)
     table_folder = tmp_path / "tables"
     report_result = CliRunner().invoke(
         main, ["fleet", "report", str(folder), str(other_folder), "--out", str(table_folder)]
@@ -169,7 +169,7 @@
     assert float(served[3]) < float(served[4]) < float(served[5])
     assert (table_folder / "report.svg").read_text().startswith("<?xml")
     assert (table_folder / "report.png").read_bytes().startswith(b"\x89PNG")
-    (other_folder / report.RESULT).write_text("{}")
+    (other_folder / report.RESULT_FILE).write_text("{}")
     broken = CliRunner().invoke(main, ["fleet", "report", str(other_folder)])
     assert broken.exit_code == 2 and "result.json" in broken.output
 
@@ -191,10 +191,10 @@
     window = Window(name="all", since=0.0, to=1.0, at_least=0.5)
     settle = SettleCheck(at=0.1, within=0.3)
     spec = tiny_scenario(faults=[kill_all], windows=[window], settles=[settle])
-    result = report.summary(spec, bench.run_scenario(spec, ignore_progress))
+    result = report.summarize(spec, bench.run_scenario(spec, ignore_progress))
     assert not result.passed and result.unsettled == 1 and result.windows[0].served < 0.5
     spec_without_faults = tiny_scenario(windows=[window])
-    assert report.summary(
+    assert report.summarize(
         spec_without_faults, bench.run_scenario(spec_without_faults, ignore_progress)
     ).passed
 
@@ -276,7 +276,7 @@
     out = tmp_path / "out"
     result = CliRunner().invoke(main, ["fleet", "run", str(path), "--out", str(out)])
     assert result.exit_code == 3 and expected_message in result.output
-    assert not list(out.rglob(report.RESULT))
+    assert not list(out.rglob(report.RESULT_FILE))
 
 
 def test_a_process_that_exits_unexpectedly_ends_the_run() -> None:
@@ -313,7 +313,7 @@
         bench_process.wait(TEST_TIMEOUT_S)
         wait_until(lambda: not any(child.is_running() and child.status() != "zombie" for child in children))
         assert bench_process.returncode != 0
-        assert not list(tmp_path.rglob(report.RESULT))
+        assert not list(tmp_path.rglob(report.RESULT_FILE))
         bench._remove_abandoned_folders()  # as the next run does at its start
         left_folders = Path(tempfile.gettempdir()).glob(f"{bench.TEMP_FOLDER_PREFIX}{bench_process.pid}-*")
         assert not list(left_folders)
