--- a/larkcrank/lab/scale/alarm.py
+++ b/larkcrank/lab/scale/alarm.py
@@ -25,7 +25,7 @@
     _fields_ = (("every", _Time), ("value", _Time))
 
 
-class Alarm:
+class PreciseTimer:
     """One timerfd(2) and a heap of what is due, by `time.monotonic`. Raises OSError where there is none."""
 
     def __init__(self) -> None:
@@ -37,7 +37,7 @@
         self._set_to = math.inf
         asyncio.get_running_loop().add_reader(self._fd, self._fire)
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
+    def call_at(self, when: float, do: Callable[[], None]) -> None:
         heapq.heappush(self._due, (when, next(self._sequence), do))
         self._set()
 
--- a/larkcrank/lab/scale/children.py
+++ b/larkcrank/lab/scale/children.py
@@ -16,9 +16,11 @@
 
 from larkcrank.lab.scale import machine
 
-LINE_BYTES = 1 << 26  # reports of some hundred hollow sidecars are one line
-WAIT_S = 120.0  # a process that says nothing so long, asked, is given up; the machine may be crowded
-END_S = 3.0  # asked to end, it has so long; killed, it leaves nothing behind either
+MAX_LINE_BYTES = 1 << 26  # reports of some hundred hollow sidecars are one line
+RESPONSE_TIMEOUT_S = (
+    120.0  # a process that says nothing so long, asked, is given up; the machine may be crowded
+)
+EXIT_TIMEOUT_S = 3.0  # asked to end, it has so long; killed, it leaves nothing behind either
 _PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None)
 
@@ -32,12 +34,12 @@
     signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal tells all at once; the owner ends it in order
 
 
-class Child:
+class ChildProcess:
     """One process. Its first words are `{"event": "ready", ...}`."""
 
     def __init__(self, name: str, module: str, spec: msgspec.Struct) -> None:
         self.name = name
-        self.ready: dict[str, Any] = {}  # its first words
+        self.ready_message: dict[str, Any] = {}  # its first words
         self._module, self._spec = module, spec
         self._process: asyncio.subprocess.Process | None = None
         self._last = b""  # of what it wrote on standard error
@@ -48,7 +50,7 @@
         return self._process.pid
 
     @property
-    def lives(self) -> bool:
+    def is_started(self) -> bool:
         return self._process is not None
 
     async def start(self) -> None:
@@ -60,19 +62,19 @@
             stdin=asyncio.subprocess.PIPE,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
-            limit=LINE_BYTES,
+            limit=MAX_LINE_BYTES,
             preexec_fn=_end_with_parent,
         )
         self._errors = asyncio.get_running_loop().create_task(self._read_errors(self._process))
         self._write(msgspec.json.encode(self._spec))
-        self.ready = await self.hear("ready")
+        self.ready_message = await self.read_event("ready")
 
-    async def call(self, do: str, **more: Any) -> dict[str, Any]:
+    async def send_command(self, do: str, **more: Any) -> dict[str, Any]:
         """Tell it to do something and hear what came of it. Raises `ChildError`."""
         self._write(msgspec.json.encode({"do": do, **more}))
-        return await self.hear(do)
+        return await self.read_event(do)
 
-    async def hear(self, event: str, wait_s: float = WAIT_S) -> dict[str, Any]:
+    async def read_event(self, event: str, wait_s: float = RESPONSE_TIMEOUT_S) -> dict[str, Any]:
         """Its next words, which must be these. Raises `ChildError`."""
         process = self._process
         assert process is not None and process.stdout is not None
@@ -93,11 +95,11 @@
         """Processor time so far; nought once it is gone."""
         return machine.cpu_s(self.pid)
 
-    def stop(self) -> None:
+    def suspend(self) -> None:
         """It stands still from now on."""
         os.kill(self.pid, signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         os.kill(self.pid, signal.SIGCONT)
 
     async def kill(self) -> None:
@@ -113,7 +115,7 @@
         assert process.stdin is not None
         process.stdin.close()  # asks it to end
         try:
-            async with asyncio.timeout(END_S):
+            async with asyncio.timeout(EXIT_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
@@ -136,22 +138,22 @@
         return "its last words: " + (self._last.decode("utf-8", "replace").strip() or "none")
 
 
-async def close_all(children: Sequence[Child]) -> None:
+async def close_all(children: Sequence[ChildProcess]) -> None:
     """End all of them; none is left, also where ending one fails."""
     await asyncio.gather(*(child.close() for child in children), return_exceptions=True)
 
 
-class Commands:
+class CommandChannel:
     """The other end, in the process: its orders, and its words."""
 
     def __init__(self) -> None:
-        self._reader = asyncio.StreamReader(limit=LINE_BYTES)
+        self._reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
 
     async def open(self) -> None:
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(self._reader), sys.stdin)
 
-    async def next(self) -> dict[str, Any] | None:
+    async def read_command(self) -> dict[str, Any] | None:
         """The next order; None: it is to end."""
         line = await self._reader.readline()
         if not line:
@@ -159,10 +161,10 @@
         found: dict[str, Any] = msgspec.json.decode(line)
         return found
 
-    async def spec(self) -> bytes:
+    async def read_spec(self) -> bytes:
         """Its first line."""
         return await self._reader.readline()
 
-    def say(self, event: str, **more: Any) -> None:
+    def send_event(self, event: str, **more: Any) -> None:
         sys.stdout.buffer.write(msgspec.json.encode({"event": event, **more}) + b"\n")
         sys.stdout.buffer.flush()
--- a/larkcrank/lab/scale/fit.py
+++ b/larkcrank/lab/scale/fit.py
@@ -9,8 +9,8 @@
 from dataclasses import dataclass
 
 CONFIDENCE = 0.95
-LEAST_SIZES = 4
-LEAST_REPEATS = 3
+MIN_SIZES = 4
+MIN_REPEATS = 3
 SURE = 0.01  # a curve must beat the line by an F test at this level ...
 DEPARTS = 0.1  # ... and the line must miss the mean at some size by this share of the cost's whole span ...
 MATTERS = 0.01  # ... and of the cost itself
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Fit:
+class LineFit:
     """y = intercept + slope * x. `low` and `high` bound the slope at 95%; `residual` is the residuals'
     standard deviation in the unit of y. `shape` is `line`, or the better curve: `quadratic` or `logarithm`.
     A slope whose interval holds nought is a line all the same: no growth was seen at these sizes."""
@@ -44,16 +44,16 @@
         return self.low > 0.0 or self.high < 0.0
 
 
-def fit(points: Points) -> Fit:
+def fit_line(points: Points) -> LineFit:
     """The fit of (size, repeats) pairs. Raises `FitError`."""
     from scipy import stats
 
     xs = [float(size) for size, costs in points for _ in costs]
     ys = [float(cost) for _, costs in points for cost in costs]
-    if len({size for size, _ in points}) < LEAST_SIZES:
-        raise FitError(f"{len({size for size, _ in points})} sizes, at least {LEAST_SIZES} are needed")
-    if any(len(costs) < LEAST_REPEATS for _, costs in points):
-        raise FitError(f"a size has under {LEAST_REPEATS} repeats")
+    if len({size for size, _ in points}) < MIN_SIZES:
+        raise FitError(f"{len({size for size, _ in points})} sizes, at least {MIN_SIZES} are needed")
+    if any(len(costs) < MIN_REPEATS for _, costs in points):
+        raise FitError(f"a size has under {MIN_REPEATS} repeats")
     if not all(map(math.isfinite, xs + ys)):
         raise FitError("a point is no finite figure")
     found = stats.linregress(xs, ys)
@@ -62,7 +62,7 @@
     half = 0.0 if min(ys) == max(ys) else half  # nothing varies: no figure comes out of nought by nought
     line_rss = sum((y - intercept - slope * x) ** 2 for x, y in zip(xs, ys, strict=True))
     shape = _shape(points, xs, ys, slope, intercept, line_rss)
-    return Fit(slope, slope - half, slope + half, intercept, math.sqrt(line_rss / freedom), shape)
+    return LineFit(slope, slope - half, slope + half, intercept, math.sqrt(line_rss / freedom), shape)
 
 
 def _shape(
--- a/larkcrank/lab/scale/hollow.py
+++ b/larkcrank/lab/scale/hollow.py
@@ -28,8 +28,8 @@
 from larkcrank.config import sidecar as configuration
 from larkcrank.core.balancer import Balancer
 from larkcrank.core.interface import Action, Event, ServerList
-from larkcrank.lab.scale.children import WAIT_S, Child, Commands, close_all
-from larkcrank.lab.scale.machine import MIB, LimitError, held_mib, look
+from larkcrank.lab.scale.children import RESPONSE_TIMEOUT_S, ChildProcess, CommandChannel, close_all
+from larkcrank.lab.scale.machine import MIB, LimitError, available_resources, resident_mib
 from larkcrank.lab.settings import SETTINGS, merged
 from larkcrank.program.clock import Clock
 from larkcrank.program.counters import Counters
@@ -43,27 +43,30 @@
 from larkcrank.transport.descriptors import Descriptors
 from larkcrank.transport.pool import Pool
 
-TAG = 1 << 20  # a line's weight is 1 + the number of its last change / TAG, see `tag`
-SEEN_MOST = 8192  # of a sidecar's lists in force that are kept to be told
-SOCKETS = 1024
-MEMORY_MB = 192.0
-PORTS = (10_000, 20_000)  # the first for datagrams and how many; one for all, each on an address of its own
-OCTET = 250  # addresses of a net for them
-LOOK_S = 0.01
-AT_ONCE = 4  # processes that start side by side
-STATUS_LINE = len(b"HTTP/1.1 200 OK\r\n")
-
-
-def tag(weight: float) -> int:
+CHANGE_NUMBER_SCALE = 1 << 20  # a line's weight is 1 + the number of its last change / TAG, see `tag`
+MAX_RECORDED_LISTS = 8192  # of a sidecar's lists in force that are kept to be told
+SOCKET_LIMIT = 1024
+MEMORY_LIMIT_MB = 192.0
+DATAGRAM_PORTS = (
+    10_000,
+    20_000,
+)  # the first for datagrams and how many; one for all, each on an address of its own
+ADDRESSES_PER_OCTET = 250  # addresses of a net for them
+POLL_S = 0.01
+MAX_CONCURRENT_STARTS = 4  # processes that start side by side
+STATUS_LINE_BYTES = len(b"HTTP/1.1 200 OK\r\n")
+
+
+def change_number(weight: float) -> int:
     """The number of the change that made a line what it is; 0: it is as it was at first.
 
     The settings here call listed weights no sizes, so that the balancer does not go by them; whoever passes
     lines on passes on the number with them, and it needs no key of its own.
     """
-    return round((weight - 1.0) * TAG)
+    return round((weight - 1.0) * CHANGE_NUMBER_SCALE)
 
 
-class Spec(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
+class HostSpec(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
     """What a host process is told."""
 
     count: int
@@ -75,21 +78,21 @@
     # Merged into the configuration file; in its texts {i} is the sidecar's number, {own} where it may bind
     # its socket for datagrams, {seed0} to {seed2} those of the first three.
     config: dict[str, Any] = {}
-    port: int = PORTS[0]  # for datagrams
+    port: int = DATAGRAM_PORTS[0]  # for datagrams
     beats: bool = True  # each keeps the program's beat of 20 ms; off: idle time is then without it
     spread_s: float = 0.0  # over which they start
     seed: int = 1
 
 
-class Seen(msgspec.Struct, array_like=True):
+class AppliedList(msgspec.Struct, array_like=True):
     """One list in force: the balancer had handled it. Numbers are those of `tag`."""
 
-    at: float  # seconds on the machine's monotonic clock, the same in all processes
+    applied_at: float  # seconds on the machine's monotonic clock, the same in all processes
     generation: int
-    whole: bool
-    lines: int
-    first: int  # the least change that a line of it tells ...
-    last: int  # ... and the highest
+    is_complete: bool
+    endpoint_count: int
+    first_change: int  # the least change that a line of it tells ...
+    last_change: int  # ... and the highest
 
 
 class HollowReport(msgspec.Struct):
@@ -100,7 +103,7 @@
     serving: float | None  # when its first list with a line in it was in force
     servers: int  # in the balancer's list, told as places
     generation: int | None
-    seen: list[Seen]
+    seen: list[AppliedList]
     unseen: int  # lists in force beyond SEEN_MOST
     bytes_in: int  # of discovery's answers, heads and bodies
     bytes_out: int
@@ -111,9 +114,9 @@
     together: dict[str, Any] = {}  # counters of the fleet's part
     live: int = 0  # members in its view, itself too
 
-    def in_force(self, change: int) -> float | None:
+    def applied_at(self, change: int) -> float | None:
         """When a list was in force that tells this change or a later one; None: not yet."""
-        return next((one.at for one in self.seen if one.last >= change), None)
+        return next((one.applied_at for one in self.seen if one.last_change >= change), None)
 
 
 class HostReport(msgspec.Struct):
@@ -160,15 +163,17 @@
 
     async def get(self, target: bytes) -> http1.Response:
         response: http1.Response = await self._line.get(target)
-        head = STATUS_LINE + sum(len(field.line) + 2 for field in response.fields) + 2
-        self._count(head + len(response.body), len(http1.request_bytes(b"GET", target, (b"Host: " + HOST,))))
+        head = STATUS_LINE_BYTES + sum(len(field.line) + 2 for field in response.fields) + 2
+        self._count(
+            head + len(response.body), len(http1.request_bytes(b"GET", target, (b"Host: " + HOST_HEADER,)))
+        )
         return response
 
     def close(self) -> None:
         self._line.close()
 
 
-HOST = b"127.0.0.1:65535"  # as long as one mostly is
+HOST_HEADER = b"127.0.0.1:65535"  # as long as one mostly is
 
 
 class _CountedDiscovery(DiscoveryClient):
@@ -196,21 +201,25 @@
             super().start_heartbeat()
 
 
-def own_place(number: int, port: int) -> str:
+def datagram_address(number: int, port: int) -> str:
     """Where a sidecar may bind its socket for datagrams."""
-    return f"127.{100 + number // OCTET**2}.{number // OCTET % OCTET}.{number % OCTET + 1}:{port}"
+    return (
+        f"127.{100 + number // ADDRESSES_PER_OCTET**2}"
+        f".{number // ADDRESSES_PER_OCTET % ADDRESSES_PER_OCTET}"
+        f".{number % ADDRESSES_PER_OCTET + 1}:{port}"
+    )
 
 
-class Hollow:
+class HollowSidecar:
     """One sidecar. It is put together as `program.sidecar` does it."""
 
     def __init__(self, number: int, config: configuration.Config, beats: bool, rng: Random) -> None:
         self.number = number
-        self.began = time.monotonic()
-        self.serving: float | None = None
-        self.journal = _Journal()
+        self.started_at = time.monotonic()
+        self.serving_at: float | None = None
+        self.event_counter = _Journal()
         self.counters = Counters()
-        self._seen: deque[Seen] = deque(maxlen=SEEN_MOST)
+        self._seen: deque[AppliedList] = deque(maxlen=MAX_RECORDED_LISTS)
         self._seen_count = 0
         site = config.site
         self._clock = _Clock(beats)
@@ -226,7 +235,7 @@
             Budget(config.memory_mb * MIB),
             self._clock,
             self.counters,
-            self.journal.failure,
+            self.event_counter.failure,
             site.decisions.only_draining_binds,
         )
         self._discovery = _CountedDiscovery(
@@ -237,7 +246,7 @@
             not site.decisions.must_ask,
             Random(rng.getrandbits(64)),
             self.counters,
-            self.journal.failure,
+            self.event_counter.failure,
         )
         self._listed: set[bytes] = set()
         balancer = Balancer(site.decisions, Random(rng.getrandbits(64)), self._clock())
@@ -249,14 +258,16 @@
             site.max_open,
             site.grace_ms,
             self.counters,
-            self.journal,
+            self.event_counter,
         )
         self._balancer = balancer
         self._must_ask = site.decisions.must_ask
         self._together: FleetMember | None = None
         if config.fleet is not None:
             shared = Random(rng.getrandbits(64))
-            self._together = FleetMember(config, self._names, self._clock, self.journal, self._driver, shared)
+            self._together = FleetMember(
+                config, self._names, self._clock, self.event_counter, self._driver, shared
+            )
 
     def start(self) -> None:
         """As a sidecar with no list held: discovery is asked."""
@@ -277,11 +288,11 @@
         self._discovery.close()
         self._pool.close()
 
-    def still(self) -> None:
+    def stop_heartbeat(self) -> None:
         """No beat from now on."""
         self._clock.beats = False
 
-    def forget(self) -> None:
+    def clear_applied_lists(self) -> None:
         """What was seen so far is not told any more."""
         self._seen.clear()
         self._seen_count = 0
@@ -289,8 +300,8 @@
     def report(self) -> HollowReport:
         return HollowReport(
             number=self.number,
-            began=self.began,
-            serving=self.serving,
+            began=self.started_at,
+            serving=self.serving_at,
             servers=len(self._servers.host_ports()),
             generation=self._discovery.generation,
             seen=list(self._seen),
@@ -300,7 +311,7 @@
             calls=self.counters.discovery_calls,
             failures=self.counters.discovery_failures,
             crashed=self.counters.crashed,
-            events=dict(self.journal.events),
+            events=dict(self.event_counter.events),
             together={} if self._together is None else self._together.counters(),
             live=0 if self._together is None else int(self._together.view().split(" ", 2)[1]),
         )
@@ -309,19 +320,19 @@
         if not event.endpoints:
             return
         at = time.monotonic()
-        if self.serving is None:
-            self.serving = at
-        tags = [tag(endpoint.size) for endpoint in event.endpoints]
-        self._seen.append(Seen(at, event.revision, event.complete, len(tags), min(tags), max(tags)))
+        if self.serving_at is None:
+            self.serving_at = at
+        tags = [change_number(endpoint.size) for endpoint in event.endpoints]
+        self._seen.append(AppliedList(at, event.revision, event.complete, len(tags), min(tags), max(tags)))
         self._seen_count += 1
 
 
-def configured(spec: Spec) -> configuration.Config:
+def first_config(spec: HostSpec) -> configuration.Config:
     """The configuration that all of a host share but for names and addresses. Raises `ConfigError`."""
     return _parse(spec, spec.first)
 
 
-def _parse(spec: Spec, number: int) -> configuration.Config:
+def _parse(spec: HostSpec, number: int) -> configuration.Config:
     file = merged(
         {
             "name": f"hollow-{number}",
@@ -329,7 +340,7 @@
             "discovery": spec.discovery[number % len(spec.discovery)],
             "settings": merged(SETTINGS, spec.settings),
             "seed": f"{spec.seed * 1_000_003 + number:x}",
-            "limits": {"sockets": SOCKETS, "memory_mb": MEMORY_MB},
+            "limits": {"sockets": SOCKET_LIMIT, "memory_mb": MEMORY_LIMIT_MB},
         },
         _with_texts(spec.config, number, spec.port),
     )
@@ -338,78 +349,78 @@
 
 def _with_texts(value: Any, number: int, port: int) -> Any:
     if isinstance(value, str):
-        seeds = {f"seed{other}": own_place(other, port) for other in range(3)}
-        return value.format(i=number, own=own_place(number, port), **seeds)
+        seeds = {f"seed{other}": datagram_address(other, port) for other in range(3)}
+        return value.format(i=number, own=datagram_address(number, port), **seeds)
     if isinstance(value, dict):
         return {key: _with_texts(one, number, port) for key, one in value.items()}
     return [_with_texts(one, number, port) for one in value] if isinstance(value, list) else value
 
 
-class Host:
+class SidecarHost:
     """Hollow sidecars of one process, on its loop."""
 
-    def __init__(self, spec: Spec) -> None:
+    def __init__(self, spec: HostSpec) -> None:
         self._spec = spec
-        self.hollows: list[Hollow] = []
+        self.sidecars: list[HollowSidecar] = []
 
     async def start(self) -> None:
-        spec, shared = self._spec, configured(self._spec)
+        spec, shared = self._spec, first_config(self._spec)
         for index in range(spec.count):
             number = spec.first + index
             one = _parse(spec, number) if index else shared
             decisions = shared.site.decisions
             own = replace(decisions, ordinal=number % max(decisions.instances, 1))
             config = replace(one, site=replace(shared.site, decisions=own), settings=shared.settings)
-            hollow = Hollow(number, config, spec.beats, Random(config.seed))
-            self.hollows.append(hollow)
+            hollow = HollowSidecar(number, config, spec.beats, Random(config.seed))
+            self.sidecars.append(hollow)
             hollow.start()
             await asyncio.sleep(spec.spread_s / spec.count)
 
-    def serving(self) -> int:
+    def serving_count(self) -> int:
         """How many have a list in force."""
-        return sum(hollow.serving is not None for hollow in self.hollows)
+        return sum(hollow.serving_at is not None for hollow in self.sidecars)
 
     def report(self, brief: bool = False) -> HostReport:
         process = psutil.Process()
         memory = process.memory_full_info()
-        hollows = [] if brief else [hollow.report() for hollow in self.hollows]
+        hollows = [] if brief else [hollow.report() for hollow in self.sidecars]
         cpu_s = time.process_time()
         return HostReport(process.pid, cpu_s, memory.rss / MIB, memory.uss / MIB, hollows)
 
     def close(self) -> None:
-        for hollow in self.hollows:
+        for hollow in self.sidecars:
             hollow.close()
 
 
 async def _serve() -> None:
-    commands = Commands()
+    commands = CommandChannel()
     await commands.open()
-    host = Host(msgspec.json.decode(await commands.spec(), type=Spec))
+    host = SidecarHost(msgspec.json.decode(await commands.read_spec(), type=HostSpec))
     rss = psutil.Process().memory_info().rss
-    commands.say("ready", rss_mib=rss / MIB, cpu_s=time.process_time())  # with nobody in it yet
+    commands.send_event("ready", rss_mib=rss / MIB, cpu_s=time.process_time())  # with nobody in it yet
     starting = asyncio.get_running_loop().create_task(host.start())
     try:
-        while (order := await commands.next()) is not None:
+        while (order := await commands.read_command()) is not None:
             match order["do"]:
                 case "serving":
-                    while not starting.done() or host.serving() < len(host.hollows):
-                        await asyncio.sleep(LOOK_S)
+                    while not starting.done() or host.serving_count() < len(host.sidecars):
+                        await asyncio.sleep(POLL_S)
                     starting.result()
                 case "rest":
                     gc.unfreeze()
                     gc.collect()
                     gc.freeze()
                 case "still":
-                    for hollow in host.hollows:
-                        hollow.still()
+                    for hollow in host.sidecars:
+                        hollow.stop_heartbeat()
                 case "forget":
-                    for hollow in host.hollows:
-                        hollow.forget()
+                    for hollow in host.sidecars:
+                        hollow.clear_applied_lists()
                 case "report":
                     told = host.report(brief=order.get("brief", False))
-                    commands.say("report", report=told)
+                    commands.send_event("report", report=told)
                     continue
-            commands.say(order["do"], cpu_s=time.process_time())
+            commands.send_event(order["do"], cpu_s=time.process_time())
     finally:
         starting.cancel()
         host.close()
@@ -430,17 +441,17 @@
     Raises `ChildError`, and `LimitError` where the machine does not allow it.
     """
 
-    def __init__(self, spec: Spec, each: int) -> None:
-        if spec.port == PORTS[0]:  # runs side by side must not meet
-            spec = msgspec.structs.replace(spec, port=PORTS[0] + os.getpid() % PORTS[1])
+    def __init__(self, spec: HostSpec, each: int) -> None:
+        if spec.port == DATAGRAM_PORTS[0]:  # runs side by side must not meet
+            spec = msgspec.structs.replace(spec, port=DATAGRAM_PORTS[0] + os.getpid() % DATAGRAM_PORTS[1])
         self.spec = spec
         firsts = range(spec.first, spec.first + spec.count, each)
         parts = [min(each, spec.first + spec.count - first) for first in firsts]
-        self._machine = look()
+        self._machine = available_resources()
         per = 2 if "fleet" in spec.config else 1
         self._machine.check(len(parts), 0.0, per * each)
         self.hosts = [
-            Child(
+            ChildProcess(
                 f"host {index}",
                 "larkcrank.lab.scale.hollow",
                 msgspec.structs.replace(spec, first=first, count=count),
@@ -449,49 +460,53 @@
         ]
 
     @property
-    def live(self) -> list[Child]:
+    def running_hosts(self) -> list[ChildProcess]:
         """Those that are there."""
-        return [host for host in self.hosts if host.lives]
+        return [host for host in self.hosts if host.is_started]
 
     @property
     def pids(self) -> list[int]:
-        return [host.pid for host in self.live]
+        return [host.pid for host in self.running_hosts]
 
     async def start(self) -> None:
         """Start the processes, a few at a time; the sidecars of each begin over `spec.spread_s`."""
-        for index in range(0, len(self.hosts), AT_ONCE):
-            await asyncio.gather(*(host.start() for host in self.hosts[index : index + AT_ONCE]))
+        for index in range(0, len(self.hosts), MAX_CONCURRENT_STARTS):
+            await asyncio.gather(
+                *(host.start() for host in self.hosts[index : index + MAX_CONCURRENT_STARTS])
+            )
             self._check_memory()
 
     def _check_memory(self) -> None:
-        held = held_mib(self.pids)
+        held = resident_mib(self.pids)
         if held > self._machine.memory_mib:
             raise LimitError(f"{held:.0f} MiB are held, over half of the machine's memory")
 
-    async def serving(self) -> None:
+    async def wait_until_serving(self) -> None:
         """Until every sidecar has a list in force."""
-        await asyncio.gather(*(host.call("serving") for host in self.live))
+        await asyncio.gather(*(host.send_command("serving") for host in self.running_hosts))
         self._check_memory()
 
-    async def rest(self) -> None:
+    async def collect_garbage(self) -> None:
         """Collect what starting left, and freeze the rest."""
-        await asyncio.gather(*(host.call("rest") for host in self.live))
+        await asyncio.gather(*(host.send_command("rest") for host in self.running_hosts))
 
-    async def still(self) -> None:
+    async def stop_heartbeats(self) -> None:
         """No beats from now on, so that what changes cost stands alone."""
-        await asyncio.gather(*(host.call("still") for host in self.live))
+        await asyncio.gather(*(host.send_command("still") for host in self.running_hosts))
 
-    async def forget(self) -> None:
+    async def clear_applied_lists(self) -> None:
         """What was seen so far is not told any more."""
-        await asyncio.gather(*(host.call("forget") for host in self.live))
+        await asyncio.gather(*(host.send_command("forget") for host in self.running_hosts))
 
     async def collect(self, brief: bool = False) -> list[HostReport]:
         """A report of every process; `brief`: without its sidecars'."""
-        told = await asyncio.gather(*(host.call("report", brief=brief) for host in self.live))
+        told = await asyncio.gather(
+            *(host.send_command("report", brief=brief) for host in self.running_hosts)
+        )
         return [msgspec.convert(one["report"], HostReport) for one in told]
 
-    async def until(
-        self, true: Callable[[HollowReport], bool], wait_s: float = WAIT_S, look_s: float = 0.25
+    async def collect_until(
+        self, true: Callable[[HollowReport], bool], wait_s: float = RESPONSE_TIMEOUT_S, look_s: float = 0.25
     ) -> list[HostReport]:
         """Collect until this is so of every sidecar. Raises TimeoutError."""
         async with asyncio.timeout(wait_s):
@@ -503,14 +518,14 @@
 
     def cpu_s(self) -> float:
         """Processor time of all of them so far."""
-        return sum(host.cpu_s() for host in self.live)
+        return sum(host.cpu_s() for host in self.running_hosts)
 
-    def stop(self, index: int) -> None:
+    def suspend(self, index: int) -> None:
         """SIGSTOP."""
-        self.hosts[index].stop()
+        self.hosts[index].suspend()
 
-    def go_on(self, index: int) -> None:
-        self.hosts[index].go_on()
+    def resume(self, index: int) -> None:
+        self.hosts[index].resume()
 
     async def kill(self, index: int) -> None:
         """SIGKILL; its sidecars are not told of any more."""
--- a/larkcrank/lab/scale/machine.py
+++ b/larkcrank/lab/scale/machine.py
@@ -11,7 +11,7 @@
 import msgspec
 import psutil
 
-MOST_PROCESSES = 300
+MAX_PROCESSES = 300
 MEMORY_SHARE = 0.5  # of the machine's memory that a run may hold
 SPARE_DESCRIPTORS = 128  # of a process: the loop's own, pipes, libraries
 BUSY_SHARE = 0.25  # of the machine's processor time that others take: then wall times are not to be trusted
@@ -22,7 +22,7 @@
     """A run does not fit the machine; the message holds what it wants and what there is."""
 
 
-class Machine(msgspec.Struct, frozen=True):
+class MachineLimits(msgspec.Struct, frozen=True):
     """What a run may take."""
 
     processors: int  # that this process may use
@@ -31,8 +31,8 @@
 
     def check(self, processes: int, memory_mib: float, descriptors: int) -> None:
         """Raises `LimitError` where a run is too large; the descriptors are those of one process."""
-        if processes > MOST_PROCESSES:
-            raise LimitError(f"{processes} processes are over {MOST_PROCESSES}")
+        if processes > MAX_PROCESSES:
+            raise LimitError(f"{processes} processes are over {MAX_PROCESSES}")
         if memory_mib > self.memory_mib:
             raise LimitError(
                 f"{memory_mib:.0f} MiB are over half of the machine's, {self.memory_mib:.0f} MiB"
@@ -41,14 +41,14 @@
             raise LimitError(f"{descriptors} descriptors in a process are over its {self.descriptors}")
 
 
-def look() -> Machine:
+def available_resources() -> MachineLimits:
     """This machine, as this process is let use it."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     memory = psutil.virtual_memory().total * MEMORY_SHARE / MIB
-    return Machine(len(os.sched_getaffinity(0)), memory, soft - SPARE_DESCRIPTORS)
+    return MachineLimits(len(os.sched_getaffinity(0)), memory, soft - SPARE_DESCRIPTORS)
 
 
-def held_mib(pids: Iterable[int]) -> float:
+def resident_mib(pids: Iterable[int]) -> float:
     """Resident memory of these processes together; one that is gone holds none."""
     total = 0
     for pid in pids:
@@ -67,13 +67,13 @@
         return 0.0
 
 
-class Load:
+class LoadMeter:
     """How busy the machine was besides the run: from its making until `seen`."""
 
     def __init__(self) -> None:
         self._began = _times()
 
-    def seen(self, own_s: float) -> dict[str, Any]:
+    def summary(self, own_s: float) -> dict[str, Any]:
         """`own_s`: processor time that the run itself took, all its processes."""
         busy, all_s = (now - then for now, then in zip(_times(), self._began, strict=True))
         others = max(busy - own_s, 0.0) / max(all_s, 1e-9)
@@ -91,7 +91,7 @@
     return total - idle, total
 
 
-def text_commit() -> str:
+def source_commit() -> str:
     """The commit of the text that runs, with `+` where files differ from it; empty outside a clone."""
     here = Path(__file__).parent
     try:
--- a/larkcrank/lab/scale/plan.py
+++ b/larkcrank/lab/scale/plan.py
@@ -14,15 +14,15 @@
 import msgspec
 
 from larkcrank.lab.scale import slopes
-from larkcrank.lab.scale.path import STAGE_WORDS
+from larkcrank.lab.scale.path import STAGE_DESCRIPTIONS
 from larkcrank.lab.scale.slopes import Slope
 from larkcrank.lab.scale.view import RATE_MEMBERS
 
-NUMBERS = Path("examples/scale/operators.toml")
-DAY_S = 86_400.0
-WATCH_S = 60.0  # a watch without news is answered and asked anew after so long
+NUMBERS_FILE = Path("examples/scale/operators.toml")
+SECONDS_PER_DAY = 86_400.0
+WATCH_TIMEOUT_S = 60.0  # a watch without news is answered and asked anew after so long
 PER_SERVICE = "endpoints a service"
-KINDS = ("state", "messages", "processor", "memory", "time")
+RESOURCES = ("state", "messages", "processor", "memory", "time")
 
 
 class PlanError(Exception):
@@ -66,7 +66,7 @@
     bytes_per_s: float
 
 
-class Numbers(_Strict, frozen=True):
+class OperatorNumbers(_Strict, frozen=True):
     """The operators' numbers, as examples/scale/operators.toml explains them."""
 
     fleet: Fleet
@@ -75,10 +75,10 @@
     budgets: Budgets
 
 
-def load(path: Path) -> Numbers:
+def load_numbers(path: Path) -> OperatorNumbers:
     """Read the operators' numbers. Raises `PlanError`."""
     try:
-        found = msgspec.toml.decode(path.read_bytes(), type=Numbers)
+        found = msgspec.toml.decode(path.read_bytes(), type=OperatorNumbers)
     except OSError as error:
         raise PlanError(f"{path}: {error.strerror}") from None
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -93,7 +93,7 @@
 # Figures
 
 
-def shown(value: float) -> str:
+def format_number(value: float) -> str:
     """Four digits that count, thousands apart."""
     if value == 0.0 or not math.isfinite(value):
         return f"{value:g}"
@@ -111,11 +111,11 @@
     high: float = 0.0
     formula: str = ""
     series: tuple[str, ...] = ()
-    is_beyond: bool = False  # beyond the sizes that were measured
-    is_read_off: bool = False  # of a cost that is no line
+    is_extrapolated: bool = False  # beyond the sizes that were measured
+    is_interpolated: bool = False  # of a cost that is no line
 
     def times(self, factor: float, text: str = "") -> "Figure":
-        text = text or shown(factor)
+        text = text or format_number(factor)
         ends = sorted((self.low * factor, self.high * factor))
         formula = f"({self.formula})" if " + " in self.formula or " - " in self.formula else self.formula
         found = replace(self, low=ends[0], high=ends[1], formula=f"{formula} x {text}")
@@ -131,53 +131,53 @@
             self.high + other.high,
             f"{self.formula} + {other.formula}",
             self.series + tuple(one for one in other.series if one not in self.series),
-            self.is_beyond or other.is_beyond,
-            self.is_read_off or other.is_read_off,
+            self.is_extrapolated or other.is_extrapolated,
+            self.is_interpolated or other.is_interpolated,
         )
 
 
-def told(value: float, formula: str) -> Figure:
+def exact_figure(value: float, formula: str) -> Figure:
     """From the operators' numbers alone."""
     return Figure(value, value, value, formula)
 
 
 @dataclass(slots=True)
-class Series:
+class MeasuredSlopes:
     """What was measured, by name."""
 
     slopes: Mapping[str, Slope]
     used: dict[str, Slope] = field(default_factory=dict)
     missing: set[str] = field(default_factory=set)
 
-    def at(self, name: str, size: float) -> Figure:
+    def cost_at(self, name: str, size: float) -> Figure:
         """The cost at a size, and the 95% interval of its mean."""
         found = self.slopes.get(name)
         if found is None:
             self.missing.add(name)
-            return Figure(None, formula=f"[{name}] at {shown(size)}")
+            return Figure(None, formula=f"[{name}] at {format_number(size)}")
         self.used[name] = found
         logarithm = found.by.startswith("log10")
         x = math.log10(size) if logarithm else size
         largest = max(point for point, _ in found.points)
-        by = f"log10 {shown(size)}" if logarithm else shown(x)
+        by = f"log10 {format_number(size)}" if logarithm else format_number(x)
         if not found.linear:
             return self._read_off(found, name, x, by)
         mean = found.intercept + found.slope * x
-        half = half_width(found, x)
+        half = interval_half_width(found, x)
         sign = "-" if found.slope < 0.0 else "+"
-        formula = f"{shown(found.intercept)} {sign} {shown(abs(found.slope))} x {by}"
-        return Figure(mean, mean - half, mean + half, formula, (name,), is_beyond=x > largest)
+        formula = f"{format_number(found.intercept)} {sign} {format_number(abs(found.slope))} x {by}"
+        return Figure(mean, mean - half, mean + half, formula, (name,), is_extrapolated=x > largest)
 
-    def growth(self, name: str, size: float) -> Figure:
+    def growth_over(self, name: str, size: float) -> Figure:
         """What a size adds to nothing: the slope alone."""
         found = self.slopes.get(name)
         if found is None:
             self.missing.add(name)
-            return Figure(None, formula=f"[{name}] for {shown(size)}")
+            return Figure(None, formula=f"[{name}] for {format_number(size)}")
         largest = max(point for point, _ in found.points)
         self.used[name] = found
         if not found.linear:
-            at, least = self._read_off(found, name, size, shown(size)), _mean(min(found.points)[1])
+            at, least = self._read_off(found, name, size, format_number(size)), _mean(min(found.points)[1])
             if at.value is None:
                 return at
             return replace(
@@ -185,11 +185,11 @@
                 value=at.value - least,
                 low=at.low - least,
                 high=at.high - least,
-                formula=f"{at.formula} - {shown(least)}",
+                formula=f"{at.formula} - {format_number(least)}",
             )
         low, high = sorted((found.low * size, found.high * size))
-        formula = f"{shown(found.slope)} x {shown(size)}"
-        return Figure(found.slope * size, low, high, formula, (name,), is_beyond=size > largest)
+        formula = f"{format_number(found.slope)} x {format_number(size)}"
+        return Figure(found.slope * size, low, high, formula, (name,), is_extrapolated=size > largest)
 
     def _read_off(self, slope: Slope, name: str, x: float, by: str) -> Figure:
         points = sorted(slope.points)
@@ -202,18 +202,20 @@
         part = 0.0 if right == left else (x - left) / (right - left)
         mean, more = _mean(lower), _mean(upper)
         if x == right:
-            return Figure(more, min(upper), max(upper), shown(more), (name,), is_read_off=True)
+            return Figure(more, min(upper), max(upper), format_number(more), (name,), is_interpolated=True)
         value = mean + (more - mean) * part
         every = lower + upper
-        formula = f"{shown(mean)} + ({shown(more)} - {shown(mean)}) x {shown(part)}"
-        return Figure(value, min(every), max(every), formula, (name,), is_read_off=True)
+        formula = (
+            f"{format_number(mean)} + ({format_number(more)} - {format_number(mean)}) x {format_number(part)}"
+        )
+        return Figure(value, min(every), max(every), formula, (name,), is_interpolated=True)
 
-    def best(self, name: str) -> str:
+    def preferred_name(self, name: str) -> str:
         """Real processes' series where there is one, else that of hollow sidecars."""
         return f"{name}-real" if f"{name}-real" in self.slopes else name
 
 
-def half_width(slope: Slope, x: float) -> float:
+def interval_half_width(slope: Slope, x: float) -> float:
     """Half of the 95% interval of a line's mean at x: t s sqrt(1/n + (x - mean)^2 / Sxx)."""
     xs = [size for size, costs in slope.points for _ in costs]
     mean = sum(xs) / len(xs)
@@ -234,11 +236,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Row:
-    day: str
+    scenario: str
     role: str
-    way: str  # how changes come: one discovery, or tiers; empty: it makes no difference
-    kind: str  # one of KINDS
-    what: str
+    distribution: str  # how changes come: one discovery, or tiers; empty: it makes no difference
+    resource: str  # one of KINDS
+    description: str
     figure: Figure
     unit: str
     budget: float | None = None
@@ -253,44 +255,48 @@
         if figure.high <= budget:
             return "holds"
         if figure.low > budget:
-            return f"**short by {shown(figure.value - budget)} {self.unit}**"
+            return f"**short by {format_number(figure.value - budget)} {self.unit}**"
         return "not known: the interval holds the budget"
 
 
-ORIGINS = 2  # one that is asked, and one that stands by
-ONE, TIERS = "one discovery", "tiers"
-ORDINARY, RACK, ZONE = "ordinary", "rack or switch lost", "zone lost"
-REGION, POWER = "region apart", "all at once after a power loss"
-MACHINE = "a zone tier's machine lost"
-PATH, CONTROL, BETWEEN = "sidecar, data path", "sidecar, control", "discovery or what stands between"
-VIEW, TOOLS = "members of the view", "operators' tools"
+ORIGIN_MACHINES = 2  # one that is asked, and one that stands by
+ONE_DISCOVERY, TIERS = "one discovery", "tiers"
+ORDINARY_DAY, RACK_LOST, ZONE_LOST = "ordinary", "rack or switch lost", "zone lost"
+REGION_APART, POWER_LOSS = "region apart", "all at once after a power loss"
+TIER_MACHINE_LOST = "a zone tier's machine lost"
+DATA_PATH, SIDECAR_CONTROL, DISCOVERY_SIDE = (
+    "sidecar, data path",
+    "sidecar, control",
+    "discovery or what stands between",
+)
+VIEW_MEMBERS, OPERATOR_TOOLS = "members of the view", "operators' tools"
 
 
-class Plan:
+class CapacityPlan:
     """The rows, day by day and role by role."""
 
-    def __init__(self, numbers: Numbers, found: Mapping[str, Slope]) -> None:
+    def __init__(self, numbers: OperatorNumbers, found: Mapping[str, Slope]) -> None:
         self.numbers = numbers
-        self.series = Series(found)
+        self.measured = MeasuredSlopes(found)
         fleet, day = numbers.fleet, numbers.day
         self._all = float(fleet.endpoints)
         self._each = fleet.endpoints / fleet.services
         self._part = round(fleet.called * self._each)
-        self._rate = day.changes / DAY_S
-        self._listed = {ONE: self._all, TIERS: float(self._part)}
+        self._rate = day.changes / SECONDS_PER_DAY
+        self._listed = {ONE_DISCOVERY: self._all, TIERS: float(self._part)}
         self._zone = fleet.endpoints / fleet.zones
-        self._restarts = (day.restarted + day.failed) / DAY_S
+        self._restarts = (day.restarted + day.failed) / SECONDS_PER_DAY
         self.rows = list(self._rows())
 
     def _rows(self) -> Iterator[Row]:
         yield from self._ordinary_path()
-        for way in (ONE, TIERS):
+        for way in (ONE_DISCOVERY, TIERS):
             yield from self._ordinary_control(way)
         yield from self._ordinary_between()
         yield from self._ordinary_view()
         yield from self._tools()
-        yield from self._lost(RACK, self.numbers.lost.rack, "rack")
-        yield from self._lost(ZONE, self.numbers.lost.zone, "zone")
+        yield from self._lost(RACK_LOST, self.numbers.lost.rack, "rack")
+        yield from self._lost(ZONE_LOST, self.numbers.lost.zone, "zone")
         yield from self._region()
         yield from self._power()
         yield from self._machine()
@@ -300,33 +306,37 @@
     def _ordinary_path(self) -> Iterator[Row]:
         fleet, budget = self.numbers.fleet, self.numbers.budgets.added_ms
         calls = fleet.calls_per_s / fleet.endpoints
-        at = self.series.at
-        formula = f"{shown(fleet.calls_per_s)} / {shown(self._all)}"
-        yield Row(ORDINARY, PATH, "", "messages", "calls", told(calls, formula), "a second")
+        at = self.measured.cost_at
+        formula = f"{format_number(fleet.calls_per_s)} / {format_number(self._all)}"
+        yield Row(ORDINARY_DAY, DATA_PATH, "", "messages", "calls", exact_figure(calls, formula), "a second")
         processor = at("path-processor", calls)
-        yield Row(ORDINARY, PATH, "", "processor", "at this rate", processor, "% of a core")
-        yield Row(ORDINARY, PATH, "", "time", "added, median", at("path-added-median", calls), "ms")
+        yield Row(ORDINARY_DAY, DATA_PATH, "", "processor", "at this rate", processor, "% of a core")
+        yield Row(ORDINARY_DAY, DATA_PATH, "", "time", "added, median", at("path-added-median", calls), "ms")
         for name, words in (("", "as measured"), ("alone-", "with a processor to itself")):
             tail = at("path-added-p99" if not name else "path-alone-p99", calls)
-            yield Row(ORDINARY, PATH, "", "time", f"added, 99 in 100, {words}", tail, "ms", budget)
+            yield Row(ORDINARY_DAY, DATA_PATH, "", "time", f"added, 99 in 100, {words}", tail, "ms", budget)
             deep = at(f"path-{name}row-p99", fleet.depth)
             what = f"{fleet.depth} in a row, 99 in 100, {words}"
-            yield Row(ORDINARY, PATH, "", "time", what, deep, "ms", budget)
+            yield Row(ORDINARY_DAY, DATA_PATH, "", "time", what, deep, "ms", budget)
 
     def _ordinary_control(self, way: str) -> Iterator[Row]:
-        budgets, listed, series = self.numbers.budgets, self._listed[way], self.series
+        budgets, listed, series = self.numbers.budgets, self._listed[way], self.measured
         rate, text = self._heard(way)
-        yield Row(ORDINARY, CONTROL, way, "state", "endpoints listed", self._lines(way), "lines")
-        lists = series.at(series.best("sidecar-change-bytes-by-endpoints"), listed).times(rate, text)
-        yield Row(ORDINARY, CONTROL, way, "messages", "lists", lists, "B/s", budgets.bytes_per_s)
+        yield Row(ORDINARY_DAY, SIDECAR_CONTROL, way, "state", "endpoints listed", self._lines(way), "lines")
+        lists = series.cost_at(series.preferred_name("sidecar-change-bytes-by-endpoints"), listed).times(
+            rate, text
+        )
+        yield Row(ORDINARY_DAY, SIDECAR_CONTROL, way, "messages", "lists", lists, "B/s", budgets.bytes_per_s)
         both = lists.plus(self._view_bytes())
-        yield Row(ORDINARY, CONTROL, way, "messages", "lists and view", both, "B/s", budgets.bytes_per_s)
-        idle = series.at(series.best("sidecar-idle-by-endpoints"), listed)
-        change = series.at(series.best("sidecar-change-cpu-by-endpoints"), listed)
+        yield Row(
+            ORDINARY_DAY, SIDECAR_CONTROL, way, "messages", "lists and view", both, "B/s", budgets.bytes_per_s
+        )
+        idle = series.cost_at(series.preferred_name("sidecar-idle-by-endpoints"), listed)
+        change = series.cost_at(series.preferred_name("sidecar-change-cpu-by-endpoints"), listed)
         spent = idle.plus(change.times(rate / 10.0, f"{text} / 10"))
         yield Row(
-            ORDINARY,
-            CONTROL,
+            ORDINARY_DAY,
+            SIDECAR_CONTROL,
             way,
             "processor",
             "idle, and changes",
@@ -336,12 +346,12 @@
         )
         burst = idle.plus(
             change.times(
-                rate * self.numbers.day.burst / 10.0, f"{text} x {shown(self.numbers.day.burst)} / 10"
+                rate * self.numbers.day.burst / 10.0, f"{text} x {format_number(self.numbers.day.burst)} / 10"
             )
         )
         yield Row(
-            ORDINARY,
-            CONTROL,
+            ORDINARY_DAY,
+            SIDECAR_CONTROL,
             way,
             "processor",
             "the same in a burst",
@@ -349,70 +359,123 @@
             "% of a core",
             budgets.core_percent,
         )
-        viewed = spent.plus(series.at("view-processor", self._all))
+        viewed = spent.plus(series.cost_at("view-processor", self._all))
         yield Row(
-            ORDINARY, CONTROL, way, "processor", "and the view", viewed, "% of a core", budgets.core_percent
+            ORDINARY_DAY,
+            SIDECAR_CONTROL,
+            way,
+            "processor",
+            "and the view",
+            viewed,
+            "% of a core",
+            budgets.core_percent,
         )
-        memory = series.growth(series.best("sidecar-memory-by-endpoints"), listed)
+        memory = series.growth_over(series.preferred_name("sidecar-memory-by-endpoints"), listed)
         most = budgets.memory_mb * 1e6 / (1 << 20)
-        yield Row(ORDINARY, CONTROL, way, "memory", "what the list adds", memory, "MiB", most)
-        viewed = memory.plus(series.at("view-memory", self._all))
-        yield Row(ORDINARY, CONTROL, way, "memory", "and the view", viewed, "MiB", most)
-        whole = series.at(series.best("sidecar-memory-by-endpoints"), listed)
-        yield Row(ORDINARY, CONTROL, way, "memory", "the whole process, its data path too", whole, "MiB")
+        yield Row(ORDINARY_DAY, SIDECAR_CONTROL, way, "memory", "what the list adds", memory, "MiB", most)
+        viewed = memory.plus(series.cost_at("view-memory", self._all))
+        yield Row(ORDINARY_DAY, SIDECAR_CONTROL, way, "memory", "and the view", viewed, "MiB", most)
+        whole = series.cost_at(series.preferred_name("sidecar-memory-by-endpoints"), listed)
+        yield Row(
+            ORDINARY_DAY, SIDECAR_CONTROL, way, "memory", "the whole process, its data path too", whole, "MiB"
+        )
 
     def _heard(self, way: str) -> tuple[float, str]:
         """Changes a second that a sidecar is told, and the arithmetic."""
-        text = f"{shown(self.numbers.day.changes)} / {shown(DAY_S)}"
-        if way == ONE:
+        text = f"{format_number(self.numbers.day.changes)} / {format_number(SECONDS_PER_DAY)}"
+        if way == ONE_DISCOVERY:
             return self._rate, text
-        return self._rate * self._part / self._all, f"{text} x {self._part} / {shown(self._all)}"
+        return self._rate * self._part / self._all, f"{text} x {self._part} / {format_number(self._all)}"
 
     def _lines(self, way: str) -> Figure:
-        if way == ONE:
-            return told(self._all, shown(self._all))
-        return told(
-            self._part, f"{self.numbers.fleet.called} x {shown(self._all)} / {self.numbers.fleet.services}"
+        if way == ONE_DISCOVERY:
+            return exact_figure(self._all, format_number(self._all))
+        return exact_figure(
+            self._part,
+            f"{self.numbers.fleet.called} x {format_number(self._all)} / {self.numbers.fleet.services}",
         )
 
     def _view_bytes(self) -> Figure:
         """A member tells a piece of news as often as the logarithm of the members says (membership.py)."""
         day = self.numbers.day
-        text = f"({shown(day.restarted)} + {day.failed}) / {shown(DAY_S)}"
-        more = self.series.growth("view-restart-bytes", self._restarts)
+        text = f"({format_number(day.restarted)} + {day.failed}) / {format_number(SECONDS_PER_DAY)}"
+        more = self.measured.growth_over("view-restart-bytes", self._restarts)
         if more.value is not None:
-            more = replace(more, formula=f"{shown(self.series.slopes['view-restart-bytes'].slope)} x {text}")
+            more = replace(
+                more, formula=f"{format_number(self.measured.slopes['view-restart-bytes'].slope)} x {text}"
+            )
         tellings = math.log2(self._all) / math.log2(RATE_MEMBERS)
-        more = more.times(tellings, f"log2 {shown(self._all)} / log2 {RATE_MEMBERS}")
-        return self.series.at("view-calm-bytes", self._all).plus(more)
+        more = more.times(tellings, f"log2 {format_number(self._all)} / log2 {RATE_MEMBERS}")
+        return self.measured.cost_at("view-calm-bytes", self._all).plus(more)
 
     def _ordinary_between(self) -> Iterator[Row]:
-        budgets, series = self.numbers.budgets, self.series
-        text = f"{shown(self.numbers.day.changes)} / {shown(DAY_S)}"
+        budgets, series = self.numbers.budgets, self.measured
+        text = f"{format_number(self.numbers.day.changes)} / {format_number(SECONDS_PER_DAY)}"
         watchers = self._all
-        calls = watchers * (self._rate + 1.0 / WATCH_S)
-        formula = f"{shown(watchers)} x ({text} + 1 / {shown(WATCH_S)})"
-        yield Row(ORDINARY, BETWEEN, ONE, "state", "open watches", told(watchers, shown(watchers)), "watches")
-        yield Row(ORDINARY, BETWEEN, ONE, "messages", "calls", told(calls, formula), "a second")
-        sent = series.at("discovery-bytes-by-watchers", watchers).times(
+        calls = watchers * (self._rate + 1.0 / WATCH_TIMEOUT_S)
+        formula = f"{format_number(watchers)} x ({text} + 1 / {format_number(WATCH_TIMEOUT_S)})"
+        yield Row(
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "state",
+            "open watches",
+            exact_figure(watchers, format_number(watchers)),
+            "watches",
+        )
+        yield Row(
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "messages",
+            "calls",
+            exact_figure(calls, formula),
+            "a second",
+        )
+        sent = series.cost_at("discovery-bytes-by-watchers", watchers).times(
             self._rate / 1e6, f"{text} / 1,000,000"
         )
-        yield Row(ORDINARY, BETWEEN, ONE, "messages", "sent", sent, "MB/s")
-        spent = series.at("discovery-cpu-by-watchers", watchers).times(self._rate / 10.0, f"{text} / 10")
-        yield Row(ORDINARY, BETWEEN, ONE, "processor", "one process, one core", spent, "% of a core", 100.0)
+        yield Row(ORDINARY_DAY, DISCOVERY_SIDE, ONE_DISCOVERY, "messages", "sent", sent, "MB/s")
+        spent = series.cost_at("discovery-cpu-by-watchers", watchers).times(self._rate / 10.0, f"{text} / 10")
+        yield Row(
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "processor",
+            "one process, one core",
+            spent,
+            "% of a core",
+            100.0,
+        )
         burst = spent.times(self.numbers.day.burst)
-        yield Row(ORDINARY, BETWEEN, ONE, "processor", "the same in a burst", burst, "% of a core", 100.0)
-        memory = series.at("discovery-memory-by-watchers", watchers)
-        yield Row(ORDINARY, BETWEEN, ONE, "memory", "one process", memory, "MiB")
-        written = series.at("discovery-write-by-watchers", watchers).times(1e-3, "1 / 1,000")
         yield Row(
-            ORDINARY, BETWEEN, ONE, "time", "a lone change, written to all", written, "s", budgets.in_force_s
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "processor",
+            "the same in a burst",
+            burst,
+            "% of a core",
+            100.0,
         )
-        last = series.at("path-last-by-watchers", watchers).times(1e-3, "1 / 1,000")
+        memory = series.cost_at("discovery-memory-by-watchers", watchers)
+        yield Row(ORDINARY_DAY, DISCOVERY_SIDE, ONE_DISCOVERY, "memory", "one process", memory, "MiB")
+        written = series.cost_at("discovery-write-by-watchers", watchers).times(1e-3, "1 / 1,000")
         yield Row(
-            ORDINARY,
-            BETWEEN,
-            ONE,
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "time",
+            "a lone change, written to all",
+            written,
+            "s",
+            budgets.in_force_s,
+        )
+        last = series.cost_at("path-last-by-watchers", watchers).times(1e-3, "1 / 1,000")
+        yield Row(
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
             "time",
             "a lone change in force, the last of all, on one machine",
             last,
@@ -420,20 +483,35 @@
             budgets.in_force_s,
         )
         for tier, count, over in self._tiers():
-            formula = f"{shown(count)} / {shown(over)}"
+            formula = f"{format_number(count)} / {format_number(over)}"
             receivers = count / over
             yield Row(
-                ORDINARY, BETWEEN, TIERS, "state", f"{tier}: receivers", told(receivers, formula), "watches"
+                ORDINARY_DAY,
+                DISCOVERY_SIDE,
+                TIERS,
+                "state",
+                f"{tier}: receivers",
+                exact_figure(receivers, formula),
+                "watches",
             )
-            spent = series.at("tier-cpu-by-watchers", receivers).times(self._rate / 10.0, f"{text} / 10")
-            yield Row(ORDINARY, BETWEEN, TIERS, "processor", f"{tier}", spent, "% of a core", 100.0)
-            sent = series.at("tier-bytes-by-watchers", receivers).times(self._rate, text)
-            yield Row(ORDINARY, BETWEEN, TIERS, "messages", f"{tier}: sent", sent, "B/s")
-            memory = series.at("tier-memory-by-watchers", receivers)
-            yield Row(ORDINARY, BETWEEN, TIERS, "memory", f"{tier}", memory, "MiB")
-        last = series.at("tier-last-by-sidecars", self._all).times(1e-3, "1 / 1,000")
+            spent = series.cost_at("tier-cpu-by-watchers", receivers).times(self._rate / 10.0, f"{text} / 10")
+            yield Row(
+                ORDINARY_DAY, DISCOVERY_SIDE, TIERS, "processor", f"{tier}", spent, "% of a core", 100.0
+            )
+            sent = series.cost_at("tier-bytes-by-watchers", receivers).times(self._rate, text)
+            yield Row(ORDINARY_DAY, DISCOVERY_SIDE, TIERS, "messages", f"{tier}: sent", sent, "B/s")
+            memory = series.cost_at("tier-memory-by-watchers", receivers)
+            yield Row(ORDINARY_DAY, DISCOVERY_SIDE, TIERS, "memory", f"{tier}", memory, "MiB")
+        last = series.cost_at("tier-last-by-sidecars", self._all).times(1e-3, "1 / 1,000")
         yield Row(
-            ORDINARY, BETWEEN, TIERS, "time", "a lone change, the last of all", last, "s", budgets.in_force_s
+            ORDINARY_DAY,
+            DISCOVERY_SIDE,
+            TIERS,
+            "time",
+            "a lone change, the last of all",
+            last,
+            "s",
+            budgets.in_force_s,
         )
 
     def _tiers(self) -> Iterable[tuple[str, float, float]]:
@@ -445,14 +523,28 @@
         )
 
     def _ordinary_view(self) -> Iterator[Row]:
-        at, everyone, budgets = self.series.at, self._all, self.numbers.budgets
-        yield Row(ORDINARY, VIEW, "", "state", "members known", told(everyone, shown(everyone)), "records")
+        at, everyone, budgets = self.measured.cost_at, self._all, self.numbers.budgets
         yield Row(
-            ORDINARY, VIEW, "", "messages", "datagrams sent", at("view-calm-datagrams", everyone), "a second"
+            ORDINARY_DAY,
+            VIEW_MEMBERS,
+            "",
+            "state",
+            "members known",
+            exact_figure(everyone, format_number(everyone)),
+            "records",
         )
         yield Row(
-            ORDINARY,
-            VIEW,
+            ORDINARY_DAY,
+            VIEW_MEMBERS,
+            "",
+            "messages",
+            "datagrams sent",
+            at("view-calm-datagrams", everyone),
+            "a second",
+        )
+        yield Row(
+            ORDINARY_DAY,
+            VIEW_MEMBERS,
             "",
             "messages",
             "sent, with restarts told",
@@ -461,8 +553,8 @@
             budgets.bytes_per_s,
         )
         yield Row(
-            ORDINARY,
-            VIEW,
+            ORDINARY_DAY,
+            VIEW_MEMBERS,
             "",
             "processor",
             "besides socket and loop",
@@ -471,52 +563,75 @@
             budgets.core_percent,
         )
         most = budgets.memory_mb * 1e6 / (1 << 20)
-        yield Row(ORDINARY, VIEW, "", "memory", "view and places", at("view-memory", everyone), "MiB", most)
         yield Row(
-            ORDINARY, VIEW, "", "time", "one lost: all views true", at("view-one-settling", everyone), "s"
+            ORDINARY_DAY,
+            VIEW_MEMBERS,
+            "",
+            "memory",
+            "view and places",
+            at("view-memory", everyone),
+            "MiB",
+            most,
+        )
+        yield Row(
+            ORDINARY_DAY,
+            VIEW_MEMBERS,
+            "",
+            "time",
+            "one lost: all views true",
+            at("view-one-settling", everyone),
+            "s",
         )
 
     def _tools(self) -> Iterator[Row]:
-        series, everyone = self.series, self._all
+        series, everyone = self.measured, self._all
         yield Row(
-            ORDINARY,
-            TOOLS,
+            ORDINARY_DAY,
+            OPERATOR_TOOLS,
             "",
             "messages",
             "an answer to VIEW",
-            series.at("view-asked-size", everyone),
+            series.cost_at("view-asked-size", everyone),
             "KiB",
         )
-        spent = series.at("view-asked-processor", everyone)
-        yield Row(ORDINARY, TOOLS, "", "processor", "a sidecar's, for one VIEW", spent, "ms")
+        spent = series.cost_at("view-asked-processor", everyone)
+        yield Row(ORDINARY_DAY, OPERATOR_TOOLS, "", "processor", "a sidecar's, for one VIEW", spent, "ms")
         restarts = self.numbers.day.restarted + self.numbers.day.failed
-        lines = series.growth("view-restart-lines", float(restarts))
-        yield Row(ORDINARY, TOOLS, "", "state", "log lines of members, a sidecar", lines, "a day")
+        lines = series.growth_over("view-restart-lines", float(restarts))
         yield Row(
-            ORDINARY,
-            TOOLS,
+            ORDINARY_DAY, OPERATOR_TOOLS, "", "state", "log lines of members, a sidecar", lines, "a day"
+        )
+        yield Row(
+            ORDINARY_DAY,
+            OPERATOR_TOOLS,
             "",
             "state",
             "the same, all sidecars",
-            lines.times(everyone / 1e6, f"{shown(everyone)} / 1,000,000"),
+            lines.times(everyone / 1e6, f"{format_number(everyone)} / 1,000,000"),
             "million a day",
         )
 
     # Losses
 
     def _lost(self, day: str, lost: int, name: str) -> Iterator[Row]:
-        series, budgets, everyone = self.series, self.numbers.budgets, self._all
-        for way in (ONE, TIERS):
-            told_of = lost if way == ONE else lost * self._part / everyone
-            text = f"{lost}" if way == ONE else f"{lost} x {self._part} / {shown(everyone)}"
-            change = series.at(series.best("sidecar-change-cpu-by-endpoints"), self._listed[way])
+        series, budgets, everyone = self.measured, self.numbers.budgets, self._all
+        for way in (ONE_DISCOVERY, TIERS):
+            told_of = lost if way == ONE_DISCOVERY else lost * self._part / everyone
+            text = f"{lost}" if way == ONE_DISCOVERY else f"{lost} x {self._part} / {format_number(everyone)}"
+            change = series.cost_at(
+                series.preferred_name("sidecar-change-cpu-by-endpoints"), self._listed[way]
+            )
             spent = change.times(told_of / 1e3, f"{text} / 1,000")
-            yield Row(day, CONTROL, way, "processor", "told line by line", spent, "s", budgets.in_force_s)
+            yield Row(
+                day, SIDECAR_CONTROL, way, "processor", "told line by line", spent, "s", budgets.in_force_s
+            )
             if name == "zone":
-                at_once = series.at(series.best("sidecar-burst-cpu-by-endpoints"), self._listed[way])
+                at_once = series.cost_at(
+                    series.preferred_name("sidecar-burst-cpu-by-endpoints"), self._listed[way]
+                )
                 yield Row(
                     day,
-                    CONTROL,
+                    SIDECAR_CONTROL,
                     way,
                     "processor",
                     "364 told at once",
@@ -524,81 +639,152 @@
                     "s",
                     budgets.in_force_s,
                 )
-        spent = series.at("discovery-cpu-by-watchers", everyone).times(lost / 1e3, f"{lost} / 1,000")
-        yield Row(day, BETWEEN, ONE, "processor", "told line by line", spent, "s", budgets.in_force_s)
-        sent = series.at("discovery-bytes-by-watchers", everyone).times(lost / 1e6, f"{lost} / 1,000,000")
-        yield Row(day, BETWEEN, ONE, "messages", "sent, told line by line", sent, "MB")
-        spent = series.at("tier-cpu-by-watchers", self._zone).times(lost / 1e3, f"{lost} / 1,000")
+        spent = series.cost_at("discovery-cpu-by-watchers", everyone).times(lost / 1e3, f"{lost} / 1,000")
         yield Row(
-            day, BETWEEN, TIERS, "processor", "zone tier, told line by line", spent, "s", budgets.in_force_s
+            day,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "processor",
+            "told line by line",
+            spent,
+            "s",
+            budgets.in_force_s,
+        )
+        sent = series.cost_at("discovery-bytes-by-watchers", everyone).times(
+            lost / 1e6, f"{lost} / 1,000,000"
+        )
+        yield Row(day, DISCOVERY_SIDE, ONE_DISCOVERY, "messages", "sent, told line by line", sent, "MB")
+        spent = series.cost_at("tier-cpu-by-watchers", self._zone).times(lost / 1e3, f"{lost} / 1,000")
+        yield Row(
+            day,
+            DISCOVERY_SIDE,
+            TIERS,
+            "processor",
+            "zone tier, told line by line",
+            spent,
+            "s",
+            budgets.in_force_s,
+        )
+        yield Row(
+            day,
+            VIEW_MEMBERS,
+            "",
+            "time",
+            "all views true",
+            series.cost_at(f"view-{name}-settling", everyone),
+            "s",
         )
-        yield Row(day, VIEW, "", "time", "all views true", series.at(f"view-{name}-settling", everyone), "s")
-        sent = series.at(f"view-{name}-bytes", everyone)
-        yield Row(day, VIEW, "", "messages", "sent until then", sent, "B/s", budgets.bytes_per_s)
+        sent = series.cost_at(f"view-{name}-bytes", everyone)
+        yield Row(day, VIEW_MEMBERS, "", "messages", "sent until then", sent, "B/s", budgets.bytes_per_s)
         yield Row(
             day,
-            VIEW,
+            VIEW_MEMBERS,
             "",
             "processor",
             "added in the minute after",
-            series.at("view-lost-processor", lost),
+            series.cost_at("view-lost-processor", lost),
             "ms",
         )
 
     def _region(self) -> Iterator[Row]:
-        lost, fleet, series = self.numbers.lost, self.numbers.fleet, self.series
+        lost, fleet, series = self.numbers.lost, self.numbers.fleet, self.measured
         changes = self._rate * lost.apart_s
         missed = changes * (fleet.regions - 1) / fleet.regions
-        text = f"{shown(self.numbers.day.changes)} x {shown(lost.apart_s)} / {shown(DAY_S)}"
+        text = (
+            f"{format_number(self.numbers.day.changes)} x {format_number(lost.apart_s)}"
+            f" / {format_number(SECONDS_PER_DAY)}"
+        )
         outside = f"{text} x {fleet.regions - 1} / {fleet.regions}"
         yield Row(
-            REGION,
-            BETWEEN,
+            REGION_APART,
+            DISCOVERY_SIDE,
             "",
             "messages",
             "changes that the region missed",
-            told(missed, outside),
+            exact_figure(missed, outside),
+            "changes",
+        )
+        within = exact_figure(changes / fleet.regions, f"{text} / {fleet.regions}")
+        yield Row(
+            REGION_APART,
+            DISCOVERY_SIDE,
+            "",
+            "messages",
+            "changes within it, missed by the others",
+            within,
             "changes",
         )
-        within = told(changes / fleet.regions, f"{text} / {fleet.regions}")
+        line = series.growth_over("sidecar-list-bytes-by-endpoints", 1.0)
+        sent = line.times(missed * lost.region / 1e6, f"{format_number(missed)} x {lost.region} / 1,000,000")
         yield Row(
-            REGION, BETWEEN, "", "messages", "changes within it, missed by the others", within, "changes"
+            REGION_APART, DISCOVERY_SIDE, ONE_DISCOVERY, "messages", "told to its sidecars after", sent, "MB"
         )
-        line = series.growth("sidecar-list-bytes-by-endpoints", 1.0)
-        sent = line.times(missed * lost.region / 1e6, f"{shown(missed)} x {lost.region} / 1,000,000")
-        yield Row(REGION, BETWEEN, ONE, "messages", "told to its sidecars after", sent, "MB")
-        sent = line.times((missed + changes / fleet.regions) / 1e6, f"{shown(changes)} / 1,000,000")
-        yield Row(REGION, BETWEEN, TIERS, "messages", "between region tier and origin after", sent, "MB")
+        sent = line.times((missed + changes / fleet.regions) / 1e6, f"{format_number(changes)} / 1,000,000")
         yield Row(
-            REGION,
-            VIEW,
+            REGION_APART,
+            DISCOVERY_SIDE,
+            TIERS,
+            "messages",
+            "between region tier and origin after",
+            sent,
+            "MB",
+        )
+        yield Row(
+            REGION_APART,
+            VIEW_MEMBERS,
             "",
             "time",
             "healed: all views true",
-            series.at("view-apart-settling", self._all),
+            series.cost_at("view-apart-settling", self._all),
             "s",
         )
-        told_of = series.at("view-apart-bytes", self._all).times(1e-3, "1 / 1,000")
-        yield Row(REGION, VIEW, "", "messages", "sent by a member until then", told_of, "KB")
+        told_of = series.cost_at("view-apart-bytes", self._all).times(1e-3, "1 / 1,000")
+        yield Row(REGION_APART, VIEW_MEMBERS, "", "messages", "sent by a member until then", told_of, "KB")
 
     def _power(self) -> Iterator[Row]:
-        series, everyone = self.series, self._all
-        for way in (ONE, TIERS):
+        series, everyone = self.measured, self._all
+        for way in (ONE_DISCOVERY, TIERS):
             listed = self._listed[way]
-            start = series.at(series.best("sidecar-start-by-endpoints"), listed).times(1e-3, "1 / 1,000")
-            yield Row(POWER, CONTROL, way, "time", "one alone, start to serving", start, "s")
-            whole = series.at(series.best("sidecar-list-bytes-by-endpoints"), listed)
-            yield Row(POWER, CONTROL, way, "messages", "its whole list", whole.times(1e-3, "1 / 1,000"), "KB")
-            receivers, who = (everyone, "discovery") if way == ONE else (self._zone, "a zone tier")
-            sent = whole.times(receivers / 1e6, f"{shown(receivers)} / 1,000,000")
-            yield Row(POWER, BETWEEN, way, "messages", f"whole lists from {who}", sent, "MB")
-        spent = series.at("discovery-whole-cpu-by-watchers", everyone).times(1e-3, "1 / 1,000")
-        yield Row(POWER, BETWEEN, ONE, "processor", "whole lists, were they of 28 lines", spent, "s")
-        yield Row(POWER, VIEW, "", "time", "all views true", series.at("view-join-settling", everyone), "s")
-        sent = series.at("view-join-bytes", everyone)
-        yield Row(
-            POWER,
-            VIEW,
+            start = series.cost_at(series.preferred_name("sidecar-start-by-endpoints"), listed).times(
+                1e-3, "1 / 1,000"
+            )
+            yield Row(POWER_LOSS, SIDECAR_CONTROL, way, "time", "one alone, start to serving", start, "s")
+            whole = series.cost_at(series.preferred_name("sidecar-list-bytes-by-endpoints"), listed)
+            yield Row(
+                POWER_LOSS,
+                SIDECAR_CONTROL,
+                way,
+                "messages",
+                "its whole list",
+                whole.times(1e-3, "1 / 1,000"),
+                "KB",
+            )
+            receivers, who = (everyone, "discovery") if way == ONE_DISCOVERY else (self._zone, "a zone tier")
+            sent = whole.times(receivers / 1e6, f"{format_number(receivers)} / 1,000,000")
+            yield Row(POWER_LOSS, DISCOVERY_SIDE, way, "messages", f"whole lists from {who}", sent, "MB")
+        spent = series.cost_at("discovery-whole-cpu-by-watchers", everyone).times(1e-3, "1 / 1,000")
+        yield Row(
+            POWER_LOSS,
+            DISCOVERY_SIDE,
+            ONE_DISCOVERY,
+            "processor",
+            "whole lists, were they of 28 lines",
+            spent,
+            "s",
+        )
+        yield Row(
+            POWER_LOSS,
+            VIEW_MEMBERS,
+            "",
+            "time",
+            "all views true",
+            series.cost_at("view-join-settling", everyone),
+            "s",
+        )
+        sent = series.cost_at("view-join-bytes", everyone)
+        yield Row(
+            POWER_LOSS,
+            VIEW_MEMBERS,
             "",
             "messages",
             "in the two minutes after",
@@ -609,52 +795,65 @@
 
     def _machine(self) -> Iterator[Row]:
         """A zone tier's machine is lost: its sidecars go to a neighbour and take their parts from it."""
-        series, budgets, zone = self.series, self.numbers.budgets, self._zone
-        text = f"{shown(self.numbers.day.changes)} / {shown(DAY_S)}"
-        both = told(2 * zone, f"2 x {shown(self._all)} / {self.numbers.fleet.zones}")
-        yield Row(MACHINE, BETWEEN, TIERS, "state", "zone tier: receivers", both, "watches")
-        spent = series.at("tier-cpu-by-watchers", 2 * zone).times(self._rate / 10.0, f"{text} / 10")
-        yield Row(MACHINE, BETWEEN, TIERS, "processor", "zone tier", spent, "% of a core", 100.0)
-        whole = series.at(series.best("sidecar-list-bytes-by-endpoints"), self._listed[TIERS])
-        sent = whole.times(zone / 1e6, f"{shown(zone)} / 1,000,000")
-        yield Row(MACHINE, BETWEEN, TIERS, "messages", "parts told to those who came", sent, "MB")
-        moved = series.at("tier-failover-by-watchers", zone).times(1e-3, "1 / 1,000")
+        series, budgets, zone = self.measured, self.numbers.budgets, self._zone
+        text = f"{format_number(self.numbers.day.changes)} / {format_number(SECONDS_PER_DAY)}"
+        both = exact_figure(2 * zone, f"2 x {format_number(self._all)} / {self.numbers.fleet.zones}")
+        yield Row(TIER_MACHINE_LOST, DISCOVERY_SIDE, TIERS, "state", "zone tier: receivers", both, "watches")
+        spent = series.cost_at("tier-cpu-by-watchers", 2 * zone).times(self._rate / 10.0, f"{text} / 10")
+        yield Row(
+            TIER_MACHINE_LOST, DISCOVERY_SIDE, TIERS, "processor", "zone tier", spent, "% of a core", 100.0
+        )
+        whole = series.cost_at(series.preferred_name("sidecar-list-bytes-by-endpoints"), self._listed[TIERS])
+        sent = whole.times(zone / 1e6, f"{format_number(zone)} / 1,000,000")
         yield Row(
-            MACHINE, BETWEEN, TIERS, "time", "until all are told again", moved, "s", 2 * budgets.in_force_s
+            TIER_MACHINE_LOST, DISCOVERY_SIDE, TIERS, "messages", "parts told to those who came", sent, "MB"
+        )
+        moved = series.cost_at("tier-failover-by-watchers", zone).times(1e-3, "1 / 1,000")
+        yield Row(
+            TIER_MACHINE_LOST,
+            DISCOVERY_SIDE,
+            TIERS,
+            "time",
+            "until all are told again",
+            moved,
+            "s",
+            2 * budgets.in_force_s,
         )
 
 
 # Tables
 
 
-def markdown(plan: Plan) -> str:
+def markdown(plan: CapacityPlan) -> str:
     """The tables of the page."""
     lines = ["### Budgets, the shortest first", "", *_budgets(plan), ""]
     lines += ["### The time added to a call, by stage", "", *_stages(plan), ""]
-    for day in dict.fromkeys(row.day for row in plan.rows):
+    for day in dict.fromkeys(row.scenario for row in plan.rows):
         lines += [f"### {day[0].upper()}{day[1:]}", ""]
         lines.append("| role | way | | what | arithmetic | figure | 95% interval | budget | verdict |")
         lines.append("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-        lines += [_line(row) for row in plan.rows if row.day == day] + [""]
+        lines += [_line(row) for row in plan.rows if row.scenario == day] + [""]
     lines += ["### Machines for control", "", *_machines(plan.numbers), ""]
     lines += ["### The slopes behind it", ""]
     lines.append("| series | by | slope | 95% interval | at none | residual | measured at | how | run |")
     lines.append("| --- | --- | --- | --- | --- | --- | --- | --- | --- |")
-    for name, one in sorted(plan.series.used.items()):
-        slope = shown(one.slope) if one.linear else f"{shown(one.slope)}, no line ({one.shape})"
-        sizes = f"{shown(one.points[0][0])} to {shown(one.points[-1][0])}"
-        interval = f"{shown(one.low)} to {shown(one.high)}"
+    for name, one in sorted(plan.measured.used.items()):
+        slope = (
+            format_number(one.slope) if one.linear else f"{format_number(one.slope)}, no line ({one.shape})"
+        )
+        sizes = f"{format_number(one.points[0][0])} to {format_number(one.points[-1][0])}"
+        interval = f"{format_number(one.low)} to {format_number(one.high)}"
         lines.append(
-            f"| {name} ({one.unit}) | {one.by} | {slope} | {interval} | {shown(one.intercept)} "
-            f"| {shown(one.residual)} | {sizes} | {one.how} | {one.run} |"
+            f"| {name} ({one.unit}) | {one.by} | {slope} | {interval} | {format_number(one.intercept)} "
+            f"| {format_number(one.residual)} | {sizes} | {one.how} | {one.run} |"
         )
-    missing = sorted(plan.series.missing)
+    missing = sorted(plan.measured.missing)
     if missing:
         lines += ["", f"Not measured, so not known: {', '.join(missing)}."]
     return "\n".join(lines) + "\n"
 
 
-def _budgets(plan: Plan) -> list[str]:
+def _budgets(plan: CapacityPlan) -> list[str]:
     """Every figure that has a budget, by how many times that it is."""
     rows = [row for row in plan.rows if row.budget is not None and row.figure.value is not None]
     rows.sort(key=lambda row: -(row.figure.value or 0.0) / (row.budget or 1.0))
@@ -662,21 +861,25 @@
     for row in rows:
         figure, budget = row.figure.value or 0.0, row.budget or 1.0
         lines.append(
-            f"| {shown(figure / budget)} | {row.day} | {row.role} | {row.way} | {row.kind}: {row.what} "
-            f"| {shown(figure)} {row.unit} | {shown(budget)} {row.unit} | {row.verdict} |"
+            f"| {format_number(figure / budget)} | {row.scenario} | {row.role} | {row.distribution} "
+            f"| {row.resource}: {row.description} "
+            f"| {format_number(figure)} {row.unit} | {format_number(budget)} {row.unit} | {row.verdict} |"
         )
     return lines
 
 
-def _stages(plan: Plan) -> list[str]:
+def _stages(plan: CapacityPlan) -> list[str]:
     fleet = plan.numbers.fleet
     calls = fleet.calls_per_s / fleet.endpoints
-    lines = [f"| stage, at {shown(calls)} calls a second | median, ms | 95% interval | processor time, ms |"]
+    lines = [
+        f"| stage, at {format_number(calls)} calls a second "
+        "| median, ms | 95% interval | processor time, ms |"
+    ]
     lines.append("| --- | --- | --- | --- |")
-    whole, own = told(0.0, ""), told(0.0, "")
-    for stage, words in STAGE_WORDS.items():
+    whole, own = exact_figure(0.0, ""), exact_figure(0.0, "")
+    for stage, words in STAGE_DESCRIPTIONS.items():
         name = f"path-stage-{stage.replace(' ', '-')}"
-        took, spent = plan.series.at(name, calls), plan.series.at(f"{name}-cpu", calls)
+        took, spent = plan.measured.cost_at(name, calls), plan.measured.cost_at(f"{name}-cpu", calls)
         whole, own = whole.plus(took), own.plus(spent)
         lines.append(f"| {words} | {_value(took)} | {_interval(took)} | {_value(spent)} |")
     lines.append(f"| sum of the medians | {_value(whole)} | | {_value(own)} |")
@@ -688,71 +891,85 @@
         ("path-quiet-median", "added, sidecar undisturbed by other processes, stamped"),
         ("path-quiet-p99", "the same, 99 in 100"),
     ):
-        took = plan.series.at(name, calls)
+        took = plan.measured.cost_at(name, calls)
         lines.append(f"| {words} | {_value(took)} | {_interval(took)} | |")
     return lines
 
 
 def _value(figure: Figure) -> str:
-    return "not known" if figure.value is None else shown(figure.value) + _marks(figure)
+    return "not known" if figure.value is None else format_number(figure.value) + _marks(figure)
 
 
 def _marks(figure: Figure) -> str:
     """What the page explains: beyond the sizes that were measured; read off the points of a curve."""
-    return " †" * figure.is_beyond + " ‡" * figure.is_read_off
+    return " †" * figure.is_extrapolated + " ‡" * figure.is_interpolated
 
 
 def _interval(figure: Figure) -> str:
     if figure.value is None or figure.low == figure.high:
         return ""
-    return f"{shown(figure.low)} to {shown(figure.high)}"
+    return f"{format_number(figure.low)} to {format_number(figure.high)}"
 
 
 def _line(row: Row) -> str:
     figure = row.figure
     value, interval = _value(figure), _interval(figure)
     if figure.value is not None:
-        value = f"{shown(figure.value)} {row.unit}{_marks(figure)}"
-    budget = "" if row.budget is None else f"{shown(row.budget)} {row.unit}"
+        value = f"{format_number(figure.value)} {row.unit}{_marks(figure)}"
+    budget = "" if row.budget is None else f"{format_number(row.budget)} {row.unit}"
     return (
-        f"| {row.role} | {row.way} | {row.kind} | {row.what} | {figure.formula} | {value} | {interval} "
+        f"| {row.role} | {row.distribution} | {row.resource} | {row.description} "
+        f"| {figure.formula} | {value} | {interval} "
         f"| {budget} | {row.verdict} |"
     )
 
 
-def _machines(numbers: Numbers) -> list[str]:
+def _machines(numbers: OperatorNumbers) -> list[str]:
     fleet = numbers.fleet
-    every, zones, regions, machines = shown(fleet.endpoints), fleet.zones, fleet.regions, fleet.machines
+    every, zones, regions, machines = (
+        format_number(fleet.endpoints),
+        fleet.zones,
+        fleet.regions,
+        fleet.machines,
+    )
     zone, region = fleet.endpoints / zones, zones / regions
-    rest = machines - zones - regions - ORIGINS
+    rest = machines - zones - regions - ORIGIN_MACHINES
     lines = [
         ("runs", "machines", "one of them lost"),
         ("---", "---", "---"),
         (
             "zone tier",
             f"{zones}",
-            f"its {every} / {zones} = {shown(zone)} sidecars go to a neighbour: 2 x {shown(zone)} there",
+            f"its {every} / {zones} = {format_number(zone)} sidecars go to a neighbour: "
+            f"2 x {format_number(zone)} there",
         ),
         (
             "region tier",
             f"{regions}",
-            f"its {zones} / {regions} = {shown(region)} zone tiers go to another: 2 x {shown(region)} there",
+            f"its {zones} / {regions} = {format_number(region)} zone tiers go to another: "
+            f"2 x {format_number(region)} there",
+        ),
+        (
+            "origin, and its stand-by",
+            f"{ORIGIN_MACHINES}",
+            "the other is asked; regions serve on by what they hold",
         ),
-        ("origin, and its stand-by", f"{ORIGINS}", "the other is asked; regions serve on by what they hold"),
-        ("spare", f"{rest}", f"{machines} - {zones} - {regions} - {ORIGINS} = {rest} left"),
+        ("spare", f"{rest}", f"{machines} - {zones} - {regions} - {ORIGIN_MACHINES} = {rest} left"),
     ]
     return ["| " + " | ".join(line) + " |" for line in lines]
 
 
 @click.command()
-@click.option("--numbers", type=click.Path(path_type=Path), default=NUMBERS, show_default=True)
-@click.option("--slopes", "folder", type=click.Path(path_type=Path), default=slopes.SLOPES, show_default=True)
+@click.option("--numbers", type=click.Path(path_type=Path), default=NUMBERS_FILE, show_default=True)
+@click.option(
+    "--slopes", "folder", type=click.Path(path_type=Path), default=slopes.SLOPES_FOLDER, show_default=True
+)
 @click.option("--markdown", "as_page", is_flag=True, help="The tables as they stand in docs/CAPACITY.md.")
 def plan(numbers: Path, folder: Path, as_page: bool) -> None:
     """State, messages, processor time and memory of each role at the size that NUMBERS tells. Exit code 2:
     bad input."""
     try:
-        text = markdown(Plan(load(numbers), slopes.read(folder)))
+        text = markdown(CapacityPlan(load_numbers(numbers), slopes.read_slopes(folder)))
     except (PlanError, slopes.SlopesError) as error:
         click.echo(str(error), err=True)
         raise SystemExit(2) from None
--- a/larkcrank/lab/scale/runs.py
+++ b/larkcrank/lab/scale/runs.py
@@ -11,27 +11,29 @@
 import psutil
 
 from larkcrank.lab.scale import machine, slopes
-from larkcrank.lab.scale.fit import LEAST_REPEATS, LEAST_SIZES
-from larkcrank.lab.scale.measure import COSTS, How, Say, play
+from larkcrank.lab.scale.fit import MIN_REPEATS, MIN_SIZES
+from larkcrank.lab.scale.measure import COST_METRICS, ProgressCallback, SidecarKind, measure_series
 from larkcrank.lab.scale.series import Series
 
-WORDS = {
+SIZE_LABELS = {
     "endpoints": "endpoints listed",
     "services": "services called",
     "members": "members of the view",
     "watchers": "watchers",
 }
 
-SHARED = "all sidecars share this machine's processors, and wait for each other: in service each has its own"
-NOTES = {
+SHARED_PROCESSORS_NOTE = (
+    "all sidecars share this machine's processors, and wait for each other: in service each has its own"
+)
+COST_NOTES = {
     ("sidecar-memory", "hollow"): "beyond that of the empty process, which several share",
     ("sidecar-memory", "real"): "the whole process",
     ("sidecar-start-cpu", "real"): "from the interpreter's start",
     ("sidecar-start", "real"): "from the process's start until it is ready; its list comes after that",
     ("sidecar-start", "hollow"): "from its making until its first list is in force",
     ("sidecar-in-force", "hollow"): "several share a loop, and wait for each other",
-    ("path-median", "hollow"): SHARED,
-    ("path-last", "hollow"): SHARED,
+    ("path-median", "hollow"): SHARED_PROCESSORS_NOTE,
+    ("path-last", "hollow"): SHARED_PROCESSORS_NOTE,
     ("sidecar-change-cpu", "hollow"): "with the beat of 20 ms stilled",
     ("sidecar-change-cpu", "real"): "idle processor time taken off",
     ("sidecar-burst-cpu", "hollow"): "with the beat of 20 ms stilled",
@@ -39,7 +41,7 @@
 }
 
 
-class Run(msgspec.Struct, kw_only=True):
+class SeriesRun(msgspec.Struct, kw_only=True):
     """What stands in docs/scale/runs/: the raw points, and under what they were measured."""
 
     series: dict[str, Any]
@@ -56,78 +58,78 @@
     real: dict[str, dict[int, list[float]]]
 
 
-def run(series: Series, file: Path, out: Path, say: Say) -> dict[str, slopes.Slope]:
+def run_series(series: Series, file: Path, out: Path, say: ProgressCallback) -> dict[str, slopes.Slope]:
     """Measure, fit, and write `out`/runs/NAME.json and a file for each slope under `out`/slopes/."""
-    began, load, own = time.monotonic(), machine.Load(), time.process_time()
-    measured = asyncio.run(play(series, say))
+    began, load, own = time.monotonic(), machine.LoadMeter(), time.process_time()
+    measured = asyncio.run(measure_series(series, say))
     spent = measured.cpu_s + time.process_time() - own
-    looked = machine.look()
-    found = Run(
+    looked = machine.available_resources()
+    found = SeriesRun(
         series=msgspec.to_builtins(series),
         command=f"python -m larkcrank scale run {file}",
         date=datetime.now(UTC).isoformat(timespec="seconds"),
-        commit=machine.text_commit(),
+        commit=machine.source_commit(),
         processors=looked.processors,
         memory_mib=round(psutil.virtual_memory().total / machine.MIB),
         descriptors=looked.descriptors,
         took_s=round(time.monotonic() - began, 1),
         own_cpu_s=round(spent, 1),
-        machine=load.seen(spent),
+        machine=load.summary(spent),
         hollow=measured.hollow,
         real=measured.real,
     )
     path = out / "runs" / f"{series.name}.json"
     slopes.write_json(path, found)
-    fitted = fit_all(series, found, str(path))
+    fitted = fit_slopes(series, found, str(path))
     for name, one in fitted.items():
-        slopes.write(name, one, out / "slopes")
+        slopes.write_slope(name, one, out / "slopes")
     return fitted
 
 
-def fit_all(series: Series, found: Run, path: str) -> dict[str, slopes.Slope]:
+def fit_slopes(series: Series, found: SeriesRun, path: str) -> dict[str, slopes.Slope]:
     """The slopes of a run by name. A cost with too few sizes is in the run's file only."""
     fitted = {}
-    hows: tuple[tuple[How, str, dict[str, dict[int, list[float]]]], ...] = (
+    hows: tuple[tuple[SidecarKind, str, dict[str, dict[int, list[float]]]], ...] = (
         ("hollow", "", found.hollow),
         ("real", "-real", found.real),
     )
     for how, suffix, points in hows:
         for slug, by_size in points.items():
-            if len(by_size) < LEAST_SIZES or any(len(one) < LEAST_REPEATS for one in by_size.values()):
+            if len(by_size) < MIN_SIZES or any(len(one) < MIN_REPEATS for one in by_size.values()):
                 continue
-            cost = COSTS[slug]
-            beside = difference(found, slug) if how == "hollow" else ""
+            cost = COST_METRICS[slug]
+            beside = real_process_difference(found, slug) if how == "hollow" else ""
             label = f"-{series.label}" if series.label else ""
-            fitted[f"{slug}-by-{series.by}{label}{suffix}"] = slopes.made(
+            fitted[f"{slug}-by-{series.by}{label}{suffix}"] = slopes.fit_slope(
                 [(float(size), costs) for size, costs in sorted(by_size.items())],
-                title=f"{cost.cost} by {WORDS[series.by]}",
+                title=f"{cost.description} by {SIZE_LABELS[series.by]}",
                 role=cost.role,
-                cost=cost.cost,
+                cost=cost.description,
                 unit=cost.unit,
-                by=WORDS[series.by],
+                by=SIZE_LABELS[series.by],
                 how=how,
                 command=found.command,
                 run=path,
-                note="; ".join(filter(None, (NOTES.get((slug, how), ""), beside))),
+                note="; ".join(filter(None, (COST_NOTES.get((slug, how), ""), beside))),
             )
     return fitted
 
 
-def difference(found: Run, slug: str) -> str:
+def real_process_difference(found: SeriesRun, slug: str) -> str:
     """What real processes had more than hollow sidecars, at the sizes that both did."""
     hollow, real = found.hollow.get(slug, {}), found.real.get(slug, {})
     sizes = sorted(hollow.keys() & real.keys())
     if not sizes:
         return ""
-    more = (f"{mean(real, size) - mean(hollow, size):+.4g} at {size}" for size in sizes)
-    return f"real processes beside it, {COSTS[slug].unit}: {', '.join(more)}"
+    more = (f"{mean_at(real, size) - mean_at(hollow, size):+.4g} at {size}" for size in sizes)
+    return f"real processes beside it, {COST_METRICS[slug].unit}: {', '.join(more)}"
 
 
-def mean(points: Mapping[int, list[float]], size: int) -> float:
+def mean_at(points: Mapping[int, list[float]], size: int) -> float:
     return sum(points[size]) / len(points[size])
 
 
-def table(fitted: Mapping[str, slopes.Slope]) -> str:
+def markdown_table(fitted: Mapping[str, slopes.Slope]) -> str:
     """Markdown: a line a slope. Of what is not linear the curve's points are told."""
     rows = [
         "| series | how | means by size | slope for 1,000 more, 95% interval | at none | residual | shape |"
@@ -142,7 +144,7 @@
     return "\n".join(rows) + "\n"
 
 
-def charts(fitted: Mapping[str, slopes.Slope], path: Path) -> None:
+def draw_charts(fitted: Mapping[str, slopes.Slope], path: Path) -> None:
     """All slopes of a run in one small picture: points, and the line where it is one."""
     import matplotlib
 
--- a/larkcrank/lab/scale/series.py
+++ b/larkcrank/lab/scale/series.py
@@ -7,12 +7,12 @@
 import msgspec
 
 from larkcrank.config.settings import SettingsError, convert
-from larkcrank.lab.scale.fit import LEAST_REPEATS, LEAST_SIZES
-from larkcrank.lab.scale.registry import LOG_MOST
+from larkcrank.lab.scale.fit import MIN_REPEATS, MIN_SIZES
+from larkcrank.lab.scale.registry import MAX_LOGGED_CHANGES
 from larkcrank.lab.settings import SETTINGS, merged
 
-MOST_SIZE = 100_000
-LISTED_MOST = 20_000  # lines: the sidecar takes 4 MiB of a list
+MAX_SIZE = 100_000
+MAX_LISTED_ENDPOINTS = 20_000  # lines: the sidecar takes 4 MiB of a list
 
 
 class SeriesError(Exception):
@@ -42,11 +42,11 @@
     settings: dict[str, Any] = {}  # merged into the bench's settings
     fleet: dict[str, Any] = {}  # each sidecar's `fleet`, by members; {own}, {seed0} to {seed2} as in `hollow`
 
-    def listed(self, size: int) -> int:
+    def listed_endpoints(self, size: int) -> int:
         """Lines of the list at this size."""
         return {"endpoints": size, "services": size * self.endpoints}.get(self.by, self.endpoints)
 
-    def count(self, size: int) -> int:
+    def sidecar_count(self, size: int) -> int:
         """Hollow sidecars at this size."""
         return size if self.by in ("members", "watchers") else self.hollows
 
@@ -67,16 +67,16 @@
     for key, text in (("name", found.name), ("label", found.label or "none")):
         if not text or not all(char.isalnum() or char in "-_" for char in text):
             raise ValueError(f"{key}: {text!r} is no part of a file's name")
-    if len(set(found.sizes)) < LEAST_SIZES or len(set(found.sizes)) < len(found.sizes):
-        raise ValueError(f"sizes: {found.sizes} are not {LEAST_SIZES} different ones or more")
+    if len(set(found.sizes)) < MIN_SIZES or len(set(found.sizes)) < len(found.sizes):
+        raise ValueError(f"sizes: {found.sizes} are not {MIN_SIZES} different ones or more")
     for key, least, most in (
-        ("repeats", LEAST_REPEATS, 100),
+        ("repeats", MIN_REPEATS, 100),
         ("hollows", 1, 1000),
         ("each", 1, 1000),
         ("real", 0, 50),
-        ("endpoints", 1, LISTED_MOST),
+        ("endpoints", 1, MAX_LISTED_ENDPOINTS),
         ("changes", 1, 1000),
-        ("burst", 0, LOG_MOST),
+        ("burst", 0, MAX_LOGGED_CHANGES),
         ("settle", 0.0, 600.0),
         ("idle", 0.1, 600.0),
         ("gap", 0.0, 60.0),
@@ -86,10 +86,12 @@
         if math.isnan(value) or not least <= value <= most:
             raise ValueError(f"{key}: {value} is not from {least} to {most}")
     for index, size in enumerate(found.sizes):
-        if not 1 <= size <= MOST_SIZE:
-            raise ValueError(f"sizes[{index}]: {size} is not from 1 to {MOST_SIZE}")
-        if found.listed(size) > LISTED_MOST:
-            raise ValueError(f"sizes[{index}]: {found.listed(size)} lines are over {LISTED_MOST}")
+        if not 1 <= size <= MAX_SIZE:
+            raise ValueError(f"sizes[{index}]: {size} is not from 1 to {MAX_SIZE}")
+        if found.listed_endpoints(size) > MAX_LISTED_ENDPOINTS:
+            raise ValueError(
+                f"sizes[{index}]: {found.listed_endpoints(size)} lines are over {MAX_LISTED_ENDPOINTS}"
+            )
     for index, size in enumerate(found.real_sizes):
         if size not in found.sizes:
             raise ValueError(f"real_sizes[{index}]: {size} is none of `sizes`")
--- a/larkcrank/lab/scale/slopes.py
+++ b/larkcrank/lab/scale/slopes.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from larkcrank.lab.scale.fit import Points, fit
+from larkcrank.lab.scale.fit import Points, fit_line
 
-SLOPES = Path("docs/scale/slopes")
-RUNS = Path("docs/scale/runs")
+SLOPES_FOLDER = Path("docs/scale/slopes")
+RUNS_FOLDER = Path("docs/scale/runs")
 
 
 class SlopesError(Exception):
@@ -38,7 +38,7 @@
     note: str = ""  # what bounds it, or how far real processes are off
 
 
-def made(
+def fit_slope(
     points: Points,
     *,
     title: str,
@@ -52,7 +52,7 @@
     note: str = "",
 ) -> Slope:
     """The points with their fit. Raises `FitError`."""
-    found = fit(points)
+    found = fit_line(points)
     return Slope(
         title=title,
         role=role,
@@ -74,7 +74,7 @@
     )
 
 
-def write(name: str, slope: Slope, folder: Path = SLOPES) -> Path:
+def write_slope(name: str, slope: Slope, folder: Path = SLOPES_FOLDER) -> Path:
     """Write `folder`/NAME.json in one step."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{name}.json"
@@ -90,7 +90,7 @@
     os.replace(beside, path)
 
 
-def read(folder: Path = SLOPES) -> dict[str, Slope]:
+def read_slopes(folder: Path = SLOPES_FOLDER) -> dict[str, Slope]:
     """All series of a folder by name, in order. Raises `SlopesError`."""
     found = {}
     for path in sorted(folder.glob("*.json")):
--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-FILE = "stamps.json"
+STAMPS_FILE = "stamps.json"
 # In the order in which a call passes them.
 STAGES = (
     "read",
@@ -30,21 +30,21 @@
     "replying",
     "replied",
 )
-QUEUED = "queued"
+QUEUE_WAIT = "queued"
 
-Moment = tuple[float, float]  # monotonic, and the thread's processor time, in seconds
-Stamps = dict[str, dict[str, Moment]]  # by the request's id
+Stamp = tuple[float, float]  # monotonic, and the thread's processor time, in seconds
+StampsByRequest = dict[str, dict[str, Stamp]]  # by the request's id
 
-_stamps: Stamps = {}
+_stamps: StampsByRequest = {}
 _schedule = os.open("/proc/self/schedstat", os.O_RDONLY)
-_fed: dict[str, Moment] = {}  # when a parser of requests, and of answers, was last given bytes
+_fed: dict[str, Stamp] = {}  # when a parser of requests, and of answers, was last given bytes
 
 
-def _now() -> Moment:
+def _now() -> Stamp:
     return time.monotonic(), time.thread_time()
 
 
-def _mark(number: str, stage: str, moment: Moment | None = None) -> None:
+def _mark(number: str, stage: str, moment: Stamp | None = None) -> None:
     _stamps.setdefault(number, {})[stage] = moment or _now()
 
 
@@ -107,7 +107,7 @@
         _mark(number_of(request), "replying")
         kept: bool = await write(clients, visit, request, *rest)
         _mark(number_of(request), "replied")
-        _mark(number_of(request), QUEUED, (int(os.pread(_schedule, 64, 0).split()[1]) / 1e9, 0.0))
+        _mark(number_of(request), QUEUE_WAIT, (int(os.pread(_schedule, 64, 0).split()[1]) / 1e9, 0.0))
         return kept
 
     setattr(ClientConnections, "_write_buffered_response", reply)  # noqa: B010 - a wrapper like those above
@@ -118,7 +118,7 @@
 
     _stamp()
     code = serve()
-    (Path(os.environ["TMPDIR"]) / FILE).write_bytes(msgspec.json.encode(_stamps))
+    (Path(os.environ["TMPDIR"]) / STAMPS_FILE).write_bytes(msgspec.json.encode(_stamps))
     return code
 
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -15,8 +15,8 @@
 from larkcrank.lab.scale import path as paths
 from larkcrank.lab.scale import plan as plans
 from larkcrank.lab.scale import slopes, view
-from larkcrank.lab.scale.path import Asked
-from larkcrank.lab.scale.stamped import QUEUED, STAGES
+from larkcrank.lab.scale.path import TimedCall
+from larkcrank.lab.scale.stamped import QUEUE_WAIT, STAGES
 from tests import bed as b
 
 PAGE = Path("docs/CAPACITY.md")
@@ -28,26 +28,30 @@
     rng = Random(1)
     xs = [math.log10(size) for size in SIZES] if by.startswith("log10") else SIZES
     points = [(x, [none + slope * x + rng.uniform(-noise, noise) for _ in range(3)]) for x in xs]
-    return slopes.made(
+    return slopes.fit_slope(
         points, title="", role="view", cost="", unit="", by=by, how="virtual", command="c", run="r"
     )
 
 
 def curved() -> slopes.Slope:
     points = [(size, [size**2 / 1000 + more for more in (-1.0, 0.0, 1.0)]) for size in SIZES]
-    found = slopes.made(
+    found = slopes.fit_slope(
         points, title="", role="view", cost="", unit="", by="size", how="virtual", command="c", run="r"
     )
     assert not found.linear
     return found
 
 
-def numbers() -> plans.Numbers:
-    return plans.load(plans.NUMBERS)
+def numbers() -> plans.OperatorNumbers:
+    return plans.load_numbers(plans.NUMBERS_FILE)
 
 
-def row(plan: plans.Plan, day: str, role: str, way: str, what: str) -> plans.Row:
-    found = [one for one in plan.rows if (one.day, one.role, one.way, one.what) == (day, role, way, what)]
+def row(plan: plans.CapacityPlan, day: str, role: str, way: str, what: str) -> plans.Row:
+    found = [
+        one
+        for one in plan.rows
+        if (one.scenario, one.role, one.distribution, one.description) == (day, role, way, what)
+    ]
     assert len(found) == 1, found
     return found[0]
 
@@ -56,7 +60,7 @@
     page = PAGE.read_text()
     assert page.count(BEGIN) == page.count(END) == 1
     shown = page.partition(BEGIN)[2].partition(END)[0]
-    assert shown == plans.markdown(plans.Plan(numbers(), slopes.read()))
+    assert shown == plans.markdown(plans.CapacityPlan(numbers(), slopes.read_slopes()))
     printed = CliRunner().invoke(main, ["scale", "plan", "--markdown"])
     assert printed.exit_code == 0 and printed.output == shown
 
@@ -70,7 +74,7 @@
 
 
 def test_every_figure_on_the_page_can_be_redone_by_hand() -> None:
-    plan, checked = plans.Plan(numbers(), slopes.read()), 0
+    plan, checked = plans.CapacityPlan(numbers(), slopes.read_slopes()), 0
     for one in plan.rows:
         if one.figure.value is not None:
             ends = abs(one.figure.high - one.figure.low)
@@ -80,7 +84,7 @@
 
 
 def test_old_way_and_tiers_by_hand() -> None:
-    plan = plans.Plan(
+    plan = plans.CapacityPlan(
         numbers(),
         {
             "sidecar-change-cpu-by-endpoints": planted(0.001, 0.5),
@@ -89,19 +93,19 @@
             "discovery-cpu-by-watchers": planted(0.02, 2.0),
         },
     )
-    zone = row(plan, plans.ZONE, plans.CONTROL, plans.ONE, "told line by line")
+    zone = row(plan, plans.ZONE_LOST, plans.SIDECAR_CONTROL, plans.ONE_DISCOVERY, "told line by line")
     assert zone.figure.value == pytest.approx(364 * (0.5 + 0.001 * 12000) / 1000)
     assert zone.verdict == "**short by 1.55 s**"
-    part = row(plan, plans.ZONE, plans.CONTROL, plans.TIERS, "told line by line")
+    part = row(plan, plans.ZONE_LOST, plans.SIDECAR_CONTROL, plans.TIERS, "told line by line")
     assert part.figure.value == pytest.approx(364 * 279 / 12000 * (0.5 + 0.001 * 279) / 1000)
     assert part.verdict == "holds"
-    told = row(plan, plans.ZONE, plans.BETWEEN, plans.ONE, "told line by line")
+    told = row(plan, plans.ZONE_LOST, plans.DISCOVERY_SIDE, plans.ONE_DISCOVERY, "told line by line")
     assert told.figure.value == pytest.approx(364 * (2.0 + 0.02 * 12000) / 1000)
-    idle = row(plan, plans.ORDINARY, plans.CONTROL, plans.ONE, "idle, and changes")
+    idle = row(plan, plans.ORDINARY_DAY, plans.SIDECAR_CONTROL, plans.ONE_DISCOVERY, "idle, and changes")
     assert idle.figure.value == pytest.approx(1.0 + 2.4 + 12.5 * 52000 / 86400 / 10)
-    memory = row(plan, plans.ORDINARY, plans.CONTROL, plans.ONE, "what the list adds")
+    memory = row(plan, plans.ORDINARY_DAY, plans.SIDECAR_CONTROL, plans.ONE_DISCOVERY, "what the list adds")
     assert memory.figure.value == pytest.approx(0.0015 * 12000)
-    calls = row(plan, plans.ORDINARY, plans.BETWEEN, plans.ONE, "calls")
+    calls = row(plan, plans.ORDINARY_DAY, plans.DISCOVERY_SIDE, plans.ONE_DISCOVERY, "calls")
     assert calls.figure.value == pytest.approx(12000 * (52000 / 86400 + 1 / 60))
     assert calls.figure.low == calls.figure.high
 
@@ -111,14 +115,14 @@
         "sidecar-memory-by-endpoints": planted(0.001),
         "sidecar-memory-by-endpoints-real": planted(0.002),
     }
-    plan = plans.Plan(numbers(), found)
-    memory = row(plan, plans.ORDINARY, plans.CONTROL, plans.ONE, "what the list adds")
+    plan = plans.CapacityPlan(numbers(), found)
+    memory = row(plan, plans.ORDINARY_DAY, plans.SIDECAR_CONTROL, plans.ONE_DISCOVERY, "what the list adds")
     assert memory.figure.value == pytest.approx(24.0)
     assert memory.figure.series == ("sidecar-memory-by-endpoints-real",)
 
 
 def test_a_missing_slope_is_not_known_and_is_named() -> None:
-    plan = plans.Plan(numbers(), {})
+    plan = plans.CapacityPlan(numbers(), {})
     without = [one for one in plan.rows if one.figure.value is None]
     assert without and all(one.verdict == "not known" for one in without)
     assert all(("[" in one.figure.formula) is (one.figure.value is None) for one in plan.rows)
@@ -130,16 +134,16 @@
 
 
 def test_one_missing_part_makes_the_sum_not_known() -> None:
-    plan = plans.Plan(numbers(), {"sidecar-idle-by-endpoints": planted(0.0002, 1.0)})
-    idle = row(plan, plans.ORDINARY, plans.CONTROL, plans.ONE, "idle, and changes")
+    plan = plans.CapacityPlan(numbers(), {"sidecar-idle-by-endpoints": planted(0.0002, 1.0)})
+    idle = row(plan, plans.ORDINARY_DAY, plans.SIDECAR_CONTROL, plans.ONE_DISCOVERY, "idle, and changes")
     assert idle.figure.value is None and idle.verdict == "not known"
     assert "[sidecar-change-cpu-by-endpoints] at 12,000" in idle.figure.formula
 
 
 def test_other_sizes_can_be_asked(tmp_path: Path) -> None:
-    text = plans.NUMBERS.read_text().replace("endpoints = 12000", "endpoints = 24000")
+    text = plans.NUMBERS_FILE.read_text().replace("endpoints = 12000", "endpoints = 24000")
     (tmp_path / "twice.toml").write_text(text)
-    slopes.write("view-memory", planted(0.0006), tmp_path / "slopes")
+    slopes.write_slope("view-memory", planted(0.0006), tmp_path / "slopes")
     words = ["scale", "plan", "--numbers", str(tmp_path / "twice.toml"), "--slopes", str(tmp_path / "slopes")]
     printed = CliRunner().invoke(main, words)
     assert printed.exit_code == 0
@@ -157,7 +161,7 @@
 )
 def test_faulty_numbers_are_named(tmp_path: Path, old: str, new: str, named: str) -> None:
     path = tmp_path / "numbers.toml"
-    path.write_text(plans.NUMBERS.read_text().replace(old, new, 1))
+    path.write_text(plans.NUMBERS_FILE.read_text().replace(old, new, 1))
     refused = CliRunner().invoke(main, ["scale", "plan", "--numbers", str(path)])
     assert refused.exit_code == 2 and named in refused.output and str(path) in refused.output
 
@@ -170,7 +174,7 @@
 
 def test_interval_is_the_textbooks() -> None:
     found = planted(0.01, 5.0, noise=3.0)
-    figure = plans.Series({"a": found}).at("a", 12000)
+    figure = plans.MeasuredSlopes({"a": found}).cost_at("a", 12000)
     xs = numpy.array([x for x, costs in found.points for _ in costs])
     ys = numpy.array([y for _, costs in found.points for y in costs])
     matrix = numpy.column_stack([numpy.ones_like(xs), xs])
@@ -181,23 +185,25 @@
     assert figure.value is not None
     assert figure.high - figure.value == pytest.approx(half, rel=1e-6)
     assert figure.value - figure.low == pytest.approx(half, rel=1e-6)
-    assert figure.is_beyond and not plans.Series({"a": found}).at("a", 8000).is_beyond
+    assert (
+        figure.is_extrapolated and not plans.MeasuredSlopes({"a": found}).cost_at("a", 8000).is_extrapolated
+    )
 
 
 def test_a_curve_is_read_off_its_points_and_ends_with_them() -> None:
-    series = plans.Series({"a": curved()})
-    assert series.at("a", 4000).value == pytest.approx(16000.0)
-    between = series.at("a", 6000)
-    assert between.value == pytest.approx((16000 + 64000) / 2) and between.is_read_off
+    series = plans.MeasuredSlopes({"a": curved()})
+    assert series.cost_at("a", 4000).value == pytest.approx(16000.0)
+    between = series.cost_at("a", 6000)
+    assert between.value == pytest.approx((16000 + 64000) / 2) and between.is_interpolated
     assert (between.low, between.high) == (15999.0, 64001.0)
-    assert series.at("a", 12000).value is None
+    assert series.cost_at("a", 12000).value is None
     assert "a at 12,000" in series.missing
-    assert series.growth("a", 4000).value == pytest.approx(16000.0 - 10.0)
+    assert series.growth_over("a", 4000).value == pytest.approx(16000.0 - 10.0)
 
 
 def test_settling_goes_by_the_logarithm() -> None:
     found = planted(10.0, 1.0, by="log10 of members")
-    figure = plans.Series({"a": found}).at("a", 10000)
+    figure = plans.MeasuredSlopes({"a": found}).cost_at("a", 10000)
     assert figure.value == pytest.approx(41.0)
     assert figure.formula == "1 + 10 x log10 10,000"
 
@@ -221,7 +227,7 @@
     [(0.0, "0"), (12000.0, "12,000"), (0.00012345, "0.0001234"), (-3.5, "-3.5"), (1e9, "1,000,000,000")],
 )
 def test_numbers_are_shown_by_four_digits(value: float, text: str) -> None:
-    assert plans.shown(value) == text
+    assert plans.format_number(value) == text
 
 
 # The view's plays
@@ -276,18 +282,18 @@
     found = {
         stage: (offset + 0.001 * number, 0.0001 * number) for number, stage in enumerate(STAGES, start=1)
     }
-    return found | {QUEUED: (queued, 0.0)}
+    return found | {QUEUE_WAIT: (queued, 0.0)}
 
 
-def call(number: str, offset: float) -> Asked:
+def call(number: str, offset: float) -> TimedCall:
     """Sent 1 ms before it is read; at the endpoint 1 ms after it left, and back 1 ms after its answer did."""
-    return Asked(number, False, offset, offset + 0.006, offset + 0.0065, offset + 0.010)
+    return TimedCall(number, False, offset, offset + 0.006, offset + 0.0065, offset + 0.010)
 
 
 def test_stages_add_up_to_the_whole() -> None:
     calls = [call("s1", 10.0), call("s2", 11.0)]
-    found = paths.stages_of(calls, {"s1": stamps(10.0, 0.0), "s2": stamps(11.0, 0.0)})
-    assert set(found) == set(paths.STAGE_WORDS)
+    found = paths.stage_times(calls, {"s1": stamps(10.0, 0.0), "s2": stamps(11.0, 0.0)})
+    assert set(found) == set(paths.STAGE_DESCRIPTIONS)
     assert sum(stage.median for stage in found.values()) == pytest.approx(1000 * calls[0].added_s)
     assert found["decided"].median == pytest.approx(1.0)
     assert found["decided"].processor == pytest.approx(0.1)
@@ -295,7 +301,7 @@
 
 def test_a_call_without_all_its_stages_is_left_out() -> None:
     half = {"read": (11.001, 0.0)}
-    found = paths.stages_of([call("s1", 10.0), call("s2", 11.0)], {"s1": stamps(10.0, 0.0), "s2": half})
+    found = paths.stage_times([call("s1", 10.0), call("s2", 11.0)], {"s1": stamps(10.0, 0.0), "s2": half})
     assert found["read"].p99 == pytest.approx(1.0)
 
 
@@ -303,15 +309,15 @@
     calls = [call(f"s{number}", 10.0 + number) for number in range(4)]
     queued = [0.0, 0.0, 0.002, 0.002]  # in all, at each one's end: the third had to wait
     all_stamps = {f"s{number}": stamps(10.0 + number, queued[number]) for number in range(4)}
-    found = [one.number for one in paths.quiet_of(calls, all_stamps)]
+    found = [one.request_id for one in paths.undisturbed_calls(calls, all_stamps)]
     assert found == ["s1", "s3"]  # of the first nothing is known before it
 
 
 def test_calls_in_a_row_add_up() -> None:
     rng = numpy.random.default_rng(1)
-    assert paths.in_a_row([1.5, 1.5], 0.5, 7, rng) == pytest.approx((7.0, 7.0))
-    one = paths.in_a_row([0.0] * 99 + [10.0], 0.0, 1, rng)
-    seven = paths.in_a_row([0.0] * 99 + [10.0], 0.0, 7, rng)
+    assert paths.sample_chain([1.5, 1.5], 0.5, 7, rng) == pytest.approx((7.0, 7.0))
+    one = paths.sample_chain([0.0] * 99 + [10.0], 0.0, 1, rng)
+    seven = paths.sample_chain([0.0] * 99 + [10.0], 0.0, 7, rng)
     assert one[0] == seven[0] == 0.0 and seven[1] == 10.0  # one in fifteen has a slow call among seven
 
 
@@ -320,13 +326,13 @@
         import asyncio
         import time
 
-        from larkcrank.lab.scale.alarm import Alarm
+        from larkcrank.lab.scale.alarm import PreciseTimer
 
-        alarm, heard, done = Alarm(), list[tuple[int, float]](), asyncio.Event()
+        alarm, heard, done = PreciseTimer(), list[tuple[int, float]](), asyncio.Event()
         now = time.monotonic()
         for number, after in ((2, 0.02), (0, -1.0), (3, 0.03), (1, 0.01)):
-            alarm.at(now + after, lambda number=number: heard.append((number, time.monotonic())))  # type: ignore[misc]
-        alarm.at(now + 0.04, done.set)
+            alarm.call_at(now + after, lambda number=number: heard.append((number, time.monotonic())))  # type: ignore[misc]
+        alarm.call_at(now + 0.04, done.set)
         await done.wait()
         alarm.close()
         assert [number for number, _ in heard] == [0, 1, 2, 3]
@@ -336,10 +342,10 @@
 
 
 def test_a_real_sidecar_is_measured_by_stage(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, value in (("LEAST_S", 0.5), ("LEAST_STAMPED", 10), ("WARM_S", 0.2), ("IDLE_S", 0.1)):
+    for name, value in (("MIN_RUN_S", 0.5), ("MIN_STAMPED_CALLS", 10), ("WARM_UP_S", 0.2), ("IDLE_S", 0.1)):
         monkeypatch.setattr(paths, name, value)
-    run = paths.measure(30.0, 1, stamped=True)
+    run = paths.measure_run(30.0, 1, stamped=True)
     assert run.through.calls == len(run.added) > 0 and run.direct.calls > 0
-    assert set(run.stages) == set(paths.STAGE_WORDS)
+    assert set(run.stages) == set(paths.STAGE_DESCRIPTIONS)
     assert all(stage.median >= 0.0 and stage.processor >= 0.0 for stage in run.stages.values())
     assert run.processor_ms > 0.0
--- a/tests/test_scale.py
+++ b/tests/test_scale.py
@@ -24,10 +24,10 @@
 from larkcrank.core.interface import Endpoint, ServerList, State
 from larkcrank.lab.scale import machine, runs, series, slopes
 from larkcrank.lab.scale import registry as registries
-from larkcrank.lab.scale.fit import FitError, fit
-from larkcrank.lab.scale.hollow import HollowHosts, Spec, tag
-from larkcrank.lab.scale.measure import order
-from larkcrank.lab.scale.plan import NUMBERS
+from larkcrank.lab.scale.fit import FitError, fit_line
+from larkcrank.lab.scale.hollow import HollowHosts, HostSpec, change_number
+from larkcrank.lab.scale.measure import measurement_order
+from larkcrank.lab.scale.plan import NUMBERS_FILE
 from larkcrank.lab.settings import SETTINGS
 from larkcrank.protocol.discovery import Names, parse
 
@@ -43,7 +43,7 @@
     """95% intervals hold the truth in 95 of 100 seeds: of 400 in 380 +- 13 (three standard deviations)."""
     held = linear = 0
     for seed in range(400):
-        found = fit(planted(Random(seed), {size: 31.0 + 0.0013 * size for size in SIZES}, 0.4))
+        found = fit_line(planted(Random(seed), {size: 31.0 + 0.0013 * size for size in SIZES}, 0.4))
         held += found.low <= 0.0013 <= found.high
         linear += found.linear
     assert 367 <= held <= 393
@@ -51,23 +51,23 @@
 
 
 def test_a_cost_that_never_varies_has_no_doubt() -> None:
-    found = fit([(size, [259.0] * 3) for size in SIZES])
+    found = fit_line([(size, [259.0] * 3) for size in SIZES])
     assert (found.slope, found.low, found.high, found.residual, found.shape) == (0.0, 0.0, 0.0, 0.0, "line")
 
 
 def test_planted_curve_is_not_linear() -> None:
     for seed in range(50):
         square = planted(Random(seed), {size: 1.0 + (size / 1200.0) ** 2 for size in SIZES}, 0.5)
-        assert fit(square).shape == "quadratic"
+        assert fit_line(square).shape == "quadratic"
         level = {1.0: 1.0, 4.0: 2.0, 16.0: 3.0, 64.0: 4.0, 256.0: 5.0}
-        assert fit(planted(Random(seed), level, 0.05)).shape == "logarithm"
+        assert fit_line(planted(Random(seed), level, 0.05)).shape == "logarithm"
 
 
 def test_no_growth_is_a_line_whose_interval_holds_nought() -> None:
     """A flat cost with noise is no curve: in 200 seeds the interval leaves nought out as often as it may."""
     grown = 0
     for seed in range(200):
-        found = fit(planted(Random(seed), dict.fromkeys(SIZES, 5.0), 0.2))
+        found = fit_line(planted(Random(seed), dict.fromkeys(SIZES, 5.0), 0.2))
         grown += found.grows
     assert grown <= 20
 
@@ -82,12 +82,12 @@
 )
 def test_too_little_is_no_slope(points: list[tuple[float, list[float]]], why: str) -> None:
     with pytest.raises(FitError, match=why):
-        fit(points)
+        fit_line(points)
 
 
 def test_slopes_come_back_as_written(tmp_path: Path) -> None:
     points = [(size, [size * 2.0, size * 2.0 + 0.1, size * 2.0 - 0.1]) for size in SIZES]
-    one = slopes.made(
+    one = slopes.fit_slope(
         points,
         title="t",
         role="sidecar",
@@ -98,12 +98,12 @@
         command="c",
         run="r",
     )
-    slopes.write("one", one, tmp_path)
+    slopes.write_slope("one", one, tmp_path)
     (tmp_path / "two.json").write_text('{"title": 3}')
     with pytest.raises(slopes.SlopesError, match=r"two\.json"):
-        slopes.read(tmp_path)
+        slopes.read_slopes(tmp_path)
     (tmp_path / "two.json").unlink()
-    assert slopes.read(tmp_path) == {"one": one}
+    assert slopes.read_slopes(tmp_path) == {"one": one}
     assert one.linear and one.low < 2.0 < one.high
 
 
@@ -113,22 +113,24 @@
 def test_a_change_reaches_every_hollow_sidecar_and_is_counted_once() -> None:
     async def play() -> None:
         async with _fleet(members=6, each=2, endpoints=10) as (registry, hosts):
-            before = await registry.account()
+            before = await registry.stats()
             assert (before.connections, before.waiting, before.lists) == (6, 6, 6)
             numbers = await registry.change(3, each=1)
             numbers += await registry.change(4)
-            reports = await hosts.until(lambda hollow: hollow.in_force(numbers[-1]) is not None)
+            reports = await hosts.collect_until(lambda hollow: hollow.applied_at(numbers[-1]) is not None)
             hollows = [hollow for host in reports for hollow in host.hollows]
             assert sorted(hollow.number for hollow in hollows) == list(range(6))
-            told = await registry.account()
+            told = await registry.stats()
             assert numbers == list(range(2, 9)) and list(told.told) == numbers
             for hollow in hollows:
                 whole, *changes = hollow.seen
-                assert whole.whole and whole.lines == 10 and hollow.servers == 10
-                assert sum(one.lines for one in changes) == 7 and not any(one.whole for one in changes)
-                assert [one.first for one in changes] == sorted(one.first for one in changes)
+                assert whole.is_complete and whole.endpoint_count == 10 and hollow.servers == 10
+                assert sum(one.endpoint_count for one in changes) == 7 and not any(
+                    one.is_complete for one in changes
+                )
+                assert [one.first_change for one in changes] == sorted(one.first_change for one in changes)
                 assert hollow.generation == 8 and hollow.failures == hollow.crashed == hollow.unseen == 0
-                at = hollow.in_force(numbers[-1])
+                at = hollow.applied_at(numbers[-1])
                 assert at is not None and at >= told.told[numbers[-1]][0]
             assert sum(hollow.bytes_in for hollow in hollows) == told.bytes_out
             assert told.made <= 1 + 6 * 4  # one a generation and how far: not one a watcher
@@ -137,36 +139,38 @@
 
 
 def test_answers_are_made_once_for_all_that_are_as_far() -> None:
-    listed = registries.Listed(registries.Spec(endpoints=100, services=4))
-    first = [listed.answer(None) for _ in range(1000)]
-    assert listed.made == 1 and all(one is first[0] for one in first)
-    numbers = [listed.change("flip") for _ in range(364)]
-    behind = [listed.answer(1) for _ in range(1000)]
-    assert listed.made == 2 and all(one is behind[0] for one in behind)
-    told = parse(listed.answer(1).partition(b"\r\n\r\n")[2], Names([], []))
+    listed = registries.EndpointList(registries.Spec(endpoints=100, services=4))
+    first = [listed.response_after(None) for _ in range(1000)]
+    assert listed.encoded_count == 1 and all(one is first[0] for one in first)
+    numbers = [listed.change_next("flip") for _ in range(364)]
+    behind = [listed.response_after(1) for _ in range(1000)]
+    assert listed.encoded_count == 2 and all(one is behind[0] for one in behind)
+    told = parse(listed.response_after(1).partition(b"\r\n\r\n")[2], Names([], []))
     assert not told.whole and told.generation == 365 and len(told.endpoints) == 100
-    assert max(tag(endpoint.size) for endpoint in told.endpoints) == numbers[-1]
+    assert max(change_number(endpoint.size) for endpoint in told.endpoints) == numbers[-1]
     assert {endpoint.cell for endpoint in told.endpoints} == {0, 1, 2, 3}
-    ahead = parse(listed.answer(9999).partition(b"\r\n\r\n")[2], Names([], []))
+    ahead = parse(listed.response_after(9999).partition(b"\r\n\r\n")[2], Names([], []))
     assert ahead.whole  # another discovery's count
 
 
 def test_what_is_forgotten_is_told_whole() -> None:
-    listed = registries.Listed(registries.Spec(endpoints=5))
-    at = listed.change("flip")
-    listed.forget()
-    assert parse(listed.answer(at - 1).partition(b"\r\n\r\n")[2], Names([], [])).whole
-    listed.change("flip")
-    told = parse(listed.answer(at).partition(b"\r\n\r\n")[2], Names([], []))
+    listed = registries.EndpointList(registries.Spec(endpoints=5))
+    at = listed.change_next("flip")
+    listed.discard_log()
+    assert parse(listed.response_after(at - 1).partition(b"\r\n\r\n")[2], Names([], [])).whole
+    listed.change_next("flip")
+    told = parse(listed.response_after(at).partition(b"\r\n\r\n")[2], Names([], []))
     assert not told.whole and len(told.endpoints) == 1
 
 
 def test_who_is_further_behind_than_the_log_reaches_is_told_the_whole_list() -> None:
-    listed = registries.Listed(registries.Spec(endpoints=5))
-    for _ in range(2 * registries.LOG_MOST + 1):
-        listed.change("flip")
-    assert parse(listed.answer(2).partition(b"\r\n\r\n")[2], Names([], [])).whole
-    assert not parse(listed.answer(listed.generation - 3).partition(b"\r\n\r\n")[2], Names([], [])).whole
+    listed = registries.EndpointList(registries.Spec(endpoints=5))
+    for _ in range(2 * registries.MAX_LOGGED_CHANGES + 1):
+        listed.change_next("flip")
+    assert parse(listed.response_after(2).partition(b"\r\n\r\n")[2], Names([], [])).whole
+    assert not parse(
+        listed.response_after(listed.generation - 3).partition(b"\r\n\r\n")[2], Names([], [])
+    ).whole
 
 
 def test_a_killed_host_is_not_asked_and_none_is_left() -> None:
@@ -194,7 +198,7 @@
             "recovery": {"same_places": True},
         }
         try:
-            spec = Spec(
+            spec = HostSpec(
                 count=4,
                 discovery=[await registry.start()],
                 settings={"bounds": {"peers": True}},
@@ -202,8 +206,8 @@
             )
             hosts = HollowHosts(spec, 2)
             await hosts.start()
-            await hosts.serving()
-            reports = await hosts.until(lambda hollow: hollow.live == 4)
+            await hosts.wait_until_serving()
+            reports = await hosts.collect_until(lambda hollow: hollow.live == 4)
             for hollow in (one for host in reports for one in host.hollows):
                 assert hollow.together["fleet"]["datagrams_out"] and not hollow.crashed
                 assert hollow.together["fleet"]["refused"] == {}
@@ -222,9 +226,9 @@
         "from larkcrank.lab.scale import hollow, registry\n"
         "async def main():\n"
         "    r = registry.RegistryProcess(registry.Spec(endpoints=3))\n"
-        "    h = hollow.HollowHosts(hollow.Spec(count=2, discovery=[await r.start()]), 1)\n"
+        "    h = hollow.HollowHosts(hollow.HostSpec(count=2, discovery=[await r.start()]), 1)\n"
         "    await h.start()\n"
-        "    print(r.child.pid, *h.pids, flush=True)\n"
+        "    print(r.process.pid, *h.pids, flush=True)\n"
         "    await asyncio.Event().wait()\n"
         "asyncio.run(main())\n"
     )
@@ -252,10 +256,10 @@
     try:
         place = await registry.start()
         patient = {"bounds": {"connect-timeout-ms": LONG_S * 1000.0}}
-        hosts = HollowHosts(Spec(count=members, discovery=[place], settings=patient, beats=False), each)
+        hosts = HollowHosts(HostSpec(count=members, discovery=[place], settings=patient, beats=False), each)
         await hosts.start()
-        await hosts.serving()
-        while (await registry.account()).waiting < members:
+        await hosts.wait_until_serving()
+        while (await registry.stats()).waiting < members:
             await asyncio.sleep(0.01)
         yield registry, hosts
     finally:
@@ -333,7 +337,9 @@
 
 
 def test_all_series_of_examples_can_be_read() -> None:
-    files = set(Path("examples/scale").glob("*.toml")) - {NUMBERS}  # the operators' numbers are no series
+    files = set(Path("examples/scale").glob("*.toml")) - {
+        NUMBERS_FILE
+    }  # the operators' numbers are no series
     names = [series.load(path).name for path in sorted(files)]
     assert len(names) == len(set(names)) >= 4
 
@@ -344,13 +350,13 @@
     text = SMALL.replace("each = 2", "each = 2\nreal = 1\nreal_sizes = [3]")
     file.write_text(text + "[settings.bounds]\nconnect-timeout-ms = 120000.0\n")
     found = series.load(file)
-    fitted = runs.run(found, file, tmp_path, lambda text: None)
+    fitted = runs.run_series(found, file, tmp_path, lambda text: None)
     assert not psutil.Process().children(recursive=True)
-    assert slopes.read(tmp_path / "slopes") == fitted
-    raw = msgspec.json.decode((tmp_path / "runs" / "small.json").read_bytes(), type=runs.Run)
+    assert slopes.read_slopes(tmp_path / "slopes") == fitted
+    raw = msgspec.json.decode((tmp_path / "runs" / "small.json").read_bytes(), type=runs.SeriesRun)
     assert raw.own_cpu_s > 0.0 and raw.hollow["sidecar-list-bytes"].keys() == {3, 6, 9, 12}
-    line = len(registries.Listed(registries.Spec(endpoints=2)).answer(None)) - len(
-        registries.Listed(registries.Spec(endpoints=1)).answer(None)
+    line = len(registries.EndpointList(registries.Spec(endpoints=2)).response_after(None)) - len(
+        registries.EndpointList(registries.Spec(endpoints=1)).response_after(None)
     )
     listed = fitted["sidecar-list-bytes-by-endpoints"]
     assert listed.linear and abs(listed.slope - line) < 1.0 and listed.how == "hollow"
@@ -358,13 +364,13 @@
     assert not change.low or change.low <= 0.0 <= change.high
     more = raw.real["sidecar-memory"][3]
     assert len(more) == 3 and "at 3" in fitted["sidecar-memory-by-endpoints"].note
-    assert "sidecar-memory-by-endpoints" in runs.table(fitted)
-    runs.charts(fitted, tmp_path / "small.png")
+    assert "sidecar-memory-by-endpoints" in runs.markdown_table(fitted)
+    runs.draw_charts(fitted, tmp_path / "small.png")
     assert (tmp_path / "small.png").stat().st_size > 0
 
 
 def test_sizes_take_turns_so_that_drift_is_no_slope() -> None:
-    turns = list(order((1, 2, 3), 3))
+    turns = list(measurement_order((1, 2, 3), 3))
     assert turns == [(1, 0), (2, 0), (3, 0), (3, 1), (2, 1), (1, 1), (1, 2), (2, 2), (3, 2)]
     means = [sum(place for place, (size, _) in enumerate(turns) if size == one) / 3 for one in (1, 2, 3)]
     assert max(means) - min(means) < 1.0
@@ -374,14 +380,14 @@
     file = tmp_path / "small.toml"
     text = SMALL.replace('by = "endpoints"', 'by = "watchers"').replace("each = 2", "each = 4")
     file.write_text(text)
-    fitted = runs.run(series.load(file), file, tmp_path, lambda text: None)
+    fitted = runs.run_series(series.load(file), file, tmp_path, lambda text: None)
     assert not psutil.Process().children(recursive=True)
     connections = fitted["discovery-connections-by-watchers"]
     assert [costs for _, costs in connections.points] == [[float(n)] * 3 for n in (3, 6, 9, 12)]
     calls = fitted["discovery-calls-by-watchers"]
     assert [costs for _, costs in calls.points] == [[float(n)] * 3 for n in (3, 6, 9, 12)]
     whole = fitted["discovery-whole-bytes-by-watchers"]
-    listed = len(registries.Listed(registries.Spec(endpoints=28)).answer(None))
+    listed = len(registries.EndpointList(registries.Spec(endpoints=28)).response_after(None))
     assert whole.linear and abs(whole.slope - listed) < 28 * 20.0  # weights and states are a little longer
 
 
@@ -409,19 +415,19 @@
 
 
 def test_limits_are_looked_up_and_kept() -> None:
-    here = machine.look()
+    here = machine.available_resources()
     soft = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     assert here.descriptors < soft and here.memory_mib * machine.MIB <= psutil.virtual_memory().total / 2
-    here.check(machine.MOST_PROCESSES, here.memory_mib, here.descriptors)
+    here.check(machine.MAX_PROCESSES, here.memory_mib, here.descriptors)
     for wants in (
-        (machine.MOST_PROCESSES + 1, 0.0, 0),
+        (machine.MAX_PROCESSES + 1, 0.0, 0),
         (1, here.memory_mib + 1.0, 0),
         (1, 0.0, here.descriptors + 1),
     ):
         with pytest.raises(machine.LimitError):
             here.check(*wants)
     with pytest.raises(machine.LimitError, match="processes"):
-        HollowHosts(Spec(count=machine.MOST_PROCESSES + 1, discovery=["127.0.0.1:1"]), 1)
+        HollowHosts(HostSpec(count=machine.MAX_PROCESSES + 1, discovery=["127.0.0.1:1"]), 1)
 
 
 def test_a_plain_sidecar_loads_none_of_it() -> None:
