--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -270,15 +270,17 @@
         repeats=loaded_series.repeats,
     )
     try:
-        fitted_slopes = runs.run(loaded_series, file, out, lambda text: log.info("progress", text=text))
+        fitted_slopes = runs.run_series(
+            loaded_series, file, out, lambda text: log.info("progress", text=text)
+        )
     except (ChildError, LimitError, MeasureError, ProcessError, OSError) as error:
         log.error("run_ended", reason=str(error))
         sys.exit(3)
     except KeyboardInterrupt:
         log.error("run_ended", reason="interrupted")
         sys.exit(3)
-    runs.charts(fitted_slopes, out / f"{loaded_series.name}.png")
-    click.echo(runs.table(fitted_slopes), nl=False)
+    runs.draw_charts(fitted_slopes, out / f"{loaded_series.name}.png")
+    click.echo(runs.markdown_table(fitted_slopes), nl=False)
 
 
 def _configure_log() -> structlog.typing.FilteringBoundLogger:
--- a/larkcrank/lab/scale/light.py
+++ b/larkcrank/lab/scale/light.py
@@ -18,8 +18,16 @@
 import psutil
 import uvloop
 
-from larkcrank.lab.scale.children import Child, Commands
-from larkcrank.lab.scale.hollow import SEEN_MOST, TAG, HollowHosts, HollowReport, HostReport, Seen, Spec
+from larkcrank.lab.scale.children import ChildProcess, CommandChannel
+from larkcrank.lab.scale.hollow import (
+    CHANGE_NUMBER_SCALE,
+    MAX_RECORDED_LISTS,
+    AppliedList,
+    HollowHosts,
+    HollowReport,
+    HostReport,
+    HostSpec,
+)
 from larkcrank.lab.scale.machine import MIB
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import LIST_TARGET, host_port, watch_target
@@ -38,7 +46,7 @@
         self.number = number
         self.serving: float | None = None
         self.began = time.monotonic()
-        self.seen: deque[Seen] = deque(maxlen=SEEN_MOST)
+        self.seen: deque[AppliedList] = deque(maxlen=MAX_RECORDED_LISTS)
         self.bytes_in = self.bytes_out = self.calls = self.failures = self.lines = 0
         self.generation = generation
         self._place = place
@@ -102,12 +110,12 @@
         found = _GENERATION.search(body)
         assert found is not None
         self.generation = int(found[1])
-        tags = [round((float(weight) - 1.0) * TAG) for weight in _WEIGHT.findall(body)]
+        tags = [round((float(weight) - 1.0) * CHANGE_NUMBER_SCALE) for weight in _WEIGHT.findall(body)]
         if tags:
             at, whole = time.monotonic(), _WHOLE.search(body) is not None
             self.serving = self.serving or at
             self.lines = len(tags) if whole else self.lines
-            self.seen.append(Seen(at, self.generation, whole, len(tags), min(tags), max(tags)))
+            self.seen.append(AppliedList(at, self.generation, whole, len(tags), min(tags), max(tags)))
         self._ask()
 
     def _ask(self) -> None:
@@ -142,9 +150,9 @@
 
 
 async def _serve() -> None:
-    commands = Commands()
+    commands = CommandChannel()
     await commands.open()
-    spec = msgspec.json.decode(await commands.spec(), type=Spec)
+    spec = msgspec.json.decode(await commands.read_spec(), type=HostSpec)
     numbers = range(spec.first, spec.first + spec.count)
     places = [host_port(text) for text in spec.discovery]
     lights = [Light(n, places[n % len(places)], spec.config.get("generation")) for n in numbers]
@@ -154,10 +162,10 @@
             await light.connect()
 
     starting = asyncio.get_running_loop().create_task(start())
-    commands.say("ready")
+    commands.send_event("ready")
     process = psutil.Process()
     try:
-        while (order := await commands.next()) is not None:
+        while (order := await commands.read_command()) is not None:
             match order["do"]:
                 case "serving":
                     while not starting.done() or not all(light.serving for light in lights):
@@ -169,14 +177,14 @@
                 case "report":
                     memory, times = process.memory_full_info(), process.cpu_times()
                     told = [] if order.get("brief") else [light.report() for light in lights]
-                    commands.say(
+                    commands.send_event(
                         "report",
                         report=HostReport(
                             process.pid, times.user + times.system, memory.rss / MIB, memory.uss / MIB, told
                         ),
                     )
                     continue
-            commands.say(order["do"])
+            commands.send_event(order["do"])
     finally:
         starting.cancel()
         for light in lights:
@@ -186,11 +194,11 @@
 class LightHosts(HollowHosts):
     """As `HollowHosts`, with light receivers in place of sidecars."""
 
-    def __init__(self, spec: Spec, each: int) -> None:
+    def __init__(self, spec: HostSpec, each: int) -> None:
         super().__init__(spec, each)
         firsts = range(spec.first, spec.first + spec.count, each)
         self.hosts = [
-            Child(
+            ChildProcess(
                 f"light {index}",
                 "larkcrank.lab.scale.light",
                 msgspec.structs.replace(spec, first=first, count=min(each, spec.first + spec.count - first)),
--- a/larkcrank/lab/scale/view.py
+++ b/larkcrank/lab/scale/view.py
@@ -35,7 +35,7 @@
 from larkcrank.lab.processes import end_with_parent
 from larkcrank.lab.scale import machine, slopes
 from larkcrank.lab.scale.fit import FitError
-from larkcrank.lab.scale.slopes import Slope, made
+from larkcrank.lab.scale.slopes import Slope, fit_slope
 from larkcrank.lab.virtual import COUNT_MS, World
 
 SEEDS = (1, 2, 3)
@@ -535,7 +535,7 @@
         cost, unit = COSTS[plan.figure]
         words = {"title": plan.title, "cost": cost, "unit": unit, "by": plan.by, "run": run}
         try:
-            slope = made(points, role="view", how="virtual", command=COMMAND, **words)
+            slope = fit_slope(points, role="view", how="virtual", command=COMMAND, **words)
         except FitError as error:
             told(f"{plan.name}: no slope: {error}")
             continue
@@ -568,7 +568,7 @@
     members: tuple[int, ...], views: tuple[int, ...], seeds: tuple[int, ...], jobs: int, out: Path, more: bool
 ) -> None:
     """What the view of a fleet costs by its members and by those lost at once, in virtual time."""
-    began, load = time.monotonic(), machine.Load()
+    began, load = time.monotonic(), machine.LoadMeter()
     path, plays = out / "runs" / "view.json", out / "runs" / "view-plays.jsonl"
 
     def told(text: str) -> None:
@@ -582,12 +582,12 @@
     run = Run(
         command=COMMAND,
         date=datetime.now(UTC).isoformat(timespec="seconds"),
-        commit=machine.text_commit(),
+        commit=machine.source_commit(),
         took_s=round(time.monotonic() - began, 1),
-        machine=load.seen(sum(sum(resource.getrusage(who)[:2]) for who in OWN)),
+        machine=load.summary(sum(sum(resource.getrusage(who)[:2]) for who in OWN)),
         plays=[asdict(case) | {"found": played[case]} for case in cases],
     )
     slopes.write_json(path, run)
-    for name, one in fitted(chosen, played, seeds, str(slopes.RUNS / "view.json"), told).items():
-        slopes.write(name, one, out / "slopes")
+    for name, one in fitted(chosen, played, seeds, str(slopes.RUNS_FOLDER / "view.json"), told).items():
+        slopes.write_slope(name, one, out / "slopes")
         click.echo(f"{name}: {one.slope:.4g} ({one.low:.4g} to {one.high:.4g}), at none {one.intercept:.4g}")
--- a/larkcrank/lab/scale/virtual_way.py
+++ b/larkcrank/lab/scale/virtual_way.py
@@ -29,8 +29,8 @@
 
 import msgspec
 
-from larkcrank.lab.scale.machine import text_commit
-from larkcrank.lab.scale.slopes import RUNS, write_json
+from larkcrank.lab.scale.machine import source_commit
+from larkcrank.lab.scale.slopes import RUNS_FOLDER, write_json
 from larkcrank.program.log import Log
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import LIST_TARGET, watch_target
@@ -937,7 +937,7 @@
     parser = argparse.ArgumentParser(description="the tiers' program in virtual time")
     parser.add_argument("--sizes", default="1000,4000,12000")
     parser.add_argument("--hour", type=float, default=3600.0, help="seconds that a region is cut off")
-    parser.add_argument("--out", type=Path, default=RUNS)
+    parser.add_argument("--out", type=Path, default=RUNS_FOLDER)
     words = parser.parse_args()
 
     def say(text: str) -> None:
@@ -950,7 +950,7 @@
         finally:
             world.close()
         write_json(
-            words.out / f"way-virtual-{size}.json", {"size": size, "commit": text_commit(), "cases": told}
+            words.out / f"way-virtual-{size}.json", {"size": size, "commit": source_commit(), "cases": told}
         )
     return 0
 
--- a/larkcrank/lab/scale/way.py
+++ b/larkcrank/lab/scale/way.py
@@ -24,12 +24,12 @@
 from typing import Any, TypeVar
 
 from larkcrank.lab.scale.children import ChildError
-from larkcrank.lab.scale.hollow import TAG, HollowHosts, HollowReport, HostReport, Spec
+from larkcrank.lab.scale.hollow import CHANGE_NUMBER_SCALE, HollowHosts, HollowReport, HostReport, HostSpec
 from larkcrank.lab.scale.light import LightHosts
-from larkcrank.lab.scale.machine import LimitError, Load, look, text_commit
+from larkcrank.lab.scale.machine import LimitError, LoadMeter, available_resources, source_commit
 from larkcrank.lab.scale.registry import RegistryProcess
 from larkcrank.lab.scale.registry import Spec as RegistrySpec
-from larkcrank.lab.scale.slopes import RUNS, write_json
+from larkcrank.lab.scale.slopes import RUNS_FOLDER, write_json
 from larkcrank.lab.tiers import Line, Source, Tier, TierError, written
 
 REGIONS = 9
@@ -84,7 +84,7 @@
             "machineType": "plain",
             "cell": 0,
             "lifecycle": lifecycle,
-            "weight": 1.0 + change / TAG,
+            "weight": 1.0 + change / CHANGE_NUMBER_SCALE,
             "startedAtMs": 0,
             "service": name(self.service(n)),
         }
@@ -144,8 +144,8 @@
 
 def _in_force(hollow: HollowReport, change: Changed) -> float:
     for seen in hollow.seen:
-        if seen.at >= change.at and seen.first <= change.number <= seen.last:
-            return seen.at - change.at
+        if seen.applied_at >= change.at and seen.first_change <= change.number <= seen.last_change:
+            return seen.applied_at - change.at
     return math.inf
 
 
@@ -293,11 +293,11 @@
     def usage(self) -> dict[str, tuple[float, float]]:
         import psutil
 
-        process = psutil.Process(self._registry.child.pid)
-        return {"discovery": (process.memory_full_info().uss / MIB, self._registry.child.cpu_s())}
+        process = psutil.Process(self._registry.process.pid)
+        return {"discovery": (process.memory_full_info().uss / MIB, self._registry.process.cpu_s())}
 
     async def states(self) -> dict[str, dict[str, Any]]:
-        account = await self._registry.account()
+        account = await self._registry.stats()
         return {
             "discovery": {
                 "calls": account.watches + account.lists,
@@ -328,13 +328,13 @@
 
     async def play(self, brief: bool = False) -> dict[str, Any]:
         way = self.way
-        load = Load()
+        load = LoadMeter()
         began = time.monotonic()
         await way.start()
         tiers_s = time.monotonic() - began
         self._say(f"{self.what}: the way is up after {tiers_s:.1f} s")
         # The beat that finds late loops is 50 wake-ups a second for each, and no part of the way of a change.
-        spec = Spec(count=self.sidecars, discovery=way.discovery, beats=False, spread_s=1.0)
+        spec = HostSpec(count=self.sidecars, discovery=way.discovery, beats=False, spread_s=1.0)
         if self._light:
             if way.kind == "old":  # 12,000 whole lists of 12,000 are 20 GB, and no part of a change's way
                 spec.config = {"generation": 1}
@@ -343,9 +343,9 @@
             self.hosts = HollowHosts(spec, min(EACH, max(50, self.sidecars // 16)))
         try:
             await self.hosts.start()
-            await self.hosts.serving()
+            await self.hosts.wait_until_serving()
             self.start_s = time.monotonic() - began - tiers_s
-            await self.hosts.rest()
+            await self.hosts.collect_garbage()
             await asyncio.sleep(3.0)
             self._say(f"{self.what}: all serve after {self.start_s:.1f} s")
             state = await way.states()
@@ -388,8 +388,8 @@
                     )
                 ),
                 "phases": [phase.__dict__ for phase in self.phases],
-                "machine": load.seen(0.0) | {"processors": look().processors},
-                "commit": text_commit(),
+                "machine": load.summary(0.0) | {"processors": available_resources().processors},
+                "commit": source_commit(),
             }
         finally:
             await self.hosts.close()
@@ -398,8 +398,8 @@
         self, what: str, count: int, seconds: float, play: Callable[[Phase], Awaitable[list[Changed]]]
     ) -> None:
         phase = Phase(what, count, seconds)
-        await self.hosts.forget()
-        load = Load()
+        await self.hosts.clear_applied_lists()
+        load = LoadMeter()
         before, tiers, states = await self.hosts.collect(), self.way.usage(), await self.way.states()
         began = time.monotonic()
         changes = await play(phase)
@@ -431,7 +431,7 @@
         phase.origin_calls_per_s = origin.get("calls_per_s", 0.0)
         own = sum(host.cpu_s for host in after) - sum(host.cpu_s for host in before)
         own += sum(cpu - tiers[tier][1] for tier, (_, cpu) in tiers_after.items())
-        phase.machine = load.seen(own)
+        phase.machine = load.summary(own)
         self.phases.append(phase)
         self._say(
             f"{self.what} {what}: median {phase.median_s:.3f} p99 {phase.p99_s:.3f} "
@@ -530,7 +530,7 @@
     )
     parser.add_argument("plays", type=play, nargs="+", metavar="KIND:SIZE")
     parser.add_argument("--calls", type=int, default=CALLS, help="services that a sidecar calls")
-    parser.add_argument("--out", type=Path, default=RUNS)
+    parser.add_argument("--out", type=Path, default=RUNS_FOLDER)
     parser.add_argument("--brief", action="store_true", help="without the minute at the sustained rate")
     words = parser.parse_args()
     asyncio.run(measure(words.plays, words.out, words.brief, words.calls))
--- a/larkcrank/lab/scale/way_report.py
+++ b/larkcrank/lab/scale/way_report.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from larkcrank.lab.scale.slopes import RUNS
+from larkcrank.lab.scale.slopes import RUNS_FOLDER
 
 KINDS = {
     "tiers": "tiers, hollow sidecars",
@@ -177,8 +177,8 @@
 
 def main() -> int:
     parser = argparse.ArgumentParser(description="tables and chart of the way of a change")
-    parser.add_argument("--runs", type=Path, default=RUNS)
-    parser.add_argument("--out", type=Path, default=RUNS.parent)
+    parser.add_argument("--runs", type=Path, default=RUNS_FOLDER)
+    parser.add_argument("--out", type=Path, default=RUNS_FOLDER.parent)
     words = parser.parse_args()
     runs = read(words.runs)
     tables = [
