--- a/larkcrank/lab/scale/children.py
+++ b/larkcrank/lab/scale/children.py
@@ -1,7 +1,8 @@
-"""Processes of a scale test: told by lines of JSON on standard input, telling the same on standard output.
+"""Child processes of a scale test. They read commands as lines of JSON on standard input, and write events
+as lines of JSON on standard output.
 
-Each has one owner, which ends it by its id. One whose owner has gone ends by itself: the kernel tells it, and
-its standard input ends.
+Each child has one owner, which ends it by its process id. If the owner dies, the child ends too: the kernel
+kills it (PR_SET_PDEATHSIG), and its standard input reaches the end of file.
 """
 
 import asyncio
@@ -16,33 +17,34 @@
 
 from larkcrank.lab.scale import machine
 
-MAX_LINE_BYTES = 1 << 26  # reports of some hundred hollow sidecars are one line
-RESPONSE_TIMEOUT_S = (
-    120.0  # a process that says nothing so long, asked, is given up; the machine may be crowded
-)
-EXIT_TIMEOUT_S = 3.0  # asked to end, it has so long; killed, it leaves nothing behind either
+MAX_LINE_BYTES = 1 << 26  # a report of several hundred hollow sidecars is a single line
+RESPONSE_TIMEOUT_S = 120.0  # long enough for a busy machine
+EXIT_TIMEOUT_S = 3.0  # then it is killed, which leaves nothing behind either
 _PR_SET_PDEATHSIG = 1
 _libc = ctypes.CDLL(None)
 
 
 class ChildError(Exception):
-    """A process did not start, ended by itself or did not answer; the message holds its last words."""
+    """A process did not start, ended unexpectedly or did not respond. The message ends with its last output
+    on standard error."""
 
 
 def _end_with_parent() -> None:
     _libc.prctl(_PR_SET_PDEATHSIG, signal.SIGKILL)
-    signal.signal(signal.SIGINT, signal.SIG_IGN)  # a terminal tells all at once; the owner ends it in order
+    signal.signal(
+        signal.SIGINT, signal.SIG_IGN
+    )  # Ctrl-C reaches the whole group; the owner ends its children
 
 
 class ChildProcess:
-    """One process. Its first words are `{"event": "ready", ...}`."""
+    """A child process as its owner sees it. The first event that it writes is `{"event": "ready", ...}`."""
 
     def __init__(self, name: str, module: str, spec: msgspec.Struct) -> None:
         self.name = name
-        self.ready_message: dict[str, Any] = {}  # its first words
+        self.ready_message: dict[str, Any] = {}  # the `ready` event
         self._module, self._spec = module, spec
         self._process: asyncio.subprocess.Process | None = None
-        self._last = b""  # of what it wrote on standard error
+        self._stderr_tail = b""  # the end of its standard error output
 
     @property
     def pid(self) -> int:
@@ -54,7 +56,7 @@
         return self._process is not None
 
     async def start(self) -> None:
-        """Returns once it is ready. Raises `ChildError`."""
+        """Starts the process and waits for its `ready` event. Raises `ChildError`."""
         self._process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -65,38 +67,42 @@
             limit=MAX_LINE_BYTES,
             preexec_fn=_end_with_parent,
         )
-        self._errors = asyncio.get_running_loop().create_task(self._read_errors(self._process))
-        self._write(msgspec.json.encode(self._spec))
+        self._stderr_task = asyncio.get_running_loop().create_task(self._read_stderr(self._process))
+        self._write_line(msgspec.json.encode(self._spec))
         self.ready_message = await self.read_event("ready")
 
-    async def send_command(self, do: str, **more: Any) -> dict[str, Any]:
-        """Tell it to do something and hear what came of it. Raises `ChildError`."""
-        self._write(msgspec.json.encode({"do": do, **more}))
-        return await self.read_event(do)
+    async def send_command(self, command: str, **arguments: Any) -> dict[str, Any]:
+        """Sends a command and returns the event of the same name that answers it. Raises `ChildError`."""
+        self._write_line(msgspec.json.encode({"do": command, **arguments}))
+        return await self.read_event(command)
 
-    async def read_event(self, event: str, wait_s: float = RESPONSE_TIMEOUT_S) -> dict[str, Any]:
-        """Its next words, which must be these. Raises `ChildError`."""
+    async def read_event(self, event: str, timeout_s: float = RESPONSE_TIMEOUT_S) -> dict[str, Any]:
+        """Reads the next event, which must be `event`. Raises `ChildError`."""
         process = self._process
         assert process is not None and process.stdout is not None
         try:
-            async with asyncio.timeout(wait_s):
+            async with asyncio.timeout(timeout_s):
                 line = await process.stdout.readline()
         except TimeoutError:
-            raise ChildError(f"{self.name}: no {event!r} in {wait_s:.0f} s; {self._words()}") from None
+            raise ChildError(
+                f"{self.name}: no {event!r} event within {timeout_s:.0f} s; {self._stderr_text()}"
+            ) from None
         if not line:
-            await self._errors
-            raise ChildError(f"{self.name}: ended by itself with {await process.wait()}; {self._words()}")
-        told: dict[str, Any] = msgspec.json.decode(line)
-        if told.get("event") != event:
-            raise ChildError(f"{self.name}: {event!r} was wanted, it said {line[:200]!r}")
-        return told
+            await self._stderr_task
+            raise ChildError(
+                f"{self.name}: exited unexpectedly with code {await process.wait()}; {self._stderr_text()}"
+            )
+        message: dict[str, Any] = msgspec.json.decode(line)
+        if message.get("event") != event:
+            raise ChildError(f"{self.name}: expected event {event!r}, got {line[:200]!r}")
+        return message
 
     def cpu_s(self) -> float:
-        """Processor time so far; nought once it is gone."""
+        """Processor time so far; 0 once the process has ended."""
         return machine.cpu_s(self.pid)
 
     def suspend(self) -> None:
-        """It stands still from now on."""
+        """Suspends the process with SIGSTOP."""
         os.kill(self.pid, signal.SIGSTOP)
 
     def resume(self) -> None:
@@ -108,12 +114,12 @@
         await self.close()
 
     async def close(self) -> None:
-        """Whatever happened: it is gone afterwards, and its pipes with it."""
+        """Ends the process and closes its pipes, even if waiting for it fails."""
         process, self._process = self._process, None
         if process is None:
             return
         assert process.stdin is not None
-        process.stdin.close()  # asks it to end
+        process.stdin.close()  # the end of its standard input tells the process to exit
         try:
             async with asyncio.timeout(EXIT_TIMEOUT_S):
                 await process.wait()
@@ -123,28 +129,28 @@
             if process.returncode is None:
                 process.kill()
             await process.wait()
-            await self._errors
+            await self._stderr_task
 
-    def _write(self, line: bytes) -> None:
+    def _write_line(self, line: bytes) -> None:
         assert self._process is not None and self._process.stdin is not None
         self._process.stdin.write(line + b"\n")
 
-    async def _read_errors(self, process: asyncio.subprocess.Process) -> None:
+    async def _read_stderr(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr is not None
         while data := await process.stderr.read(4096):
-            self._last = (self._last + data)[-2000:]
+            self._stderr_tail = (self._stderr_tail + data)[-2000:]
 
-    def _words(self) -> str:
-        return "its last words: " + (self._last.decode("utf-8", "replace").strip() or "none")
+    def _stderr_text(self) -> str:
+        return "standard error: " + (self._stderr_tail.decode("utf-8", "replace").strip() or "none")
 
 
 async def close_all(children: Sequence[ChildProcess]) -> None:
-    """End all of them; none is left, also where ending one fails."""
+    """Ends all child processes, also when ending one of them fails."""
     await asyncio.gather(*(child.close() for child in children), return_exceptions=True)
 
 
 class CommandChannel:
-    """The other end, in the process: its orders, and its words."""
+    """The child's end of the pipes: reads commands and writes events."""
 
     def __init__(self) -> None:
         self._reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
@@ -154,17 +160,17 @@
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(self._reader), sys.stdin)
 
     async def read_command(self) -> dict[str, Any] | None:
-        """The next order; None: it is to end."""
+        """Returns the next command, or None if the process has to exit."""
         line = await self._reader.readline()
         if not line:
             return None
-        found: dict[str, Any] = msgspec.json.decode(line)
-        return found
+        command: dict[str, Any] = msgspec.json.decode(line)
+        return command
 
     async def read_spec(self) -> bytes:
-        """Its first line."""
+        """Reads the first line, which holds the process's specification."""
         return await self._reader.readline()
 
-    def send_event(self, event: str, **more: Any) -> None:
-        sys.stdout.buffer.write(msgspec.json.encode({"event": event, **more}) + b"\n")
+    def send_event(self, event: str, **fields: Any) -> None:
+        sys.stdout.buffer.write(msgspec.json.encode({"event": event, **fields}) + b"\n")
         sys.stdout.buffer.flush()
--- a/larkcrank/lab/scale/hollow.py
+++ b/larkcrank/lab/scale/hollow.py
@@ -1,15 +1,21 @@
-"""Hollow sidecars: the program's own parts without sockets for clients, many in a process.
-
-Real, as the program has it: discovery's watch and its connections, the parser of lists, driver, balancer,
-server side, clock and, where `fleet` is configured, the view, ranks, lists in common and their datagrams.
-Left out: the clients' and the operators' listeners and what is behind them, signals, log lines (events are
-counted), the handover. Shared by those of a process, unlike in service: interpreter, code, settings, loop.
-
-A host process (`python -m larkcrank.lab.scale.hollow`) reads its `Spec` as the first line of standard input,
-then orders: `serving` (answered once each has a list in force), `report`, `forget` (what was seen so far),
-`rest` (the garbage that starting left is collected and the rest frozen, as the program does after its start),
-`still` (no beat of 20 ms any more).
-It ends with its standard input. `HollowHosts` owns many.
+"""Hollow sidecars: the control part of the sidecar program without client sockets, many in one process.
+
+A hollow sidecar has the program's own discovery watch with its connections, list parser, driver, balancer,
+server side and clock. If `fleet` is configured, it also has the view, the ranks, the shared lists and their
+datagrams. It lacks the listeners for clients and operators and all that is behind them, signals, the
+handover, and log lines (events are only counted). Unlike in service, the sidecars of a process share the
+interpreter, the code, the settings and the event loop.
+
+A host process (`python -m larkcrank.lab.scale.hollow`) reads its `HostSpec` as the first line of standard
+input, then accepts these commands:
+
+- `serving`: responds once each sidecar has applied a list;
+- `report`: responds with a `HostReport`;
+- `forget`: clears the applied lists recorded so far;
+- `rest`: collects garbage and freezes all other objects, as the program does after its start;
+- `still`: stops the heartbeat of 20 ms.
+
+It exits when its standard input is closed. `HollowHosts` owns many host processes.
 """
 
 import asyncio
@@ -43,94 +49,96 @@
 from larkcrank.transport.descriptors import Descriptors
 from larkcrank.transport.pool import Pool
 
-CHANGE_NUMBER_SCALE = 1 << 20  # a line's weight is 1 + the number of its last change / TAG, see `tag`
-MAX_RECORDED_LISTS = 8192  # of a sidecar's lists in force that are kept to be told
+CHANGE_NUMBER_SCALE = 1 << 20  # see `change_number`
+MAX_RECORDED_LISTS = 8192  # per sidecar
 SOCKET_LIMIT = 1024
 MEMORY_LIMIT_MB = 192.0
 DATAGRAM_PORTS = (
     10_000,
     20_000,
-)  # the first for datagrams and how many; one for all, each on an address of its own
-ADDRESSES_PER_OCTET = 250  # addresses of a net for them
+)  # first port and number of ports; all sidecars of a run use one port, on different addresses
+ADDRESSES_PER_OCTET = 250  # used in each octet of a sidecar's address
 POLL_S = 0.01
-MAX_CONCURRENT_STARTS = 4  # processes that start side by side
+MAX_CONCURRENT_STARTS = 4  # processes
 STATUS_LINE_BYTES = len(b"HTTP/1.1 200 OK\r\n")
 
 
 def change_number(weight: float) -> int:
-    """The number of the change that made a line what it is; 0: it is as it was at first.
+    """Decodes the number of the last change of a list entry from its weight; 0 means never changed.
 
-    The settings here call listed weights no sizes, so that the balancer does not go by them; whoever passes
-    lines on passes on the number with them, and it needs no key of its own.
+    The weight is 1 + number / CHANGE_NUMBER_SCALE. The settings of scale tests don't let the balancer use
+    listed weights. Tiers pass the weight on with the entry, so the number needs no key of its own.
     """
     return round((weight - 1.0) * CHANGE_NUMBER_SCALE)
 
 
 class HostSpec(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What a host process is told."""
-
-    count: int
-    discovery: list[str]  # host:port; sidecar number n asks the n-th, in turn
-    first: int = 0  # the number of its first sidecar
-    settings: dict[
-        str, Any
-    ] = {}  # merged into the bench's settings; `ordinal` is the number, modulo instances
-    # Merged into the configuration file; in its texts {i} is the sidecar's number, {own} where it may bind
-    # its socket for datagrams, {seed0} to {seed2} those of the first three.
+    """The configuration of a host process."""
+
+    count: int  # of sidecars
+    discovery: list[str]  # host:port; sidecars use these addresses round-robin, by their number
+    first: int = 0  # number of the first sidecar
+    # Merged into the lab's default settings. `ordinal` is set to the sidecar's number, modulo the instances.
+    settings: dict[str, Any] = {}
+    # Merged into the configuration file. In its strings, {i} is replaced by the sidecar's number, {own} by
+    # the address for its datagram socket, and {seed0} to {seed2} by those of the first three sidecars.
     config: dict[str, Any] = {}
     port: int = DATAGRAM_PORTS[0]  # for datagrams
-    beats: bool = True  # each keeps the program's beat of 20 ms; off: idle time is then without it
-    spread_s: float = 0.0  # over which they start
+    beats: bool = True  # whether sidecars run the program's heartbeat of 20 ms, which adds to idle time
+    spread_s: float = 0.0  # period over which the sidecars start
     seed: int = 1
 
 
 class AppliedList(msgspec.Struct, array_like=True):
-    """One list in force: the balancer had handled it. Numbers are those of `tag`."""
+    """A list that the balancer has applied. Changes are numbered as in `change_number`."""
 
     applied_at: float  # seconds on the machine's monotonic clock, the same in all processes
     generation: int
     is_complete: bool
     endpoint_count: int
-    first_change: int  # the least change that a line of it tells ...
+    first_change: int  # the lowest change number among its entries ...
     last_change: int  # ... and the highest
 
 
 class HollowReport(msgspec.Struct):
-    """One sidecar's."""
+    """The report of one sidecar."""
 
     number: int
-    began: float  # monotonic seconds
-    serving: float | None  # when its first list with a line in it was in force
-    servers: int  # in the balancer's list, told as places
+    began: float  # start time, in monotonic seconds
+    serving: float | None  # when it had applied its first list with an entry, in monotonic seconds
+    servers: int  # number of servers in the balancer's list
     generation: int | None
-    seen: list[AppliedList]
-    unseen: int  # lists in force beyond SEEN_MOST
-    bytes_in: int  # of discovery's answers, heads and bodies
-    bytes_out: int
-    calls: int
-    failures: int
+    seen: list[AppliedList]  # the last applied lists
+    unseen: int  # number of applied lists beyond MAX_RECORDED_LISTS, which are not in `seen`
+    bytes_in: int  # of discovery's responses, heads and bodies
+    bytes_out: int  # of requests to discovery
+    calls: int  # to discovery
+    failures: int  # of calls to discovery
     crashed: int
-    events: dict[str, int]  # what it would have logged, by event
-    together: dict[str, Any] = {}  # counters of the fleet's part
-    live: int = 0  # members in its view, itself too
+    events: dict[str, int]  # number of events that the program would have logged, by event
+    together: dict[str, Any] = {}  # counters of the fleet member
+    live: int = 0  # live members in its view, including itself
 
     def applied_at(self, change: int) -> float | None:
-        """When a list was in force that tells this change or a later one; None: not yet."""
-        return next((one.applied_at for one in self.seen if one.last_change >= change), None)
+        """Time at which a list with this change or a later one was applied; None if none was yet."""
+        return next(
+            (applied_list.applied_at for applied_list in self.seen if applied_list.last_change >= change),
+            None,
+        )
 
 
 class HostReport(msgspec.Struct):
-    """One process's."""
+    """The report of one host process."""
 
     pid: int
-    cpu_s: float  # since its start
+    cpu_s: float  # processor time since its start
     rss_mib: float
-    uss_mib: float  # that is its own
+    uss_mib: float  # memory not shared with other processes
     hollows: list[HollowReport]
 
 
-class _Journal:
-    """Counts what the program would log."""
+class _EventCounter:
+    """Counts the events that the program would log."""
 
     def __init__(self) -> None:
         self.events: Counter[str] = Counter()
@@ -142,67 +150,68 @@
         self.events[f"crashed: {where}: {error!r}"[:200]] += 1
 
 
-class _Watching:
-    """Decisions, and a note of when each list was in force."""
+class _RecordingBalancer:
+    """A balancer that calls `on_list_applied` after each list that it has applied."""
 
-    def __init__(self, balancer: Balancer, seen: Callable[[ServerList], None]) -> None:
-        self._balancer, self._seen = balancer, seen
+    def __init__(self, balancer: Balancer, on_list_applied: Callable[[ServerList], None]) -> None:
+        self._balancer, self._on_list_applied = balancer, on_list_applied
 
     def handle(self, now: float, event: Event) -> list[Action]:
         actions = self._balancer.handle(now, event)
         if isinstance(event, ServerList):
-            self._seen(event)
+            self._on_list_applied(event)
         return actions
 
 
-class _CountedLine:
-    """A connection to discovery, and the bytes that its calls take."""
+class _CountedConnection:
+    """A connection to discovery that counts the bytes of its requests and responses."""
 
-    def __init__(self, line: Any, count: "Callable[[int, int], None]") -> None:
-        self._line, self._count = line, count
+    def __init__(self, connection: Any, count_bytes: "Callable[[int, int], None]") -> None:
+        self._connection, self._count_bytes = connection, count_bytes
 
     async def get(self, target: bytes) -> http1.Response:
-        response: http1.Response = await self._line.get(target)
-        head = STATUS_LINE_BYTES + sum(len(field.line) + 2 for field in response.fields) + 2
-        self._count(
-            head + len(response.body), len(http1.request_bytes(b"GET", target, (b"Host: " + HOST_HEADER,)))
+        response: http1.Response = await self._connection.get(target)
+        head_bytes = STATUS_LINE_BYTES + sum(len(field.line) + 2 for field in response.fields) + 2
+        self._count_bytes(
+            head_bytes + len(response.body),
+            len(http1.request_bytes(b"GET", target, (b"Host: " + HOST_HEADER,))),
         )
         return response
 
     def close(self) -> None:
-        self._line.close()
+        self._connection.close()
 
 
-HOST_HEADER = b"127.0.0.1:65535"  # as long as one mostly is
+HOST_HEADER = b"127.0.0.1:65535"  # stands for the actual header, which has about this length
 
 
 class _CountedDiscovery(DiscoveryClient):
-    """Discovery's watch as it is, with its bytes counted."""
+    """The program's discovery client, with its bytes counted."""
 
     bytes_in = bytes_out = 0
 
-    async def _call(self, line: Any, call: CallKind) -> Exception | None:
-        return await super()._call(_CountedLine(line, self._add), call)  # type: ignore[arg-type]
+    async def _call(self, connection: Any, call: CallKind) -> Exception | None:
+        return await super()._call(_CountedConnection(connection, self._add_bytes), call)  # type: ignore[arg-type]
 
-    def _add(self, came: int, went: int) -> None:
-        self.bytes_in += came
-        self.bytes_out += went
+    def _add_bytes(self, received_bytes: int, sent_bytes: int) -> None:
+        self.bytes_in += received_bytes
+        self.bytes_out += sent_bytes
 
 
-class _Clock(Clock):
-    """The program's; its beat can be stilled."""
+class _HeartbeatClock(Clock):
+    """The program's clock, with a heartbeat that can be turned off."""
 
-    def __init__(self, beats: bool) -> None:
-        self.beats = beats
+    def __init__(self, is_enabled: bool) -> None:
+        self.is_enabled = is_enabled
         super().__init__()
 
     def start_heartbeat(self) -> None:
-        if self.beats:
+        if self.is_enabled:
             super().start_heartbeat()
 
 
 def datagram_address(number: int, port: int) -> str:
-    """Where a sidecar may bind its socket for datagrams."""
+    """The loopback address on which a sidecar may bind its datagram socket."""
     return (
         f"127.{100 + number // ADDRESSES_PER_OCTET**2}"
         f".{number // ADDRESSES_PER_OCTET % ADDRESSES_PER_OCTET}"
@@ -211,18 +220,18 @@
 
 
 class HollowSidecar:
-    """One sidecar. It is put together as `program.sidecar` does it."""
+    """One hollow sidecar, assembled as in `program.sidecar`."""
 
-    def __init__(self, number: int, config: configuration.Config, beats: bool, rng: Random) -> None:
+    def __init__(self, number: int, config: configuration.Config, has_heartbeat: bool, rng: Random) -> None:
         self.number = number
         self.started_at = time.monotonic()
         self.serving_at: float | None = None
-        self.event_counter = _Journal()
+        self.event_counter = _EventCounter()
         self.counters = Counters()
-        self._seen: deque[AppliedList] = deque(maxlen=MAX_RECORDED_LISTS)
-        self._seen_count = 0
+        self._applied_lists: deque[AppliedList] = deque(maxlen=MAX_RECORDED_LISTS)
+        self._applied_list_count = 0
         site = config.site
-        self._clock = _Clock(beats)
+        self._clock = _HeartbeatClock(has_heartbeat)
         self._names = Names(list(site.zones), list(site.kinds))
         descriptors = Descriptors(config.sockets)
         self._pool = Pool(descriptors, site.keepalive_ms)
@@ -251,7 +260,7 @@
         self._listed: set[bytes] = set()
         balancer = Balancer(site.decisions, Random(rng.getrandbits(64)), self._clock())
         self._driver = Driver(
-            _Watching(balancer, self._in_force),
+            _RecordingBalancer(balancer, self._record_applied_list),
             self._clock,
             self._servers,
             self._discovery,
@@ -262,40 +271,42 @@
         )
         self._balancer = balancer
         self._must_ask = site.decisions.must_ask
-        self._together: FleetMember | None = None
+        self._fleet_member: FleetMember | None = None
         if config.fleet is not None:
-            shared = Random(rng.getrandbits(64))
-            self._together = FleetMember(
-                config, self._names, self._clock, self.event_counter, self._driver, shared
+            fleet_rng = Random(rng.getrandbits(64))
+            self._fleet_member = FleetMember(
+                config, self._names, self._clock, self.event_counter, self._driver, fleet_rng
             )
 
     def start(self) -> None:
-        """As a sidecar with no list held: discovery is asked."""
-        known: Listing | None = None
-        if self._together is not None:
-            self._together.attach(self._discovery)
-            known = self._together.initial_list(None)
-        self._driver.receive_list(known if known is not None else Listing(0, True, ()), cached=True)
+        """Starts as a sidecar without a saved list, which has to ask discovery."""
+        initial_list: Listing | None = None
+        if self._fleet_member is not None:
+            self._fleet_member.attach(self._discovery)
+            initial_list = self._fleet_member.initial_list(None)
+        self._driver.receive_list(
+            initial_list if initial_list is not None else Listing(0, True, ()), cached=True
+        )
         if not self._must_ask:
             self._discovery.watch()
         self._clock.start_heartbeat()
-        if self._together is not None:
-            self._together.start()
+        if self._fleet_member is not None:
+            self._fleet_member.start()
 
     def close(self) -> None:
-        if self._together is not None:
-            self._together.close()
+        if self._fleet_member is not None:
+            self._fleet_member.close()
         self._discovery.close()
         self._pool.close()
 
     def stop_heartbeat(self) -> None:
-        """No beat from now on."""
-        self._clock.beats = False
+        """Stops the heartbeat."""
+        self._clock.is_enabled = False
 
     def clear_applied_lists(self) -> None:
-        """What was seen so far is not told any more."""
-        self._seen.clear()
-        self._seen_count = 0
+        """Clears the applied lists recorded so far."""
+        self._applied_lists.clear()
+        self._applied_list_count = 0
 
     def report(self) -> HollowReport:
         return HollowReport(
@@ -304,36 +315,48 @@
             serving=self.serving_at,
             servers=len(self._servers.host_ports()),
             generation=self._discovery.generation,
-            seen=list(self._seen),
-            unseen=self._seen_count - len(self._seen),
+            seen=list(self._applied_lists),
+            unseen=self._applied_list_count - len(self._applied_lists),
             bytes_in=self._discovery.bytes_in,
             bytes_out=self._discovery.bytes_out,
             calls=self.counters.discovery_calls,
             failures=self.counters.discovery_failures,
             crashed=self.counters.crashed,
             events=dict(self.event_counter.events),
-            together={} if self._together is None else self._together.counters(),
-            live=0 if self._together is None else int(self._together.view().split(" ", 2)[1]),
+            together={} if self._fleet_member is None else self._fleet_member.counters(),
+            live=0 if self._fleet_member is None else int(self._fleet_member.view().split(" ", 2)[1]),
         )
 
-    def _in_force(self, event: ServerList) -> None:
+    def _record_applied_list(self, event: ServerList) -> None:
         if not event.endpoints:
             return
-        at = time.monotonic()
+        applied_at = time.monotonic()
         if self.serving_at is None:
-            self.serving_at = at
-        tags = [change_number(endpoint.size) for endpoint in event.endpoints]
-        self._seen.append(AppliedList(at, event.revision, event.complete, len(tags), min(tags), max(tags)))
-        self._seen_count += 1
+            self.serving_at = applied_at
+        change_numbers = [change_number(endpoint.size) for endpoint in event.endpoints]
+        self._applied_lists.append(
+            AppliedList(
+                applied_at,
+                event.revision,
+                event.complete,
+                len(change_numbers),
+                min(change_numbers),
+                max(change_numbers),
+            )
+        )
+        self._applied_list_count += 1
 
 
 def first_config(spec: HostSpec) -> configuration.Config:
-    """The configuration that all of a host share but for names and addresses. Raises `ConfigError`."""
-    return _parse(spec, spec.first)
+    """The first sidecar's configuration, whose settings all sidecars of the host share.
 
+    Raises `ConfigError`.
+    """
+    return _sidecar_config(spec, spec.first)
 
-def _parse(spec: HostSpec, number: int) -> configuration.Config:
-    file = merged(
+
+def _sidecar_config(spec: HostSpec, number: int) -> configuration.Config:
+    config_file = merged(
         {
             "name": f"hollow-{number}",
             "listen": "127.0.0.1:0",  # never bound
@@ -342,126 +365,134 @@
             "seed": f"{spec.seed * 1_000_003 + number:x}",
             "limits": {"sockets": SOCKET_LIMIT, "memory_mb": MEMORY_LIMIT_MB},
         },
-        _with_texts(spec.config, number, spec.port),
+        _fill_placeholders(spec.config, number, spec.port),
     )
-    return configuration.parse(msgspec.json.encode(file), {})
+    return configuration.parse(msgspec.json.encode(config_file), {})
 
 
-def _with_texts(value: Any, number: int, port: int) -> Any:
+def _fill_placeholders(value: Any, number: int, port: int) -> Any:
     if isinstance(value, str):
-        seeds = {f"seed{other}": datagram_address(other, port) for other in range(3)}
-        return value.format(i=number, own=datagram_address(number, port), **seeds)
+        seed_addresses = {
+            f"seed{seed_number}": datagram_address(seed_number, port) for seed_number in range(3)
+        }
+        return value.format(i=number, own=datagram_address(number, port), **seed_addresses)
     if isinstance(value, dict):
-        return {key: _with_texts(one, number, port) for key, one in value.items()}
-    return [_with_texts(one, number, port) for one in value] if isinstance(value, list) else value
+        return {key: _fill_placeholders(item, number, port) for key, item in value.items()}
+    return [_fill_placeholders(item, number, port) for item in value] if isinstance(value, list) else value
 
 
 class SidecarHost:
-    """Hollow sidecars of one process, on its loop."""
+    """The hollow sidecars of one process, on its event loop."""
 
     def __init__(self, spec: HostSpec) -> None:
         self._spec = spec
         self.sidecars: list[HollowSidecar] = []
 
     async def start(self) -> None:
-        spec, shared = self._spec, first_config(self._spec)
+        spec, shared_config = self._spec, first_config(self._spec)
         for index in range(spec.count):
             number = spec.first + index
-            one = _parse(spec, number) if index else shared
-            decisions = shared.site.decisions
-            own = replace(decisions, ordinal=number % max(decisions.instances, 1))
-            config = replace(one, site=replace(shared.site, decisions=own), settings=shared.settings)
-            hollow = HollowSidecar(number, config, spec.beats, Random(config.seed))
-            self.sidecars.append(hollow)
-            hollow.start()
+            own_config = _sidecar_config(spec, number) if index else shared_config
+            decisions = shared_config.site.decisions
+            own_decisions = replace(decisions, ordinal=number % max(decisions.instances, 1))
+            config = replace(
+                own_config,
+                site=replace(shared_config.site, decisions=own_decisions),
+                settings=shared_config.settings,
+            )
+            sidecar = HollowSidecar(number, config, spec.beats, Random(config.seed))
+            self.sidecars.append(sidecar)
+            sidecar.start()
             await asyncio.sleep(spec.spread_s / spec.count)
 
     def serving_count(self) -> int:
-        """How many have a list in force."""
-        return sum(hollow.serving_at is not None for hollow in self.sidecars)
+        """Number of sidecars that have applied a list."""
+        return sum(sidecar.serving_at is not None for sidecar in self.sidecars)
 
     def report(self, brief: bool = False) -> HostReport:
         process = psutil.Process()
         memory = process.memory_full_info()
-        hollows = [] if brief else [hollow.report() for hollow in self.sidecars]
+        reports = [] if brief else [sidecar.report() for sidecar in self.sidecars]
         cpu_s = time.process_time()
-        return HostReport(process.pid, cpu_s, memory.rss / MIB, memory.uss / MIB, hollows)
+        return HostReport(process.pid, cpu_s, memory.rss / MIB, memory.uss / MIB, reports)
 
     def close(self) -> None:
-        for hollow in self.sidecars:
-            hollow.close()
+        for sidecar in self.sidecars:
+            sidecar.close()
 
 
 async def _serve() -> None:
     commands = CommandChannel()
     await commands.open()
     host = SidecarHost(msgspec.json.decode(await commands.read_spec(), type=HostSpec))
-    rss = psutil.Process().memory_info().rss
-    commands.send_event("ready", rss_mib=rss / MIB, cpu_s=time.process_time())  # with nobody in it yet
-    starting = asyncio.get_running_loop().create_task(host.start())
+    rss_bytes = psutil.Process().memory_info().rss
+    commands.send_event(
+        "ready", rss_mib=rss_bytes / MIB, cpu_s=time.process_time()
+    )  # without any sidecar yet
+    start_task = asyncio.get_running_loop().create_task(host.start())
     try:
-        while (order := await commands.read_command()) is not None:
-            match order["do"]:
+        while (command := await commands.read_command()) is not None:
+            match command["do"]:
                 case "serving":
-                    while not starting.done() or host.serving_count() < len(host.sidecars):
+                    while not start_task.done() or host.serving_count() < len(host.sidecars):
                         await asyncio.sleep(POLL_S)
-                    starting.result()
+                    start_task.result()
                 case "rest":
                     gc.unfreeze()
                     gc.collect()
                     gc.freeze()
                 case "still":
-                    for hollow in host.sidecars:
-                        hollow.stop_heartbeat()
+                    for sidecar in host.sidecars:
+                        sidecar.stop_heartbeat()
                 case "forget":
-                    for hollow in host.sidecars:
-                        hollow.clear_applied_lists()
+                    for sidecar in host.sidecars:
+                        sidecar.clear_applied_lists()
                 case "report":
-                    told = host.report(brief=order.get("brief", False))
-                    commands.send_event("report", report=told)
+                    report = host.report(brief=command.get("brief", False))
+                    commands.send_event("report", report=report)
                     continue
-            commands.send_event(order["do"], cpu_s=time.process_time())
+            commands.send_event(command["do"], cpu_s=time.process_time())
     finally:
-        starting.cancel()
+        start_task.cancel()
         host.close()
 
 
 class HollowHosts:
-    """`spec.count` hollow sidecars in as many processes as `each` makes of them. Who makes it closes it.
+    """`spec.count` hollow sidecars in processes of up to `each` sidecars. The creator has to close it.
 
-        hosts = HollowHosts(Spec(count=1000, discovery=["127.0.0.1:8500"]), each=250)
+        hosts = HollowHosts(HostSpec(count=1000, discovery=["127.0.0.1:8500"]), each=250)
         try:
-            await hosts.start()            # the processes are there
-            await hosts.serving()          # every sidecar has a list in force
+            await hosts.start()               # starts all processes
+            await hosts.wait_until_serving()  # every sidecar has applied a list
             reports = await hosts.collect()
         finally:
-            await hosts.close()            # none is left
+            await hosts.close()               # ends all processes
 
-    `stop`, `go_on` and `kill` take the index of a host, from 0; one that was killed is not asked any more.
-    Raises `ChildError`, and `LimitError` where the machine does not allow it.
+    `suspend`, `resume` and `kill` take the index of a host, from 0. No commands are sent to killed hosts.
+    Raises `ChildError`, and `LimitError` if the machine does not allow the number of processes or the memory.
     """
 
     def __init__(self, spec: HostSpec, each: int) -> None:
-        if spec.port == DATAGRAM_PORTS[0]:  # runs side by side must not meet
+        if spec.port == DATAGRAM_PORTS[0]:  # concurrent runs need different ports
             spec = msgspec.structs.replace(spec, port=DATAGRAM_PORTS[0] + os.getpid() % DATAGRAM_PORTS[1])
         self.spec = spec
-        firsts = range(spec.first, spec.first + spec.count, each)
-        parts = [min(each, spec.first + spec.count - first) for first in firsts]
-        self._machine = available_resources()
-        per = 2 if "fleet" in spec.config else 1
-        self._machine.check(len(parts), 0.0, per * each)
+        first_numbers = range(spec.first, spec.first + spec.count, each)
+        sidecar_counts = [min(each, spec.first + spec.count - first) for first in first_numbers]
+        self._machine_limits = available_resources()
+        descriptors_per_sidecar = 2 if "fleet" in spec.config else 1
+        self._machine_limits.check(len(sidecar_counts), 0.0, descriptors_per_sidecar * each)
         self.hosts = [
             ChildProcess(
                 f"host {index}",
                 "larkcrank.lab.scale.hollow",
                 msgspec.structs.replace(spec, first=first, count=count),
             )
-            for index, (first, count) in enumerate(zip(firsts, parts, strict=True))
+            for index, (first, count) in enumerate(zip(first_numbers, sidecar_counts, strict=True))
         ]
 
     @property
     def running_hosts(self) -> list[ChildProcess]:
-        """Those that are there."""
+        """The hosts that were started and not closed or killed."""
         return [host for host in self.hosts if host.is_started]
 
     @property
@@ -469,7 +500,7 @@
         return [host.pid for host in self.running_hosts]
 
     async def start(self) -> None:
-        """Start the processes, a few at a time; the sidecars of each begin over `spec.spread_s`."""
+        """Starts the processes, a few at a time. The sidecars of each start over `spec.spread_s`."""
         for index in range(0, len(self.hosts), MAX_CONCURRENT_STARTS):
             await asyncio.gather(
                 *(host.start() for host in self.hosts[index : index + MAX_CONCURRENT_STARTS])
@@ -477,58 +508,61 @@
             self._check_memory()
 
     def _check_memory(self) -> None:
-        held = resident_mib(self.pids)
-        if held > self._machine.memory_mib:
-            raise LimitError(f"{held:.0f} MiB are held, over half of the machine's memory")
+        used_mib = resident_mib(self.pids)
+        if used_mib > self._machine_limits.memory_mib:
+            raise LimitError(f"{used_mib:.0f} MiB in use exceed half of the machine's memory")
 
     async def wait_until_serving(self) -> None:
-        """Until every sidecar has a list in force."""
+        """Waits until every sidecar has applied a list."""
         await asyncio.gather(*(host.send_command("serving") for host in self.running_hosts))
         self._check_memory()
 
     async def collect_garbage(self) -> None:
-        """Collect what starting left, and freeze the rest."""
+        """Collects the garbage of the start in all hosts, and freezes all other objects."""
         await asyncio.gather(*(host.send_command("rest") for host in self.running_hosts))
 
     async def stop_heartbeats(self) -> None:
-        """No beats from now on, so that what changes cost stands alone."""
+        """Stops the heartbeats, so that they don't add to the measured cost of changes."""
         await asyncio.gather(*(host.send_command("still") for host in self.running_hosts))
 
     async def clear_applied_lists(self) -> None:
-        """What was seen so far is not told any more."""
+        """Clears the applied lists recorded so far by all sidecars."""
         await asyncio.gather(*(host.send_command("forget") for host in self.running_hosts))
 
     async def collect(self, brief: bool = False) -> list[HostReport]:
-        """A report of every process; `brief`: without its sidecars'."""
-        told = await asyncio.gather(
+        """Returns a report of every process, without those of its sidecars if `brief` is true."""
+        events = await asyncio.gather(
             *(host.send_command("report", brief=brief) for host in self.running_hosts)
         )
-        return [msgspec.convert(one["report"], HostReport) for one in told]
+        return [msgspec.convert(event["report"], HostReport) for event in events]
 
     async def collect_until(
-        self, true: Callable[[HollowReport], bool], wait_s: float = RESPONSE_TIMEOUT_S, look_s: float = 0.25
+        self,
+        condition: Callable[[HollowReport], bool],
+        timeout_s: float = RESPONSE_TIMEOUT_S,
+        poll_s: float = 0.25,
     ) -> list[HostReport]:
-        """Collect until this is so of every sidecar. Raises TimeoutError."""
-        async with asyncio.timeout(wait_s):
+        """Collects reports until the condition holds for every sidecar. Raises TimeoutError."""
+        async with asyncio.timeout(timeout_s):
             while True:
                 reports = await self.collect()
-                if all(true(hollow) for host in reports for hollow in host.hollows):
+                if all(condition(sidecar) for host in reports for sidecar in host.hollows):
                     return reports
-                await asyncio.sleep(look_s)
+                await asyncio.sleep(poll_s)
 
     def cpu_s(self) -> float:
-        """Processor time of all of them so far."""
+        """Processor time of all running hosts so far."""
         return sum(host.cpu_s() for host in self.running_hosts)
 
     def suspend(self, index: int) -> None:
-        """SIGSTOP."""
+        """Suspends a host with SIGSTOP."""
         self.hosts[index].suspend()
 
     def resume(self, index: int) -> None:
         self.hosts[index].resume()
 
     async def kill(self, index: int) -> None:
-        """SIGKILL; its sidecars are not told of any more."""
+        """Kills a host with SIGKILL. Later reports lack its sidecars."""
         await self.hosts[index].kill()
 
     async def close(self) -> None:
--- a/larkcrank/lab/scale/machine.py
+++ b/larkcrank/lab/scale/machine.py
@@ -1,4 +1,4 @@
-"""What the machine allows: looked up and told, never raised; and what it was doing while a run measured."""
+"""The resource limits of the machine, which are read and never raised, and its load during a measurement."""
 
 import os
 import resource
@@ -12,96 +12,98 @@
 import psutil
 
 MAX_PROCESSES = 300
-MEMORY_SHARE = 0.5  # of the machine's memory that a run may hold
-SPARE_DESCRIPTORS = 128  # of a process: the loop's own, pipes, libraries
-BUSY_SHARE = 0.25  # of the machine's processor time that others take: then wall times are not to be trusted
+MEMORY_SHARE = 0.5  # of the machine's memory that a run may use
+RESERVED_DESCRIPTORS = 128  # per process, for the event loop, pipes and libraries
+BUSY_SHARE = 0.25  # if other processes use more of the processor time, wall times are unreliable
 MIB = 1 << 20
 
 
 class LimitError(Exception):
-    """A run does not fit the machine; the message holds what it wants and what there is."""
+    """A run needs more than the machine allows. The message names the required amount and the limit."""
 
 
 class MachineLimits(msgspec.Struct, frozen=True):
-    """What a run may take."""
+    """The resources that a run may use."""
 
-    processors: int  # that this process may use
-    memory_mib: float  # that the run may hold
-    descriptors: int  # that a process may hold
+    processors: int  # available to this process
+    memory_mib: float  # for all processes of the run
+    descriptors: int  # per process
 
     def check(self, processes: int, memory_mib: float, descriptors: int) -> None:
-        """Raises `LimitError` where a run is too large; the descriptors are those of one process."""
+        """Raises `LimitError` if a run is too large. `descriptors` is the number per process."""
         if processes > MAX_PROCESSES:
-            raise LimitError(f"{processes} processes are over {MAX_PROCESSES}")
+            raise LimitError(f"{processes} processes exceed the limit of {MAX_PROCESSES}")
         if memory_mib > self.memory_mib:
             raise LimitError(
-                f"{memory_mib:.0f} MiB are over half of the machine's, {self.memory_mib:.0f} MiB"
+                f"{memory_mib:.0f} MiB exceed half of the machine's memory, {self.memory_mib:.0f} MiB"
             )
         if descriptors > self.descriptors:
-            raise LimitError(f"{descriptors} descriptors in a process are over its {self.descriptors}")
+            raise LimitError(f"{descriptors} descriptors per process exceed the limit of {self.descriptors}")
 
 
 def available_resources() -> MachineLimits:
-    """This machine, as this process is let use it."""
-    soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    memory = psutil.virtual_memory().total * MEMORY_SHARE / MIB
-    return MachineLimits(len(os.sched_getaffinity(0)), memory, soft - SPARE_DESCRIPTORS)
+    """Reads the limits of this machine that apply to this process."""
+    soft_limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    memory_mib = psutil.virtual_memory().total * MEMORY_SHARE / MIB
+    return MachineLimits(len(os.sched_getaffinity(0)), memory_mib, soft_limit - RESERVED_DESCRIPTORS)
 
 
 def resident_mib(pids: Iterable[int]) -> float:
-    """Resident memory of these processes together; one that is gone holds none."""
-    total = 0
+    """Total resident memory of these processes. One that has ended counts as 0."""
+    total_bytes = 0
     for pid in pids:
         try:
-            total += psutil.Process(pid).memory_info().rss
+            total_bytes += psutil.Process(pid).memory_info().rss
         except psutil.Error:
             continue
-    return total / MIB
+    return total_bytes / MIB
 
 
 def cpu_s(pid: int) -> float:
-    """Processor time of a process so far, to the nanosecond (its CPU clock); nought once it is gone."""
+    """Processor time of a process so far, from its CPU clock in nanoseconds; 0 once it has ended."""
     try:
-        return time.clock_gettime((~pid << 3) | 2)  # as clock_getcpuclockid makes it on Linux
+        return time.clock_gettime((~pid << 3) | 2)  # as clock_getcpuclockid(3) computes it on Linux
     except OSError:
         return 0.0
 
 
 class LoadMeter:
-    """How busy the machine was besides the run: from its making until `seen`."""
+    """Measures how busy other processes keep the machine, from construction until `summary`."""
 
     def __init__(self) -> None:
-        self._began = _times()
+        self._start_times = _cpu_times()
 
     def summary(self, own_s: float) -> dict[str, Any]:
-        """`own_s`: processor time that the run itself took, all its processes."""
-        busy, all_s = (now - then for now, then in zip(_times(), self._began, strict=True))
-        others = max(busy - own_s, 0.0) / max(all_s, 1e-9)
+        """Returns the load so far. `own_s` is the processor time of all processes of the run itself."""
+        busy_s, total_s = (now - then for now, then in zip(_cpu_times(), self._start_times, strict=True))
+        others_share = max(busy_s - own_s, 0.0) / max(total_s, 1e-9)
         return {
-            "others_share": round(others, 3),
-            "was_busy": others > BUSY_SHARE,
+            "others_share": round(others_share, 3),
+            "was_busy": others_share > BUSY_SHARE,
             "load_average": [round(one, 2) for one in os.getloadavg()],
         }
 
 
-def _times() -> tuple[float, float]:
+def _cpu_times() -> tuple[float, float]:
     times = psutil.cpu_times()
-    idle = times.idle + times.iowait
-    total = float(sum(times) - times.guest - times.guest_nice)
-    return total - idle, total
+    idle_s = times.idle + times.iowait
+    total_s = float(sum(times) - times.guest - times.guest_nice)
+    return total_s - idle_s, total_s
 
 
 def source_commit() -> str:
-    """The commit of the text that runs, with `+` where files differ from it; empty outside a clone."""
-    here = Path(__file__).parent
+    """The git commit of the running source, with `+` if files differ from it; empty outside a git clone."""
+    folder = Path(__file__).parent
     try:
-        name = _git(here, "rev-parse", "--short=12", "HEAD")
-        changed = _git(here, "status", "--porcelain", "--untracked-files=no", "--", ":/larkcrank")
+        commit = _git(folder, "rev-parse", "--short=12", "HEAD")
+        changed = _git(folder, "status", "--porcelain", "--untracked-files=no", "--", ":/larkcrank")
     except (OSError, subprocess.CalledProcessError):
         return ""
-    return name + ("+" if changed else "")
+    return commit + ("+" if changed else "")
 
 
-def _git(folder: Path, *words: str) -> str:
-    done = subprocess.run(["git", "-C", str(folder), *words], capture_output=True, check=True, text=True)
-    return done.stdout.strip()
+def _git(folder: Path, *arguments: str) -> str:
+    completed = subprocess.run(
+        ["git", "-C", str(folder), *arguments], capture_output=True, check=True, text=True
+    )
+    return completed.stdout.strip()
--- a/larkcrank/lab/scale/registry.py
+++ b/larkcrank/lab/scale/registry.py
@@ -1,12 +1,14 @@
-"""The stand-in for discovery at scale: one list, many watchers, and an account of what they cost.
+"""A simulated discovery service for scale tests: one list, many watchers, and statistics of their cost.
 
-What a good discovery does: an answer is made once for all watchers that are as far (one for each `after`),
-and written to all of them in the turn of the loop in which the change came; a change of many lines at once is
-one answer. It keeps no connection's task: a watcher is an entry in a table. The fleet bench's stand-in
-(`lab/registry.py`) makes each sidecar an answer of its own, since it can lie to some.
+It works as an efficient discovery service would. A response is encoded once for all watchers that are at the
+same generation (one for each `after`), and written to all of them in the event loop iteration in which the
+change was made. Many endpoints that change at once make one response. There is no task per connection: a
+watcher is an entry in a table. The simulated discovery of the fleet bench (`lab/registry.py`) encodes a
+response for each sidecar instead, since it can send false lists to some.
 
-A process (`python -m larkcrank.lab.scale.registry`) reads its `Spec` as the first line of standard input and
-tells where it listens, then takes orders: `change`, `waiting`, `account`. It ends with its standard input.
+The process (`python -m larkcrank.lab.scale.registry`) reads its `Spec` as the first line of standard input
+and reports its address, then accepts the commands `change`, `waiting` and `account`. It exits when its
+standard input is closed.
 """
 
 import asyncio
@@ -26,26 +28,26 @@
 from larkcrank.protocol.discovery import LIST_TARGET
 
 BACKLOG = 4096
-MAX_RECORDED_CHANGES = 4096  # changes whose times are kept to be told
-MAX_LOGGED_CHANGES = 20_000  # changes that a watcher may be behind: beyond, it is told the whole list
-_WATCH = re.compile(rb"after=(\d+)(?:&wait_ms=(\d+))?")
+MAX_RECORDED_CHANGES = 4096  # changes whose times are kept for the statistics
+MAX_LOGGED_CHANGES = 20_000  # a watcher that is further behind gets the whole list
+_WATCH_QUERY = re.compile(rb"after=(\d+)(?:&wait_ms=(\d+))?")
 
 
 class Spec(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """What a registry process is told."""
+    """The configuration of a registry process."""
 
     endpoints: int
-    services: int = 1  # endpoint number n is of service n modulo these
-    zones: list[str] = msgspec.field(default_factory=lambda: ["here"])  # endpoints take them in turn
+    services: int = 1  # endpoint n belongs to service n modulo this number
+    zones: list[str] = msgspec.field(default_factory=lambda: ["here"])  # assigned to endpoints round-robin
 
 
 class ListedEndpoint(msgspec.Struct, rename="camel"):
-    """An entry of the list, as discovery's protocol has it."""
+    """An entry of the list, in the format of the discovery protocol."""
 
     instance_id: str
     host_port: str
     zone: str
-    cell: int  # its service
+    cell: int  # the number of its service
     machine_type: str = "plain"
     lifecycle: str = "Ready"
     weight: float = 1.0  # 1 + the number of its last change / TAG
@@ -53,118 +55,128 @@
 
 
 class RegistryStats(msgspec.Struct, kw_only=True):
-    """What it did since it began."""
+    """Statistics of a registry process since its start."""
 
     cpu_s: float
     rss_mib: float
     connections: int  # open now
-    waiting: int  # of these, with a watch under way
-    watches: int  # calls so far
-    lists: int  # calls for the whole list
+    waiting: int  # connections with a pending watch
+    watches: int  # watch requests so far
+    lists: int  # requests for the whole list
     bytes_out: int  # handed to the kernel, heads and bodies
-    made: int  # answers that were encoded; each was shared by all that were as far
-    whole_bytes: int  # of the list as it is
+    made: int  # responses encoded; each is shared by all watchers at the same generation
+    whole_bytes: int  # size of the current whole list
     generation: int
-    # By change: monotonic seconds at which it was made, and written to all that waited.
+    # By change: monotonic seconds at which it was made, and at which it was written to all waiting watchers.
     told: dict[int, tuple[float, float]]
-    # By the last change of each turn: when all that were told it had asked anew; a sidecar does so once the
-    # list is in force.
+    # By the last change of each batch: when all watchers that received it had sent their next request. A
+    # sidecar does so once it has applied the list.
     again: dict[int, float]
 
 
 class EndpointList:
-    """The list and its changes. No I/O.
+    """The list of endpoints and the log of its changes. No I/O.
 
-    Generation g is the list after g changes; a change's number, in its line's weight, is the generation.
+    Each change increments the generation. The number of a change is the resulting generation, and is encoded
+    in the weight of the changed entry.
     """
 
     def __init__(self, spec: Spec) -> None:
-        self.entries = [_line(spec, number) for number in range(spec.endpoints)]
-        self.first_generation = 1  # the generation of the list as it was at first
+        self.entries = [_initial_endpoint(spec, number) for number in range(spec.endpoints)]
+        self.first_generation = 1  # the oldest generation that the log of changes covers
         self.generation = 1
         self.encoded_count = 0
-        self._log: list[int] = []  # whose line each change since changed
-        self._next = 0
-        self._answers: dict[int, bytes] = {}  # by `after`; -1: the whole list
+        self._changed_entries: list[int] = []  # the log: the index of the entry that each change changed
+        self._next_entry = 0
+        self._responses: dict[int, bytes] = {}  # by `after`; -1 stands for the whole list
 
     def change_next(self, lifecycle: str) -> int:
-        """The next endpoint in turn is in another state; the change's number."""
-        number = self._next % len(self.entries)
-        self._next += 1
-        return self.set_lifecycle(number, lifecycle)
+        """Changes the next endpoint, round-robin, and returns the number of the change."""
+        index = self._next_entry % len(self.entries)
+        self._next_entry += 1
+        return self.set_lifecycle(index, lifecycle)
 
-    def set_lifecycle(self, number: int, lifecycle: str) -> int:
-        """One endpoint is in this state, or in the other of `Ready` and `Terminating` where it is `flip`."""
+    def set_lifecycle(self, index: int, lifecycle: str) -> int:
+        """Sets the lifecycle of one endpoint and returns the number of the change.
+
+        `flip` switches between `Ready` and `Terminating`.
+        """
         self.generation += 1
-        line = self.entries[number]
+        endpoint = self.entries[index]
         if lifecycle == "flip":
-            lifecycle = "Terminating" if line.lifecycle == "Ready" else "Ready"
-        self.entries[number] = msgspec.structs.replace(
-            line, lifecycle=lifecycle, weight=1.0 + self.generation / CHANGE_NUMBER_SCALE
+            lifecycle = "Terminating" if endpoint.lifecycle == "Ready" else "Ready"
+        self.entries[index] = msgspec.structs.replace(
+            endpoint, lifecycle=lifecycle, weight=1.0 + self.generation / CHANGE_NUMBER_SCALE
         )
-        self._log.append(number)
-        self._answers.clear()
-        if len(self._log) > 2 * MAX_LOGGED_CHANGES:
-            self.first_generation += len(self._log) - MAX_LOGGED_CHANGES
-            del self._log[:-MAX_LOGGED_CHANGES]
+        self._changed_entries.append(index)
+        self._responses.clear()
+        if len(self._changed_entries) > 2 * MAX_LOGGED_CHANGES:
+            self.first_generation += len(self._changed_entries) - MAX_LOGGED_CHANGES
+            del self._changed_entries[:-MAX_LOGGED_CHANGES]
         return self.generation
 
     def discard_log(self) -> None:
-        """Of what has changed so far nothing is known: who is behind is told the whole list."""
-        self.first_generation += len(self._log)
-        self._log.clear()
-        self._answers.clear()
+        """Discards the log, so that every watcher that is behind gets the whole list."""
+        self.first_generation += len(self._changed_entries)
+        self._changed_entries.clear()
+        self._responses.clear()
 
     def response_after(self, after: int | None) -> bytes:
-        """HTTP's answer to who is as far as `after`; None, or out of the log's reach: the whole list."""
-        reach = after is not None and self.first_generation <= after <= self.generation
-        key = after if reach and after is not None else -1
-        found = self._answers.get(key)
-        if found is None:
-            found = self._answers[key] = http1.response_bytes(200, (), self._body(key))
+        """Returns the HTTP response for a watcher at generation `after`.
+
+        The response holds the whole list if `after` is None or outside of the log.
+        """
+        in_log = after is not None and self.first_generation <= after <= self.generation
+        key = after if in_log and after is not None else -1
+        response = self._responses.get(key)
+        if response is None:
+            response = self._responses[key] = http1.response_bytes(200, (), self._response_body(key))
             self.encoded_count += 1
-        return found
+        return response
 
-    def _body(self, after: int) -> bytes:
-        whole = after < 0
-        changed = (
-            dict.fromkeys(self._log[after - self.first_generation :])
-            if not whole
+    def _response_body(self, after: int) -> bytes:
+        is_complete = after < 0
+        changed_indexes = (
+            dict.fromkeys(self._changed_entries[after - self.first_generation :])
+            if not is_complete
             else range(len(self.entries))
         )
-        lines = [self.entries[number] for number in changed]
-        if whole:
-            lines = [line for line in lines if line.lifecycle != "Gone"]
-        return msgspec.json.encode({"generation": self.generation, "reset": whole, "instances": lines})
+        endpoints = [self.entries[index] for index in changed_indexes]
+        if is_complete:
+            endpoints = [endpoint for endpoint in endpoints if endpoint.lifecycle != "Gone"]
+        return msgspec.json.encode(
+            {"generation": self.generation, "reset": is_complete, "instances": endpoints}
+        )
 
 
-def _line(spec: Spec, number: int) -> ListedEndpoint:
-    place = f"127.{200 + (number >> 14) % 50}.{(number >> 7) & 127}.{(number & 127) + 1}:8000"
+def _initial_endpoint(spec: Spec, number: int) -> ListedEndpoint:
+    host_port = f"127.{200 + (number >> 14) % 50}.{(number >> 7) & 127}.{(number & 127) + 1}:8000"
     zone = spec.zones[number % len(spec.zones)]
-    return ListedEndpoint(f"s-{number:08x}", place, zone, number % spec.services)
+    return ListedEndpoint(f"s-{number:08x}", host_port, zone, number % spec.services)
 
 
 class Registry:
-    """Serves the list to watchers."""
+    """Serves the list to watchers and records statistics."""
 
     def __init__(self, listed: EndpointList) -> None:
         self.endpoint_list = listed
         self.connections = self.watches = self.lists = self.bytes_out = 0
         self.written_times: dict[int, tuple[float, float]] = {}
         self.reasked_times: dict[int, float] = {}
-        self._waiting: dict[_Connection, int] = {}  # who waits, and how far it is
-        self._owing: dict[_Connection, int] = {}  # who was told a change, and which, and has not asked since
-        self._left: dict[int, int] = {}  # by change: how many of them
+        self._waiting_generation: dict[_Connection, int] = {}  # by waiting watcher
+        # The next request of a watcher acknowledges the last change that was sent to it.
+        self._unacknowledged_change: dict[_Connection, int] = {}
+        self._unacknowledged_count: dict[int, int] = {}  # number of such watchers, by change
 
     def stats(self) -> RegistryStats:
-        used = resource.getrusage(resource.RUSAGE_SELF)
-        with open("/proc/self/statm") as file:
-            resident = int(file.read().split()[1]) * resource.getpagesize()
+        usage = resource.getrusage(resource.RUSAGE_SELF)
+        with open("/proc/self/statm") as statm:
+            resident_bytes = int(statm.read().split()[1]) * resource.getpagesize()
         return RegistryStats(
-            cpu_s=used.ru_utime + used.ru_stime,
-            rss_mib=resident / (1 << 20),
+            cpu_s=usage.ru_utime + usage.ru_stime,
+            rss_mib=resident_bytes / (1 << 20),
             connections=self.connections,
-            waiting=len(self._waiting),
+            waiting=len(self._waiting_generation),
             watches=self.watches,
             lists=self.lists,
             bytes_out=self.bytes_out,
@@ -177,42 +189,46 @@
 
     @property
     def waiting_count(self) -> int:
-        """Watches under way."""
-        return len(self._waiting)
+        """Number of pending watches."""
+        return len(self._waiting_generation)
 
     def change(self, count: int, lifecycle: str, whole: bool = False) -> list[int]:
-        """So many lines change at once, and all that wait are told, `whole`: the whole list.
+        """Changes `count` endpoints at once, and responds to all waiting watchers.
 
-        The changes' numbers."""
+        If `whole` is true, they get the whole list. Returns the numbers of the changes.
+        """
         made_at = time.monotonic()
         numbers = [self.endpoint_list.change_next(lifecycle) for _ in range(count)]
         if whole:
             self.endpoint_list.discard_log()
-        waiting, self._waiting = self._waiting, {}
+        waiting, self._waiting_generation = self._waiting_generation, {}
         for connection, after in waiting.items():
-            self._came_back(connection)
-            self._owing[connection] = numbers[-1]
+            self._acknowledge_change(connection)
+            self._unacknowledged_change[connection] = numbers[-1]
             connection.send_response(self.endpoint_list.response_after(after))
         if waiting:
-            self._left[numbers[-1]] = len(waiting)
+            self._unacknowledged_count[numbers[-1]] = len(waiting)
         told_at = time.monotonic()
         self.written_times.update(dict.fromkeys(numbers, (made_at, told_at)))
         for times in (self.written_times, self.reasked_times):
-            for number in list(times)[:-MAX_RECORDED_CHANGES]:
-                del times[number]
+            for change in list(times)[:-MAX_RECORDED_CHANGES]:
+                del times[change]
         return numbers
 
-    def _came_back(self, connection: "_Connection") -> None:
-        number = self._owing.pop(connection, None)
-        if number is not None:
-            self._left[number] -= 1
-            if not self._left[number]:
-                del self._left[number]
-                self.reasked_times[number] = time.monotonic()
+    def _acknowledge_change(self, connection: "_Connection") -> None:
+        change = self._unacknowledged_change.pop(connection, None)
+        if change is not None:
+            self._unacknowledged_count[change] -= 1
+            if not self._unacknowledged_count[change]:
+                del self._unacknowledged_count[change]
+                self.reasked_times[change] = time.monotonic()
 
     def handle_call(self, connection: "_Connection", after: int | None, wait_ms: float) -> None:
-        """A call; answered now, or when there is something newer."""
-        self._came_back(connection)
+        """Responds to a request at once, or as soon as there is a newer generation.
+
+        `after` is None in a request for the whole list.
+        """
+        self._acknowledge_change(connection)
         if after is None:
             self.lists += 1
         else:
@@ -220,27 +236,27 @@
         if after is None or after != self.endpoint_list.generation or wait_ms <= 0.0:
             connection.send_response(self.endpoint_list.response_after(after))
         else:
-            self._waiting[connection] = after
+            self._waiting_generation[connection] = after
             connection.start_wait_timer(wait_ms / 1000.0)
 
     def handle_wait_over(self, connection: "_Connection") -> None:
-        """Its time is over, and nothing has changed."""
-        after = self._waiting.pop(connection, None)
+        """Responds to a watch whose maximum wait has passed without a change."""
+        after = self._waiting_generation.pop(connection, None)
         if after is not None:
             connection.send_response(self.endpoint_list.response_after(after))
 
     def handle_connection_lost(self, connection: "_Connection") -> None:
-        self._came_back(connection)
-        self._waiting.pop(connection, None)
+        self._acknowledge_change(connection)
+        self._waiting_generation.pop(connection, None)
 
 
 class _Connection(asyncio.Protocol):
-    """One watcher."""
+    """The connection of one watcher."""
 
     def __init__(self, registry: Registry) -> None:
         self._registry = registry
         self._transport: asyncio.Transport | None = None
-        self._buffer = b""
+        self._received = b""
         self._timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -250,56 +266,59 @@
     def connection_lost(self, exc: Exception | None) -> None:
         self._registry.connections -= 1
         self._registry.handle_connection_lost(self)
-        self._stop()
+        self._cancel_timer()
 
     def data_received(self, data: bytes) -> None:
-        self._buffer += data
-        head, end, rest = self._buffer.partition(b"\r\n\r\n")
-        if not end:
+        self._received += data
+        head, separator, rest = self._received.partition(b"\r\n\r\n")
+        if not separator:
             if len(head) > 8192 and self._transport is not None:
                 self._transport.abort()
             return
-        self._buffer = rest
+        self._received = rest
         target = head.split(b" ", 2)[1] if head.count(b" ") >= 2 else b""
         if not target.startswith(LIST_TARGET):
             self.send_response(http1.response_bytes(404, (), b""))
             return
-        watch = _WATCH.search(target)
-        if watch is None:
+        query = _WATCH_QUERY.search(target)
+        if query is None:
             self._registry.handle_call(self, None, 0.0)
         else:
-            self._registry.handle_call(self, int(watch[1]), float(watch[2] or 0))
+            self._registry.handle_call(self, int(query[1]), float(query[2] or 0))
 
-    def send_response(self, answer: bytes) -> None:
-        self._stop()
+    def send_response(self, response: bytes) -> None:
+        self._cancel_timer()
         if self._transport is not None and not self._transport.is_closing():
-            self._registry.bytes_out += len(answer)
-            self._transport.write(answer)
+            self._registry.bytes_out += len(response)
+            self._transport.write(response)
 
     def start_wait_timer(self, wait_s: float) -> None:
         self._timer = asyncio.get_running_loop().call_later(wait_s, self._registry.handle_wait_over, self)
 
-    def _stop(self) -> None:
+    def _cancel_timer(self) -> None:
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
 
-def change_schedule(count: int, each: int, over_s: float) -> Iterator[tuple[float, int]]:
-    """When, from a beginning, how many lines change: `count` of them, `each` at once, evenly over so long."""
-    times = math.ceil(count / each)
-    for step in range(times):
-        yield step * over_s / times, min(each, count - step * each)
+def change_schedule(count: int, per_step: int, period_s: float) -> Iterator[tuple[float, int]]:
+    """Yields the offset and the number of changes of each step.
+
+    `count` changes, `per_step` at a time, are spread evenly over `period_s` seconds.
+    """
+    step_count = math.ceil(count / per_step)
+    for step in range(step_count):
+        yield step * period_s / step_count, min(per_step, count - step * per_step)
 
 
-async def _change(registry: Registry, order: dict[str, Any]) -> list[int]:
+async def _change(registry: Registry, command: dict[str, Any]) -> list[int]:
     loop, numbers = asyncio.get_running_loop(), list[int]()
-    began = loop.time()
-    for at, count in change_schedule(
-        order["count"], order.get("each", order["count"]), order.get("over_s", 0.0)
+    started = loop.time()
+    for offset_s, count in change_schedule(
+        command["count"], command.get("each", command["count"]), command.get("over_s", 0.0)
     ):
-        await asyncio.sleep(max(began + at - loop.time(), 0.0))
-        numbers += registry.change(count, order.get("lifecycle", "flip"), order.get("whole", False))
+        await asyncio.sleep(max(started + offset_s - loop.time(), 0.0))
+        numbers += registry.change(count, command.get("lifecycle", "flip"), command.get("whole", False))
     return numbers
 
 
@@ -311,10 +330,10 @@
     server = await loop.create_server(lambda: _Connection(registry), "127.0.0.1", 0, backlog=BACKLOG)
     host, port = server.sockets[0].getsockname()
     commands.send_event("ready", place=f"{host}:{port}")
-    while (order := await commands.read_command()) is not None:
-        match order["do"]:
+    while (command := await commands.read_command()) is not None:
+        match command["do"]:
             case "change":
-                commands.send_event("change", numbers=await _change(registry, order))
+                commands.send_event("change", numbers=await _change(registry, command))
             case "waiting":
                 commands.send_event("waiting", count=registry.waiting_count)
             case "account":
@@ -323,16 +342,16 @@
 
 
 class RegistryProcess:
-    """One registry in a process of its own. Who makes it closes it."""
+    """A registry in a process of its own, as its owner sees it. The owner has to close it."""
 
     def __init__(self, spec: Spec) -> None:
         self.process = ChildProcess("registry", "larkcrank.lab.scale.registry", spec)
 
     async def start(self) -> str:
-        """Its host:port."""
+        """Starts the process and returns its host:port."""
         await self.process.start()
-        place: str = self.process.ready_message["place"]
-        return place
+        host_port: str = self.process.ready_message["place"]
+        return host_port
 
     async def change(
         self,
@@ -342,18 +361,18 @@
         lifecycle: Literal["flip", "Ready", "Terminating", "Gone"] = "flip",
         whole: bool = False,
     ) -> list[int]:
-        """Change lines, endpoints in turn: `each` of them at once (0: all), evenly over so many seconds.
+        """Changes `count` endpoints, `each` at a time (0: all at once), spread evenly over `over_s` seconds.
 
-        `whole`: all that wait are told the whole list instead. The changes' numbers, once all of them were
-        written to who waited.
+        If `whole` is true, waiting watchers get the whole list. Returns the numbers of the changes, once all
+        of them were written to the waiting watchers.
         """
-        more = {"over_s": over_s, "lifecycle": lifecycle, "whole": whole}
-        told = await self.process.send_command("change", count=count, each=each or count, **more)
-        numbers: list[int] = told["numbers"]
+        arguments = {"over_s": over_s, "lifecycle": lifecycle, "whole": whole}
+        event = await self.process.send_command("change", count=count, each=each or count, **arguments)
+        numbers: list[int] = event["numbers"]
         return numbers
 
     async def waiting_count(self) -> int:
-        """Watches under way; cheaper to ask than an account."""
+        """Number of pending watches; cheaper than `stats`."""
         count: int = (await self.process.send_command("waiting"))["count"]
         return count
 
--- a/larkcrank/lab/scale/slopes.py
+++ b/larkcrank/lab/scale/slopes.py
@@ -1,4 +1,4 @@
-"""The slopes that runs left: one JSON file a series, so that runs never overwrite each other's."""
+"""Reads and writes fitted slopes: one JSON file for each, so that runs don't overwrite each other's."""
 
 import os
 from pathlib import Path
@@ -13,29 +13,29 @@
 
 
 class SlopesError(Exception):
-    """A file holds no slope; the message names it."""
+    """A file holds no valid slope. The message names the file."""
 
 
 class Slope(msgspec.Struct, kw_only=True):
-    """One series: a cost by a size. The slope is in `unit` for one more of `by`."""
+    """A cost as a function of a size. The slope is in `unit` per additional unit of `by`."""
 
     title: str
     role: Literal["sidecar", "discovery", "view", "path", "tier"]
     cost: str  # such as "resident memory"
-    unit: str  # of a point's figures
-    by: str  # what the size counts
-    points: list[tuple[float, list[float]]]  # size, one figure for each repeat
+    unit: str  # of the costs in `points`
+    by: str  # what the size counts, such as "endpoints listed"
+    points: list[tuple[float, list[float]]]  # size, and the cost of each repeat
     slope: float
-    low: float  # the slope's 95% interval
+    low: float  # `low` and `high`: the slope's 95% interval
     high: float
     intercept: float
     residual: float  # standard deviation, in `unit`
-    linear: bool  # False: not linear, go by the points
+    linear: bool  # False if a curve fits better: use the points, not the slope
     shape: str  # line, quadratic or logarithm
     how: Literal["hollow", "real", "virtual"]
-    command: str  # that measures it again
-    run: str  # where the raw points, the machine and the text's commit stand
-    note: str = ""  # what bounds it, or how far real processes are off
+    command: str  # that repeats the measurement
+    run: str  # the file with the raw points, the machine and the source commit
+    note: str = ""  # its limits, or the difference to real processes
 
 
 def fit_slope(
@@ -51,8 +51,8 @@
     run: str,
     note: str = "",
 ) -> Slope:
-    """The points with their fit. Raises `FitError`."""
-    found = fit_line(points)
+    """Fits the points and returns them with the fit. Raises `FitError`."""
+    line = fit_line(points)
     return Slope(
         title=title,
         role=role,
@@ -60,13 +60,13 @@
         unit=unit,
         by=by,
         points=[(float(size), list(map(float, costs))) for size, costs in points],
-        slope=found.slope,
-        low=found.low,
-        high=found.high,
-        intercept=found.intercept,
-        residual=found.residual,
-        linear=found.linear,
-        shape=found.shape,
+        slope=line.slope,
+        low=line.low,
+        high=line.high,
+        intercept=line.intercept,
+        residual=line.residual,
+        linear=line.linear,
+        shape=line.shape,
         how=how,
         command=command,
         run=run,
@@ -75,7 +75,7 @@
 
 
 def write_slope(name: str, slope: Slope, folder: Path = SLOPES_FOLDER) -> Path:
-    """Write `folder`/NAME.json in one step."""
+    """Writes `folder`/NAME.json atomically and returns its path."""
     folder.mkdir(parents=True, exist_ok=True)
     path = folder / f"{name}.json"
     write_json(path, slope)
@@ -83,19 +83,19 @@
 
 
 def write_json(path: Path, value: object) -> None:
-    """Indented JSON, whole or not at all."""
+    """Writes indented JSON atomically, through a temporary file."""
     path.parent.mkdir(parents=True, exist_ok=True)
-    beside = path.with_suffix(".new")
-    beside.write_bytes(msgspec.json.format(msgspec.json.encode(value), indent=1) + b"\n")
-    os.replace(beside, path)
+    temporary = path.with_suffix(".new")
+    temporary.write_bytes(msgspec.json.format(msgspec.json.encode(value), indent=1) + b"\n")
+    os.replace(temporary, path)
 
 
 def read_slopes(folder: Path = SLOPES_FOLDER) -> dict[str, Slope]:
-    """All series of a folder by name, in order. Raises `SlopesError`."""
-    found = {}
+    """Reads all slopes of a folder, by name and in the order of names. Raises `SlopesError`."""
+    slopes = {}
     for path in sorted(folder.glob("*.json")):
         try:
-            found[path.stem] = msgspec.json.decode(path.read_bytes(), type=Slope)
+            slopes[path.stem] = msgspec.json.decode(path.read_bytes(), type=Slope)
         except (OSError, msgspec.DecodeError) as error:
             raise SlopesError(f"{path}: {error}") from None
-    return found
+    return slopes
--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -1,10 +1,10 @@
-"""The sidecar's own program with a clock read between the stages of a call.
+"""Runs the sidecar program and records a time stamp at each stage of a request.
 
-Nothing of it is in the program: its functions are wrapped here, in a process of the lab
-(`python -m larkcrank.lab.scale.stamped`). What was read is left in TMPDIR/stamps.json at the planned end.
-The clock is `time.monotonic`, the same for all processes of a machine; beside it stands the thread's own
-processor time, which other processes do not lengthen, and at the end of a call the time for which the process
-was ready to run since its start, and another one ran (proc(5): schedstat).
+The program itself holds no code for this: its functions are wrapped here, in a process of the lab
+(`python -m larkcrank.lab.scale.stamped`). The stamps are written to TMPDIR/stamps.json at an orderly exit.
+Each stamp holds `time.monotonic`, which is the same for all processes of a machine, and the processor time of
+the thread, which other processes don't lengthen. At the end of a request, the total time since the start
+during which the process was runnable but not running is recorded too (proc(5): schedstat).
 """
 
 import os
@@ -17,47 +17,47 @@
 import msgspec
 
 STAMPS_FILE = "stamps.json"
-# In the order in which a call passes them.
+# In the order in which a request passes them.
 STAGES = (
-    "read",
+    "read",  # the request's last bytes were given to the parser
     "parsed",
-    "taken",
-    "decided",
-    "going",
-    "written",
-    "heard",
-    "answered",
-    "replying",
+    "taken",  # the driver starts the request
+    "decided",  # an endpoint is chosen and the attempt starts
+    "going",  # the request's head for the endpoint is about to be built
+    "written",  # the request was written to the endpoint
+    "heard",  # the response's last bytes were given to the parser
+    "answered",  # the response is handed to the exchange
+    "replying",  # the response is about to be written to the client
     "replied",
 )
-QUEUE_WAIT = "queued"
+QUEUE_WAIT = "queued"  # key of the time spent runnable but not running, beside the stages
 
-Stamp = tuple[float, float]  # monotonic, and the thread's processor time, in seconds
-StampsByRequest = dict[str, dict[str, Stamp]]  # by the request's id
+Stamp = tuple[float, float]  # monotonic time and the thread's processor time, in seconds
+StampsByRequest = dict[str, dict[str, Stamp]]  # by request id, then by stage
 
 _stamps: StampsByRequest = {}
-_schedule = os.open("/proc/self/schedstat", os.O_RDONLY)
-_fed: dict[str, Stamp] = {}  # when a parser of requests, and of answers, was last given bytes
+_schedstat_fd = os.open("/proc/self/schedstat", os.O_RDONLY)
+_last_fed: dict[str, Stamp] = {}  # when the request parser and the response parser last received bytes
 
 
-def _now() -> Stamp:
+def _read_clocks() -> Stamp:
     return time.monotonic(), time.thread_time()
 
 
-def _mark(number: str, stage: str, moment: Stamp | None = None) -> None:
-    _stamps.setdefault(number, {})[stage] = moment or _now()
+def _record(request_id: str, stage: str, stamp: Stamp | None = None) -> None:
+    _stamps.setdefault(request_id, {})[stage] = stamp or _read_clocks()
 
 
-def _wrap(
+def _wrap_method(
     owner: Any, name: str, before: Callable[..., None] | None, after: Callable[..., None] | None = None
 ) -> None:
-    """`before` is given the call's arguments, `after` its result and then these."""
-    plain = getattr(owner, name)
+    """Wraps a method. `before` receives the arguments; `after` receives the result, then the arguments."""
+    original = getattr(owner, name)
 
-    def wrapped(*args: Any, **more: Any) -> Any:
+    def wrapped(*args: Any, **keyword_arguments: Any) -> Any:
         if before is not None:
             before(*args)
-        result = plain(*args, **more)
+        result = original(*args, **keyword_arguments)
         if after is not None:
             after(result, *args)
         return result
@@ -65,58 +65,62 @@
     setattr(owner, name, wrapped)
 
 
-def _stamp() -> None:
+def _install_wrappers() -> None:
     from larkcrank.protocol import http1, platform
     from larkcrank.routing.clients import ClientConnections
     from larkcrank.routing.driver import Driver
     from larkcrank.routing.exchange import Exchange
     from larkcrank.routing.servers import AttemptExecutor
 
-    def number_of(request: http1.Request) -> str:
+    def request_id(request: http1.Request) -> str:
         return (request.fields.one(b"req-id") or b"").decode("latin-1")
 
-    def fed(kind: str) -> Callable[..., None]:
-        def note(*_: object) -> None:
-            _fed[kind] = _now()
+    def record_fed(kind: str) -> Callable[..., None]:
+        def record(*_: object) -> None:
+            _last_fed[kind] = _read_clocks()
 
-        return note
+        return record
 
-    def parsed(request: http1.Request | None, *_: object) -> None:
+    def record_parsed(request: http1.Request | None, *_: object) -> None:
         if request is not None:
-            _mark(number_of(request), "read", _fed["request"])
-            _mark(number_of(request), "parsed")
-
-    def answered(exchange: Exchange, *_: object) -> None:
-        _mark(exchange.call_info.id, "heard", _fed["response"])
-        _mark(exchange.call_info.id, "answered")
-
-    _wrap(http1.RequestParser, "feed", fed("request"))
-    _wrap(http1.RequestParser, "next", None, parsed)
-    _wrap(http1.ResponseParser, "feed", fed("response"))
-    _wrap(Driver, "start_request", lambda _, exchange: _mark(exchange.call_info.id, "taken"))
-    _wrap(
-        AttemptExecutor, "start_attempt", lambda _, exchange, *rest: _mark(exchange.call_info.id, "decided")
+            _record(request_id(request), "read", _last_fed["request"])
+            _record(request_id(request), "parsed")
+
+    def record_response(exchange: Exchange, *_: object) -> None:
+        _record(exchange.call_info.id, "heard", _last_fed["response"])
+        _record(exchange.call_info.id, "answered")
+
+    _wrap_method(http1.RequestParser, "feed", record_fed("request"))
+    _wrap_method(http1.RequestParser, "next", None, record_parsed)
+    _wrap_method(http1.ResponseParser, "feed", record_fed("response"))
+    _wrap_method(Driver, "start_request", lambda _, exchange: _record(exchange.call_info.id, "taken"))
+    _wrap_method(
+        AttemptExecutor, "start_attempt", lambda _, exchange, *rest: _record(exchange.call_info.id, "decided")
+    )
+    _wrap_method(platform, "request_to_endpoint", lambda request, wait: _record(request_id(request), "going"))
+    _wrap_method(
+        AttemptExecutor, "_mark_written", lambda attempt: _record(attempt.exchange.call_info.id, "written")
     )
-    _wrap(platform, "request_to_endpoint", lambda request, wait: _mark(number_of(request), "going"))
-    _wrap(AttemptExecutor, "_mark_written", lambda attempt: _mark(attempt.exchange.call_info.id, "written"))
     AttemptExecutor._mark_written = staticmethod(AttemptExecutor._mark_written)  # type: ignore[method-assign]
-    _wrap(Exchange, "respond", answered)
-    write: Any = ClientConnections._write_buffered_response
+    _wrap_method(Exchange, "respond", record_response)
+    write_response: Any = ClientConnections._write_buffered_response
 
-    async def reply(clients: Any, visit: Any, request: http1.Request, *rest: Any) -> bool:
-        _mark(number_of(request), "replying")
-        kept: bool = await write(clients, visit, request, *rest)
-        _mark(number_of(request), "replied")
-        _mark(number_of(request), QUEUE_WAIT, (int(os.pread(_schedule, 64, 0).split()[1]) / 1e9, 0.0))
-        return kept
+    async def write_response_recorded(
+        clients: Any, connection: Any, request: http1.Request, *rest: Any
+    ) -> bool:
+        _record(request_id(request), "replying")
+        keeps_connection: bool = await write_response(clients, connection, request, *rest)
+        _record(request_id(request), "replied")
+        _record(request_id(request), QUEUE_WAIT, (int(os.pread(_schedstat_fd, 64, 0).split()[1]) / 1e9, 0.0))
+        return keeps_connection
 
-    setattr(ClientConnections, "_write_buffered_response", reply)  # noqa: B010 - a wrapper like those above
+    setattr(ClientConnections, "_write_buffered_response", write_response_recorded)  # noqa: B010
 
 
 def main() -> int:
     from larkcrank.program.start import serve
 
-    _stamp()
+    _install_wrappers()
     code = serve()
     (Path(os.environ["TMPDIR"]) / STAMPS_FILE).write_bytes(msgspec.json.encode(_stamps))
     return code
