--- a/larkcrank/lab/scale/measure.py
+++ b/larkcrank/lab/scale/measure.py
@@ -1,7 +1,7 @@
-"""Plays a series: at each size the processes are started, their costs read, and all of them ended.
+"""Measures a series: at each size it starts the processes, reads their costs, and ends all of them.
 
-Processor times are the processes' own clocks, so another's load hardly moves them; wall times are only as
-good as the machine was quiet.
+Processor times come from the CPU clocks of the processes, so the load of other processes hardly changes them.
+Wall times are reliable only on an idle machine.
 """
 
 import asyncio
@@ -20,37 +20,36 @@
 from larkcrank.lab.processes import Child as SidecarProcess
 from larkcrank.lab.scale import machine
 from larkcrank.lab.scale.children import close_all
-from larkcrank.lab.scale.hollow import HollowHosts, HollowReport, HostReport
-from larkcrank.lab.scale.hollow import HostSpec as HollowSpec
+from larkcrank.lab.scale.hollow import HollowHosts, HollowReport, HostReport, HostSpec
 from larkcrank.lab.scale.registry import RegistryProcess, RegistryStats
 from larkcrank.lab.scale.registry import Spec as RegistrySpec
 from larkcrank.lab.scale.series import Series
 from larkcrank.lab.settings import SETTINGS, merged
 
 POLL_S = 0.02
-WATCHERS_POLL_S = 0.1  # where discovery's own processor time is measured, it is asked less often
-CONDITION_TIMEOUT_S = 180.0  # for all sidecars to watch, and for all members to be seen
-WATCHERS_CONNECT_TIMEOUT_MS = 60_000.0  # by watchers, to connect: it is not the connecting that is measured
+WATCHERS_POLL_S = 0.1  # longer, because polls add to discovery's measured processor time
+CONDITION_TIMEOUT_S = 180.0
+WATCHERS_CONNECT_TIMEOUT_MS = 60_000.0  # long, because many connect at once and that isn't measured
 SidecarKind = Literal["hollow", "real"]
 ProgressCallback = Callable[[str], None]
 
 
 class MeasureError(Exception):
-    """A run came to no end; the message says what was waited for."""
+    """A measurement did not finish. The message names the condition that was not met."""
 
 
 @dataclass(slots=True, frozen=True)
 class CostMetric:
-    """What is measured; the slug is the first part of its slope's name."""
+    """A cost that is measured. Its name is the first part of the names of its slopes."""
 
-    slug: str
+    name: str
     role: Literal["sidecar", "discovery", "view", "path"]
     description: str
     unit: str
 
 
 COST_METRICS = {
-    one.slug: one
+    one.name: one
     for one in (
         CostMetric("sidecar-memory", "sidecar", "resident memory", "MiB"),
         CostMetric("sidecar-start-cpu", "sidecar", "processor time until the first list is in force", "ms"),
@@ -82,96 +81,104 @@
 
 @dataclass(slots=True)
 class Measurements:
-    """Points by cost, then by size."""
+    """Measured values by cost metric, then by size: one for each repeat."""
 
     hollow: dict[str, dict[int, list[float]]] = field(default_factory=dict)
     real: dict[str, dict[int, list[float]]] = field(default_factory=dict)
-    cpu_s: float = 0.0  # of all processes that were started
+    cpu_s: float = 0.0  # processor time of all started processes
 
-    def add(self, how: SidecarKind, size: int, found: dict[str, float]) -> None:
-        points = self.hollow if how == "hollow" else self.real
-        for slug, value in found.items():
-            points.setdefault(slug, {}).setdefault(size, []).append(value)
+    def add(self, kind: SidecarKind, size: int, costs: dict[str, float]) -> None:
+        costs_by_metric = self.hollow if kind == "hollow" else self.real
+        for name, value in costs.items():
+            costs_by_metric.setdefault(name, {}).setdefault(size, []).append(value)
 
 
-async def measure_series(series: Series, say: ProgressCallback) -> Measurements:
-    """Measure all sizes, one after another. Whatever happens, no process is left.
+async def measure_series(series: Series, report_progress: ProgressCallback) -> Measurements:
+    """Measures all sizes, one after another. All processes are ended, also after an error.
 
     Raises `MeasureError`, `ChildError`, `ProcessError`, `LimitError`.
     """
-    measured = Measurements()
+    measurements = Measurements()
     if series.by == "watchers":
         for size in series.sizes:
-            await _by_watchers(series, size, measured, say)
-        return measured
+            await _measure_by_watchers(series, size, measurements, report_progress)
+        return measurements
     for size, repeat in measurement_order(series.sizes, series.repeats):
-        said = f"{series.by} {size}, repeat {repeat + 1}"
-        say(f"{said}, hollow")
-        measured.add("hollow", size, await _hollow(series, size, measured))
+        progress = f"{series.by} {size}, repeat {repeat + 1}"
+        report_progress(f"{progress}, hollow")
+        measurements.add("hollow", size, await _measure_hollow(series, size, measurements))
         if series.real and size in (series.real_sizes or series.sizes):
-            say(f"{said}, real")
-            measured.add("real", size, await _real(series, size, measured))
-    return measured
+            report_progress(f"{progress}, real")
+            measurements.add("real", size, await _measure_real(series, size, measurements))
+    return measurements
 
 
 def measurement_order(sizes: Sequence[int], repeats: int) -> Iterator[tuple[int, int]]:
-    """All sizes, then all again, the other way round: what the machine does besides changes with time, and
-    would else look like a cost of the sizes that came last."""
+    """Yields (size, repeat) pairs. Every other repeat goes through the sizes in reverse order.
+
+    Otherwise a load of the machine that changes over time would look like a cost of the last sizes.
+    """
     for repeat in range(repeats):
         for size in sizes if repeat % 2 == 0 else reversed(sizes):
             yield size, repeat
 
 
-async def _hollow(series: Series, size: int, measured: Measurements) -> dict[str, float]:
-    """The costs of one sidecar, from several hollow ones of a process."""
+async def _measure_hollow(series: Series, size: int, measurements: Measurements) -> dict[str, float]:
+    """Measures the costs of one sidecar, as the mean over several hollow sidecars."""
     count = series.sidecar_count(size)
     async with contextlib.AsyncExitStack() as stack:
-        (registry,) = await stack.enter_async_context(_registries(series, size, 1, measured))
-        hosts = await stack.enter_async_context(_hosts(series, size, [registry], measured))
+        (registry,) = await stack.enter_async_context(_run_registries(series, size, 1, measurements))
+        hosts = await stack.enter_async_context(_run_hosts(series, size, [registry], measurements))
         await hosts.wait_until_serving()
-        await _all_watch([registry], count)
-        started = hosts.cpu_s() - sum(host.ready_message["cpu_s"] for host in hosts.hosts)
-        account = await registry.stats()
+        await _wait_until_all_watch([registry], count)
+        start_cpu_s = hosts.cpu_s() - sum(host.ready_message["cpu_s"] for host in hosts.hosts)
+        stats = await registry.stats()
         if series.by == "members":
-            await _all_seen(hosts, count)
+            await _wait_until_views_complete(hosts, count)
         await asyncio.sleep(series.settle)
         await hosts.collect_garbage()
         reports = await hosts.collect()
-        empty = sum(host.ready_message["rss_mib"] for host in hosts.hosts)
-        starts = [one.serving - one.began for one in _each(reports) if one.serving is not None]
-        found = {
-            "sidecar-memory": (sum(host.rss_mib for host in reports) - empty) / count,
-            "sidecar-start-cpu": started / count * 1000.0,
-            "sidecar-start": statistics.median(starts) * 1000.0,
-            "sidecar-list-bytes": account.bytes_out / count,
+        empty_rss_mib = sum(host.ready_message["rss_mib"] for host in hosts.hosts)
+        start_times_s = [
+            report.serving - report.began
+            for report in _sidecar_reports(reports)
+            if report.serving is not None
+        ]
+        costs = {
+            "sidecar-memory": (sum(host.rss_mib for host in reports) - empty_rss_mib) / count,
+            "sidecar-start-cpu": start_cpu_s / count * 1000.0,
+            "sidecar-start": statistics.median(start_times_s) * 1000.0,
+            "sidecar-list-bytes": stats.bytes_out / count,
         }
-        before, began = hosts.cpu_s(), time.monotonic()
+        cpu_s_before, started_at = hosts.cpu_s(), time.monotonic()
         await asyncio.sleep(series.idle)
-        spent, took = hosts.cpu_s() - before, time.monotonic() - began
-        found["sidecar-idle"] = spent / took / count * 100.0
+        spent_cpu_s, took_s = hosts.cpu_s() - cpu_s_before, time.monotonic() - started_at
+        costs["sidecar-idle"] = spent_cpu_s / took_s / count * 100.0
         if series.by == "members":
-            sent = [_sent(one) for one in (reports, await hosts.collect())]
-            took = time.monotonic() - began
-            found["member-datagrams"] = (sent[1][0] - sent[0][0]) / took / count
-            found["member-bytes"] = (sent[1][1] - sent[0][1]) / took / count
-            return found
+            datagrams_sent = [
+                _datagrams_sent(host_reports) for host_reports in (reports, await hosts.collect())
+            ]
+            took_s = time.monotonic() - started_at
+            costs["member-datagrams"] = (datagrams_sent[1][0] - datagrams_sent[0][0]) / took_s / count
+            costs["member-bytes"] = (datagrams_sent[1][1] - datagrams_sent[0][1]) / took_s / count
+            return costs
         await hosts.stop_heartbeats()
         await hosts.clear_applied_lists()
-        told, numbers = await _change(series, size, registry, count, hosts.cpu_s, 0.0)
+        change_costs, numbers = await _measure_changes(series, size, registry, count, hosts.cpu_s, 0.0)
         reports = await hosts.collect()
-        delays = _delays(_each(reports), [(await registry.stats())], numbers)
-        found["sidecar-in-force"] = statistics.median(chain.from_iterable(delays)) * 1000.0
-        return found | told
+        delays = _apply_delays(_sidecar_reports(reports), [(await registry.stats())], numbers)
+        costs["sidecar-in-force"] = statistics.median(chain.from_iterable(delays)) * 1000.0
+        return costs | change_costs
 
 
-async def _real(series: Series, size: int, measured: Measurements) -> dict[str, float]:
-    """The same of processes of the program as they are run in service, with nobody to serve."""
+async def _measure_real(series: Series, size: int, measurements: Measurements) -> dict[str, float]:
+    """Measures the costs of one sidecar, with real processes of the program that serve no clients."""
     count = series.real
     with tempfile.TemporaryDirectory(prefix="larkcrank-scale-") as folder:
-        async with _registries(series, size, 1, measured) as (registry,):
-            children = [SidecarProcess(n, Path(folder), [], lambda *_: None) for n in range(count)]
+        async with _run_registries(series, size, 1, measurements) as (registry,):
+            children = [SidecarProcess(index, Path(folder), [], lambda *_: None) for index in range(count)]
             config = {
-                "discovery": registry.place,
+                "discovery": registry.host_port,
                 "settings": merged(SETTINGS, series.settings),
                 "limits": {"sockets": 1024, "memory_mb": 192.0},
             }
@@ -182,163 +189,176 @@
             try:
                 for child in children:
                     await child.start(config | {"name": f"real-{child.index}"})
-                await _all_watch([registry], count)
-                started, account = cpu_s(), await registry.stats()
+                await _wait_until_all_watch([registry], count)
+                start_cpu_s, stats = cpu_s(), await registry.stats()
                 await asyncio.sleep(series.settle)
-                held = [psutil.Process(child.pid).memory_info().rss for child in children]
-                found = {
-                    "sidecar-memory": sum(held) / count / machine.MIB,
-                    "sidecar-start-cpu": started / count * 1000.0,
+                rss_bytes = [psutil.Process(child.pid).memory_info().rss for child in children]
+                costs = {
+                    "sidecar-memory": sum(rss_bytes) / count / machine.MIB,
+                    "sidecar-start-cpu": start_cpu_s / count * 1000.0,
                     "sidecar-start": statistics.median(child.started_s for child in children) * 1000.0,
-                    "sidecar-list-bytes": account.bytes_out / count,
+                    "sidecar-list-bytes": stats.bytes_out / count,
                 }
-                before, began = cpu_s(), time.monotonic()
+                cpu_s_before, started_at = cpu_s(), time.monotonic()
                 await asyncio.sleep(series.idle)
-                idle = (cpu_s() - before) / (time.monotonic() - began)
-                found["sidecar-idle"] = idle / count * 100.0
-                told, _ = await _change(series, size, registry, count, cpu_s, idle)
-                measured.cpu_s += cpu_s()
-                return found | told
+                idle_cpu_share = (cpu_s() - cpu_s_before) / (time.monotonic() - started_at)
+                costs["sidecar-idle"] = idle_cpu_share / count * 100.0
+                change_costs, _ = await _measure_changes(series, size, registry, count, cpu_s, idle_cpu_share)
+                measurements.cpu_s += cpu_s()
+                return costs | change_costs
             finally:
                 for child in children:
                     await child.close()
 
 
-async def _change(
+async def _measure_changes(
     series: Series,
     size: int,
     registry: "_Registry",
     count: int,
     cpu_s: Callable[[], float],
-    idle: float,
+    idle_cpu_share: float,
 ) -> tuple[dict[str, float], list[int]]:
-    """What lone changes and a burst cost each of so many sidecars, and the lone ones' numbers.
+    """Measures what single changes and a burst cost each of `count` sidecars.
 
-    `idle`: processor time a second that they take anyway, which is taken off.
+    `idle_cpu_share` is the processor time per second that the sidecars take when idle; it is subtracted.
+    Returns the costs and the numbers of the single changes.
     """
 
-    async def told(changes: int, lines: int) -> tuple[float, float, list[int]]:
-        numbers, bytes_out = list[int](), (await registry.stats()).bytes_out
-        before, began = cpu_s(), time.monotonic()
-        for _ in range(changes):
-            numbers += await registry.change(lines)
-            await _all_watch([registry], count)
+    async def measure_batches(batch_count: int, endpoint_count: int) -> tuple[float, float, list[int]]:
+        change_numbers, bytes_out_before = list[int](), (await registry.stats()).bytes_out
+        cpu_s_before, started_at = cpu_s(), time.monotonic()
+        for _ in range(batch_count):
+            change_numbers += await registry.change(endpoint_count)
+            await _wait_until_all_watch([registry], count)
             await asyncio.sleep(series.gap)
-        spent = cpu_s() - before - idle * (time.monotonic() - began)
-        received = (await registry.stats()).bytes_out - bytes_out
-        return spent / count * 1000.0, received / count, numbers
+        spent_cpu_s = cpu_s() - cpu_s_before - idle_cpu_share * (time.monotonic() - started_at)
+        received_bytes = (await registry.stats()).bytes_out - bytes_out_before
+        return spent_cpu_s / count * 1000.0, received_bytes / count, change_numbers
 
-    cpu_ms, received, numbers = await told(series.changes, 1)
-    found = {
+    cpu_ms, received_bytes, change_numbers = await measure_batches(series.changes, 1)
+    costs = {
         "sidecar-change-cpu": cpu_ms / series.changes,
-        "sidecar-change-bytes": received / series.changes,
+        "sidecar-change-bytes": received_bytes / series.changes,
     }
     if 0 < series.burst <= series.listed_endpoints(size):
-        found["sidecar-burst-cpu"], found["sidecar-burst-bytes"], _ = await told(1, series.burst)
-    return found, numbers
+        costs["sidecar-burst-cpu"], costs["sidecar-burst-bytes"], _ = await measure_batches(1, series.burst)
+    return costs, change_numbers
 
 
-# Discovery's costs
+# The costs of discovery
 
 
-async def _by_watchers(series: Series, size: int, measured: Measurements, say: ProgressCallback) -> None:
-    """All sidecars are started once; the repeats are rounds of changes."""
-    parts = -(-size // machine.available_resources().descriptors)
-    async with _registries(series, size, parts, measured) as registries:
-        say(f"watchers {size}: starting, discovery in {parts} processes")
-        async with _hosts(series, size, registries, measured) as hosts:
+async def _measure_by_watchers(
+    series: Series, size: int, measurements: Measurements, report_progress: ProgressCallback
+) -> None:
+    """Starts all sidecars once; each repeat is a round of changes."""
+    registry_count = -(-size // machine.available_resources().descriptors)
+    async with _run_registries(series, size, registry_count, measurements) as registries:
+        report_progress(f"watchers {size}: starting, discovery in {registry_count} processes")
+        async with _run_hosts(series, size, registries, measurements) as hosts:
             await hosts.wait_until_serving()
-            await _all_watch(registries, size)
+            await _wait_until_all_watch(registries, size)
             await hosts.collect_garbage()
             await asyncio.sleep(series.settle)
             for repeat in range(series.repeats):
-                say(f"watchers {size}, round {repeat + 1}")
+                report_progress(f"watchers {size}, round {repeat + 1}")
                 await hosts.clear_applied_lists()
-                measured.add("hollow", size, await _round(series, registries, size, hosts))
+                measurements.add("hollow", size, await _measure_round(series, registries, size, hosts))
 
 
-async def _round(
+async def _measure_round(
     series: Series, registries: "Sequence[_Registry]", size: int, hosts: HollowHosts
 ) -> dict[str, float]:
     def cpu_s() -> float:
         return sum(registry.process.cpu_s() for registry in registries)
 
-    async def told(whole: bool) -> list[int]:
-        numbers = await asyncio.gather(*(registry.change(whole=whole) for registry in registries))
-        await _all_watch(registries, size, WATCHERS_POLL_S)
-        return numbers[0]  # the registries count alike
+    async def change_all(whole: bool) -> list[int]:
+        numbers_by_registry = await asyncio.gather(*(registry.change(whole=whole) for registry in registries))
+        await _wait_until_all_watch(registries, size, WATCHERS_POLL_S)
+        return numbers_by_registry[0]  # all registries number their changes alike
 
-    async def accounts() -> list[RegistryStats]:
+    async def read_stats() -> list[RegistryStats]:
         return [await registry.stats() for registry in registries]
 
-    def grown(key: str) -> float:
+    def increase(field_name: str) -> float:
         pairs = zip(after, before, strict=True)
-        return float(sum(getattr(new, key) - getattr(old, key) for new, old in pairs))
-
-    before, began, hosts_began = await accounts(), cpu_s(), hosts.cpu_s()
-    numbers = list[int]()
+        return float(
+            sum(
+                getattr(stats_after, field_name) - getattr(stats_before, field_name)
+                for stats_after, stats_before in pairs
+            )
+        )
+
+    before, discovery_cpu_before, hosts_cpu_before = await read_stats(), cpu_s(), hosts.cpu_s()
+    change_numbers = list[int]()
     for _ in range(series.changes):
-        numbers += await told(False)
+        change_numbers += await change_all(False)
         await asyncio.sleep(series.gap)
-    spent, hosts_spent = cpu_s() - began, hosts.cpu_s() - hosts_began
-    after = await accounts()
-    delays = _delays(_each(await hosts.collect()), after, numbers)
-    times = [one.told[number] for one in after for number in numbers]
-    found = {
-        "sidecar-change-cpu": hosts_spent / series.changes / size * 1000.0,
-        "discovery-calls": grown("watches") / series.changes,
-        "discovery-connections": float(sum(one.connections for one in after)),
-        "discovery-cpu": spent / series.changes * 1000.0,
-        "discovery-bytes": grown("bytes_out") / series.changes,
-        "discovery-memory": sum(one.rss_mib for one in after),
-        "discovery-write": statistics.median(written - made for made, written in times) * 1000.0,
+    discovery_cpu_s, hosts_cpu_s = cpu_s() - discovery_cpu_before, hosts.cpu_s() - hosts_cpu_before
+    after = await read_stats()
+    delays = _apply_delays(_sidecar_reports(await hosts.collect()), after, change_numbers)
+    write_times = [stats.told[number] for stats in after for number in change_numbers]
+    costs = {
+        "sidecar-change-cpu": hosts_cpu_s / series.changes / size * 1000.0,
+        "discovery-calls": increase("watches") / series.changes,
+        "discovery-connections": float(sum(stats.connections for stats in after)),
+        "discovery-cpu": discovery_cpu_s / series.changes * 1000.0,
+        "discovery-bytes": increase("bytes_out") / series.changes,
+        "discovery-memory": sum(stats.rss_mib for stats in after),
+        "discovery-write": statistics.median(written_at - made_at for made_at, written_at in write_times)
+        * 1000.0,
         "path-median": statistics.median(chain.from_iterable(delays)) * 1000.0,
         "path-last": statistics.median(map(max, delays)) * 1000.0,
     }
-    before, began = await accounts(), cpu_s()
-    await told(True)
-    spent, after = cpu_s() - began, await accounts()
-    return found | {
-        "discovery-whole-cpu": spent * 1000.0,
-        "discovery-whole-bytes": grown("bytes_out"),
+    before, discovery_cpu_before = await read_stats(), cpu_s()
+    await change_all(True)
+    discovery_cpu_s, after = cpu_s() - discovery_cpu_before, await read_stats()
+    return costs | {
+        "discovery-whole-cpu": discovery_cpu_s * 1000.0,
+        "discovery-whole-bytes": increase("bytes_out"),
     }
 
 
-# What a size needs
+# The processes for one size
 
 
 class _Registry(RegistryProcess):
-    place = ""
+    host_port = ""
 
 
 @contextlib.asynccontextmanager
-async def _registries(
-    series: Series, size: int, parts: int, measured: Measurements
+async def _run_registries(
+    series: Series, size: int, registry_count: int, measurements: Measurements
 ) -> AsyncIterator[list[_Registry]]:
     services = size if series.by == "services" else 1
     spec = RegistrySpec(endpoints=series.listed_endpoints(size), services=services)
-    registries = [_Registry(spec) for _ in range(parts)]
+    registries = [_Registry(spec) for _ in range(registry_count)]
     try:
         for registry in registries:
-            registry.place = await registry.start()
+            registry.host_port = await registry.start()
         yield registries
     finally:
-        measured.cpu_s += sum(one.process.cpu_s() for one in registries if one.process.is_started)
-        await close_all([one.process for one in registries])
+        measurements.cpu_s += sum(
+            started_registry.process.cpu_s()
+            for started_registry in registries
+            if started_registry.process.is_started
+        )
+        await close_all([started_registry.process for started_registry in registries])
 
 
 @contextlib.asynccontextmanager
-async def _hosts(
-    series: Series, size: int, registries: Sequence[_Registry], measured: Measurements
+async def _run_hosts(
+    series: Series, size: int, registries: Sequence[_Registry], measurements: Measurements
 ) -> AsyncIterator[HollowHosts]:
     settings = series.settings
     if series.by == "watchers":
         settings = merged(settings, {"bounds": {"connect-timeout-ms": WATCHERS_CONNECT_TIMEOUT_MS}})
     if series.by == "members":
         settings = merged(settings, {"bounds": {"peers": True}})
-    spec = HollowSpec(
+    spec = HostSpec(
         count=series.sidecar_count(size),
-        discovery=[registry.place for registry in registries],
+        discovery=[registry.host_port for registry in registries],
         settings=settings,
         config={"fleet": series.fleet} if series.by == "members" else {},
         beats=series.by != "watchers",
@@ -350,63 +370,69 @@
         await hosts.start()
         yield hosts
     finally:
-        measured.cpu_s += hosts.cpu_s()
+        measurements.cpu_s += hosts.cpu_s()
         await hosts.close()
 
 
-async def _all_watch(registries: Sequence[_Registry], count: int, look_s: float = POLL_S) -> None:
-    """Until all of them wait at discovery: what it told is in force then."""
-    what = f"{count} sidecars watching"
-    await _until(what, lambda: _sum_waiting(registries), lambda found: found >= count, look_s)
+async def _wait_until_all_watch(registries: Sequence[_Registry], count: int, poll_s: float = POLL_S) -> None:
+    """Waits until all sidecars have a pending watch, which means that they have applied the last list."""
+    condition = f"{count} sidecars watching"
+    await _wait_until(
+        condition, lambda: _total_waiting(registries), lambda waiting_count: waiting_count >= count, poll_s
+    )
 
 
-async def _sum_waiting(registries: Sequence[_Registry]) -> int:
+async def _total_waiting(registries: Sequence[_Registry]) -> int:
     return sum([await registry.waiting_count() for registry in registries])
 
 
-async def _all_seen(hosts: HollowHosts, count: int) -> None:
-    """Until all members see all of them."""
+async def _wait_until_views_complete(hosts: HollowHosts, count: int) -> None:
+    """Waits until the view of every member contains all members."""
 
-    async def least() -> int:
-        return min(one.live for one in _each(await hosts.collect()))
+    async def smallest_view() -> int:
+        return min(report.live for report in _sidecar_reports(await hosts.collect()))
 
-    await _until(f"{count} members in every view", least, lambda found: found == count, 0.5)
+    await _wait_until(
+        f"{count} members in every view", smallest_view, lambda view_size: view_size == count, 0.5
+    )
 
 
-async def _until(
-    what: str,
-    look: Callable[[], Coroutine[None, None, int]],
-    true: Callable[[int], bool],
-    look_s: float = POLL_S,
+async def _wait_until(
+    description: str,
+    read_value: Callable[[], Coroutine[None, None, int]],
+    condition: Callable[[int], bool],
+    poll_s: float = POLL_S,
 ) -> None:
-    until = time.monotonic() + CONDITION_TIMEOUT_S
-    while not true(found := await look()):
-        if time.monotonic() > until:
-            raise MeasureError(f"not in {CONDITION_TIMEOUT_S:.0f} s: {what}; it was {found}")
-        await asyncio.sleep(look_s)
+    deadline = time.monotonic() + CONDITION_TIMEOUT_S
+    while not condition(value := await read_value()):
+        if time.monotonic() > deadline:
+            raise MeasureError(f"not within {CONDITION_TIMEOUT_S:.0f} s: {description}; last value: {value}")
+        await asyncio.sleep(poll_s)
 
 
-def _each(reports: Sequence[HostReport]) -> list[HollowReport]:
-    return [hollow for host in reports for hollow in host.hollows]
+def _sidecar_reports(reports: Sequence[HostReport]) -> list[HollowReport]:
+    return [sidecar for host in reports for sidecar in host.hollows]
 
 
-def _sent(reports: Sequence[HostReport]) -> tuple[int, int]:
-    """Datagrams and their bytes that members have sent."""
-    told = [one.together["fleet"] for one in _each(reports)]
-    return sum(one["datagrams_out"] for one in told), sum(one["bytes_out"] for one in told)
+def _datagrams_sent(reports: Sequence[HostReport]) -> tuple[int, int]:
+    """Number of datagrams sent by all members, and their bytes."""
+    fleet_counters = [report.together["fleet"] for report in _sidecar_reports(reports)]
+    return sum(counters["datagrams_out"] for counters in fleet_counters), sum(
+        counters["bytes_out"] for counters in fleet_counters
+    )
 
 
-def _delays(
-    hollows: Sequence[HollowReport], accounts: Sequence[RegistryStats], numbers: Sequence[int]
+def _apply_delays(
+    sidecars: Sequence[HollowReport], registry_stats: Sequence[RegistryStats], change_numbers: Sequence[int]
 ) -> list[list[float]]:
-    """By change: how long each sidecar took to have it in force since it was made (seconds)."""
-    found = []
-    for number in numbers:
+    """By change: how many seconds after the change each sidecar had applied it."""
+    delays_by_change = []
+    for change in change_numbers:
         delays = []
-        for hollow in hollows:
-            at = hollow.applied_at(number)
-            if at is None:
-                raise MeasureError(f"sidecar {hollow.number} never had change {number} in force")
-            delays.append(at - accounts[hollow.number % len(accounts)].told[number][0])
-        found.append(delays)
-    return found
+        for sidecar in sidecars:
+            applied_at = sidecar.applied_at(change)
+            if applied_at is None:
+                raise MeasureError(f"sidecar {sidecar.number} never had change {change} applied")
+            delays.append(applied_at - registry_stats[sidecar.number % len(registry_stats)].told[change][0])
+        delays_by_change.append(delays)
+    return delays_by_change
--- a/larkcrank/lab/scale/path.py
+++ b/larkcrank/lab/scale/path.py
@@ -1,8 +1,10 @@
-"""What a sidecar adds to a call, by stage and in whole, and what that makes of calls in a row.
+"""Measures the time that a sidecar adds to a call, in total and by stage, and derives it for chains of calls.
 
-One real sidecar on loopback; clients, endpoints and discovery are this process. Calls with the sidecar and
-without it come by turns at random moments in the same run, so that a busy machine does the same to both.
-The endpoint answers at its moment: what is added is the way there and the way back, the service left out.
+One real sidecar runs on loopback; this process plays the clients, the endpoints and discovery. In the same
+run, calls through the sidecar and direct calls start at random times, so that other load on the machine
+affects both alike. The endpoint records when it receives a request and when it responds, so the measured time
+is that of both directions, without the endpoint's service time. Calls in a row are calls of which each starts
+after the one before has ended.
 """
 
 import asyncio
@@ -37,18 +39,23 @@
 from larkcrank.lab.scale.stamped import QUEUE_WAIT, STAGES, STAMPS_FILE, StampsByRequest
 from larkcrank.lab.settings import SETTINGS, merged
 
-CALLS_PER_S = (20, 80, 200, 400)  # calls a second of one sidecar; 940,000 over 12,000 are 78
+CALLS_PER_S = (
+    20,
+    80,
+    200,
+    400,
+)  # of one sidecar; in the planned fleet, 940,000 calls/s over 12,000 endpoints are 78
 SEEDS = (1, 2, 3)
-ENDPOINTS = 28  # of a service
+ENDPOINTS = 28  # of one service
 SERVICE_S = 0.004
 MIN_CALLS, MIN_STAMPED_CALLS, MIN_RUN_S = 1200, 600, 10.0
-MAX_UNDISTURBED_WAIT_S = 5e-5  # in the run queue
+MAX_UNDISTURBED_WAIT_S = 5e-5  # in the run queue of the scheduler
 WARM_UP_S = 2.0
 IDLE_S = 3.0
-CONNECTIONS = 24  # opened beforehand; more are opened where all are busy
-RESPONSE_TIMEOUT_S = 5.0  # after the last call its answer must have come
-CHAIN_LENGTHS = (1, 2, 3, 5, 7)  # calls in a row
-CHAIN_CALLS_PER_S = 80  # at which what they are added is taken
+CONNECTIONS = 24  # opened at the start; more are opened if all are busy
+RESPONSE_TIMEOUT_S = 5.0  # after the end of the run, for calls still pending
+CHAIN_LENGTHS = (1, 2, 3, 5, 7)  # numbers of calls in a row
+CHAIN_CALLS_PER_S = 80  # the rate whose measured times are used for calls in a row
 FORWARD_STAGES = (
     "read",
     "parsed",
@@ -56,18 +63,18 @@
     "decided",
     "going",
     "at the endpoint",
-)  # stages before the answer
+)  # stages before the endpoint receives the request
 SIMULATED_CALLS = 50_000
 COMMAND = "python -m larkcrank scale path"
 CHAIN_SAMPLES = 200_000
 
-_ID = re.compile(rb"\r\nReq-Id: ([^\r]+)\r\n", re.IGNORECASE)
-_REQUEST = (
+_REQUEST_ID_PATTERN = re.compile(rb"\r\nReq-Id: ([^\r]+)\r\n", re.IGNORECASE)
+_REQUEST_TEMPLATE = (
     b"GET /look/1 HTTP/1.1\r\nHost: shop.local\r\nAccept: application/json\r\nUser-Agent: bench/1\r\n"
     b"Req-Kind: look\r\nReq-Deadline: 2.0\r\nReq-Id: %s\r\n\r\n"
 )
 _BODY = b"x" * 200
-_ANSWER = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (
+_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s" % (
     len(_BODY),
     _BODY,
 )
@@ -88,18 +95,18 @@
 
 
 class PathError(Exception):
-    """The run came to no figure; the message says why."""
+    """The run gave no result. The message says why."""
 
 
 @dataclass(slots=True)
 class TimedCall:
-    """One call's moments, by `time.monotonic`."""
+    """The times of one call, by `time.monotonic`; 0 if not yet reached."""
 
     request_id: str
     direct: bool
     client_sent: float = 0.0
-    endpoint_received: float = 0.0  # whole at the endpoint
-    endpoint_sent: float = 0.0  # handed over by the endpoint
+    endpoint_received: float = 0.0  # the whole request
+    endpoint_sent: float = 0.0  # when the endpoint writes the response
     client_received: float = 0.0
 
     @property
@@ -107,53 +114,53 @@
         return self.endpoint_received - self.client_sent + self.client_received - self.endpoint_sent
 
 
-class _EndpointSide(asyncio.Protocol):
+class _EndpointConnection(asyncio.Protocol):
     def __init__(self, bench: "Bench") -> None:
-        self._bench, self._held = bench, b""
+        self._bench, self._received = bench, b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        came = time.monotonic()
-        self._held += data
-        if not self._held.endswith(b"\r\n\r\n"):
+        received_at = time.monotonic()
+        self._received += data
+        if not self._received.endswith(b"\r\n\r\n"):
             return
-        found, self._held = _ID.search(self._held), b""
-        if found is None:
+        request_id_match, self._received = _REQUEST_ID_PATTERN.search(self._received), b""
+        if request_id_match is None:
             self._transport.abort()
             return
-        asked = self._bench.calls[found[1].decode()]
-        asked.endpoint_received = came
-        self._bench.timer.call_at(came + SERVICE_S, lambda: self._answer(asked))
+        call = self._bench.calls[request_id_match[1].decode()]
+        call.endpoint_received = received_at
+        self._bench.timer.call_at(received_at + SERVICE_S, lambda: self._respond(call))
 
-    def _answer(self, asked: TimedCall) -> None:
-        asked.endpoint_sent = time.monotonic()
-        self._transport.write(_ANSWER)
+    def _respond(self, call: TimedCall) -> None:
+        call.endpoint_sent = time.monotonic()
+        self._transport.write(_RESPONSE)
 
 
-class _ClientSide(asyncio.Protocol):
-    def __init__(self, idle: "list[_ClientSide]") -> None:
-        self._idle, self._held = idle, b""
-        self._asked: TimedCall | None = None
+class _ClientConnection(asyncio.Protocol):
+    def __init__(self, idle_connections: "list[_ClientConnection]") -> None:
+        self._idle, self._received = idle_connections, b""
+        self._call: TimedCall | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
 
-    def send(self, asked: TimedCall) -> None:
-        self._asked = asked
-        text = _REQUEST % asked.request_id.encode()
-        asked.client_sent = time.monotonic()
-        self._transport.write(text)
+    def send(self, call: TimedCall) -> None:
+        self._call = call
+        request_bytes = _REQUEST_TEMPLATE % call.request_id.encode()
+        call.client_sent = time.monotonic()
+        self._transport.write(request_bytes)
 
     def data_received(self, data: bytes) -> None:
-        back = time.monotonic()
-        self._held += data
-        if not self._held.endswith(_BODY) or self._asked is None:
+        received_at = time.monotonic()
+        self._received += data
+        if not self._received.endswith(_BODY) or self._call is None:
             return
-        if self._held.startswith(b"HTTP/1.1 200 "):
-            self._asked.client_received = back
-        self._held, self._asked = b"", None
+        if self._received.startswith(b"HTTP/1.1 200 "):
+            self._call.client_received = received_at
+        self._received, self._call = b"", None
         self._idle.append(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -161,11 +168,11 @@
             self._idle.remove(self)
 
 
-class _Discovery(asyncio.Protocol):
-    """Its list never changes: whoever watches is told so when the wait is over."""
+class _DiscoveryConnection(asyncio.Protocol):
+    """A discovery server whose list never changes. It responds to a watch once its maximum wait is over."""
 
-    def __init__(self, whole: bytes) -> None:
-        self._whole = whole
+    def __init__(self, whole_list: bytes) -> None:
+        self._whole_list = whole_list
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -173,73 +180,73 @@
     def data_received(self, data: bytes) -> None:
         wait = re.search(rb"wait_ms=(\d+)", data)
         if wait is None:
-            self._say(self._whole)
+            self._respond(self._whole_list)
         else:
-            none = b'{"generation": 1, "reset": false, "instances": []}'
-            asyncio.get_running_loop().call_later(int(wait[1]) / 1000.0, self._say, none)
+            unchanged = b'{"generation": 1, "reset": false, "instances": []}'
+            asyncio.get_running_loop().call_later(int(wait[1]) / 1000.0, self._respond, unchanged)
 
-    def _say(self, body: bytes) -> None:
+    def _respond(self, body: bytes) -> None:
         self._transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
 
 
 class Bench:
-    """Endpoints and clients of one run."""
+    """The clients and endpoints of one run."""
 
-    def __init__(self, alarm: PreciseTimer, rng: Random) -> None:
-        self.timer, self._rng = alarm, rng
+    def __init__(self, timer: PreciseTimer, rng: Random) -> None:
+        self.timer, self._rng = timer, rng
         self.calls: dict[str, TimedCall] = {}
-        self._idle: dict[bool, list[_ClientSide]] = {True: [], False: []}
+        self._idle: dict[bool, list[_ClientConnection]] = {True: [], False: []}
         self._tasks: set[asyncio.Task[None]] = set()
-        self.late_connections = 0  # connections beyond those opened beforehand
+        self.late_connections = 0  # connections opened because all others were busy
 
     async def open_connection(self, direct: bool, port: int) -> None:
-        idle = self._idle[direct]
-        _, side = await asyncio.get_running_loop().create_connection(
-            lambda: _ClientSide(idle), "127.0.0.1", port
+        idle_connections = self._idle[direct]
+        _, connection = await asyncio.get_running_loop().create_connection(
+            lambda: _ClientConnection(idle_connections), "127.0.0.1", port
         )
-        idle.append(side)
+        idle_connections.append(connection)
 
-    def start_call(self, number: str, direct: bool, port: int) -> None:
-        asked = self.calls[number] = TimedCall(number, direct)
-        if idle := self._idle[direct]:
-            idle.pop().send(asked)
+    def start_call(self, request_id: str, direct: bool, port: int) -> None:
+        call = self.calls[request_id] = TimedCall(request_id, direct)
+        if idle_connections := self._idle[direct]:
+            idle_connections.pop().send(call)
             return
         self.late_connections += 1
-        task = asyncio.get_running_loop().create_task(self._ask_late(asked, direct, port))
+        task = asyncio.get_running_loop().create_task(self._connect_and_send(call, direct, port))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _ask_late(self, asked: TimedCall, direct: bool, port: int) -> None:
+    async def _connect_and_send(self, call: TimedCall, direct: bool, port: int) -> None:
         await self.open_connection(direct, port)
-        self._idle[direct].pop().send(asked)
+        self._idle[direct].pop().send(call)
 
     def schedule_calls(
-        self, direct: bool, rate: float, begin: float, end: float, port: Callable[[], int]
+        self, direct: bool, rate: float, start: float, end: float, port: Callable[[], int]
     ) -> None:
-        """Calls at random moments, an open loop."""
-        way = "d" if direct else "s"
+        """Schedules calls at exponential intervals, without waiting for responses (an open loop)."""
+        id_prefix = "d" if direct else "s"
 
-        def arrive(number: int, when: float) -> None:
-            self.start_call(f"{way}{number}", direct, port())
-            following = when + self._rng.expovariate(rate)
-            if following < end:
-                self.timer.call_at(following, lambda: arrive(number + 1, following))
+        def arrive(call_number: int, due: float) -> None:
+            self.start_call(f"{id_prefix}{call_number}", direct, port())
+            next_due = due + self._rng.expovariate(rate)
+            if next_due < end:
+                self.timer.call_at(next_due, lambda: arrive(call_number + 1, next_due))
 
-        first = begin + self._rng.expovariate(rate)
-        self.timer.call_at(first, lambda: arrive(1, first))
+        first_due = start + self._rng.expovariate(rate)
+        self.timer.call_at(first_due, lambda: arrive(1, first_due))
 
 
 class DirectionTimes(msgspec.Struct, frozen=True):
-    """Of calls one way, in ms: there, back and both, at the median and at the 99th in a hundred."""
+    """The times of calls with or without the sidecar, in ms: each a pair of median and 99th percentile."""
 
-    calls: int
-    there: tuple[float, float]
-    back: tuple[float, float]
-    both: tuple[float, float]
+    calls: int  # number of calls
+    there: tuple[float, float]  # from the client to the endpoint
+    back: tuple[float, float]  # from the endpoint to the client
+    both: tuple[float, float]  # their sum for each call
 
 
 class StageTimes(msgspec.Struct, frozen=True):
-    """From the stage before to this one, in ms; `processor` is the median of the sidecar's own."""
+    """Time from the previous stage to this one, in ms. `processor` is the sidecar's median processor time."""
 
     median: float
     p99: float
@@ -247,107 +254,129 @@
 
 
 def undisturbed_calls(calls: list[TimedCall], stamps: StampsByRequest) -> list[TimedCall]:
-    """Those in whose time, and since the call before, the sidecar was never kept from running."""
-    ends = sorted((one["replied"][0], one[QUEUE_WAIT][0]) for one in stamps.values() if QUEUE_WAIT in one)
-    found = []
+    """Returns the calls during which, and since the call before, the sidecar never waited for a processor."""
+    earlier_ends = sorted(
+        (stamp["replied"][0], stamp[QUEUE_WAIT][0]) for stamp in stamps.values() if QUEUE_WAIT in stamp
+    )
+    undisturbed = []
     for call in calls:
-        stamp = stamps.get(call.request_id, {})
-        before = bisect(ends, (stamp["read"][0], 0.0)) if QUEUE_WAIT in stamp else 0
-        if before and stamp[QUEUE_WAIT][0] - ends[before - 1][1] < MAX_UNDISTURBED_WAIT_S:
-            found.append(call)
-    return found
+        call_stamps = stamps.get(call.request_id, {})
+        previous_count = (
+            bisect(earlier_ends, (call_stamps["read"][0], 0.0)) if QUEUE_WAIT in call_stamps else 0
+        )
+        if (
+            previous_count
+            and call_stamps[QUEUE_WAIT][0] - earlier_ends[previous_count - 1][1] < MAX_UNDISTURBED_WAIT_S
+        ):
+            undisturbed.append(call)
+    return undisturbed
 
 
 class PathRun(msgspec.Struct, frozen=True):
-    """One rate, one seed."""
+    """The result of one run with one rate and one seed."""
 
-    rate: float
+    rate: float  # calls per second through the sidecar, and as many without it
     seed: int
-    stamped: bool
-    direct: DirectionTimes
-    through: DirectionTimes
+    stamped: bool  # whether the sidecar recorded time stamps of the stages
+    direct: DirectionTimes  # calls without a sidecar
+    through: DirectionTimes  # calls through the sidecar
     unanswered: int
-    opened: int
-    idle_ms: float  # processor time a second without a call
-    processor_ms: float  # a second, at this rate
-    waited_ms: float  # a second, that the sidecar was ready to run and another process ran
-    load: float  # of the machine, as its own mean of a minute
+    opened: int  # connections opened because all others were busy
+    idle_ms: float  # processor time per second without any calls
+    processor_ms: float  # processor time per second at this rate
+    waited_ms: float  # per second, while the sidecar was runnable but not running
+    load: float  # the machine's load average over one minute
     stages: dict[str, StageTimes]  # of a stamped run
-    quiet: DirectionTimes | None  # of a stamped run: calls that found the sidecar free to run all the while
-    added: list[float]  # each call's, in ms
+    quiet: DirectionTimes | None  # of a stamped run: calls in `undisturbed_calls`
+    added: list[float]  # total time of both directions of each call through the sidecar, in ms
 
 
-def _ways(calls: list[TimedCall]) -> DirectionTimes:
-    there = [1000.0 * (one.endpoint_received - one.client_sent) for one in calls]
-    back = [1000.0 * (one.client_received - one.endpoint_sent) for one in calls]
-    both = [1000.0 * one.added_s for one in calls]
-    return DirectionTimes(len(calls), *(_middle_and_tail(times) for times in (there, back, both)))
+def _direction_times(calls: list[TimedCall]) -> DirectionTimes:
+    there = [1000.0 * (call.endpoint_received - call.client_sent) for call in calls]
+    back = [1000.0 * (call.client_received - call.endpoint_sent) for call in calls]
+    both = [1000.0 * call.added_s for call in calls]
+    return DirectionTimes(len(calls), *(_median_and_p99(times) for times in (there, back, both)))
 
 
-def _middle_and_tail(times: list[float]) -> tuple[float, float]:
-    middle, tail = numpy.percentile(times, (50.0, 99.0))
-    return float(middle), float(tail)
+def _median_and_p99(times: list[float]) -> tuple[float, float]:
+    median, p99 = numpy.percentile(times, (50.0, 99.0))
+    return float(median), float(p99)
 
 
-def _scheduled(pid: int) -> tuple[float, float]:
-    """Processor time and time in the run queue of a process, in ms (proc(5): schedstat)."""
-    spent = waited = 0
+def _scheduler_times(pid: int) -> tuple[float, float]:
+    """Processor time and run queue wait of a process, in ms (proc(5): schedstat)."""
+    running_ns = waiting_ns = 0
     for task in Path(f"/proc/{pid}/task").iterdir():
-        one = (task / "schedstat").read_text().split()
-        spent, waited = spent + int(one[0]), waited + int(one[1])
-    return spent / 1e6, waited / 1e6
+        fields = (task / "schedstat").read_text().split()
+        running_ns, waiting_ns = running_ns + int(fields[0]), waiting_ns + int(fields[1])
+    return running_ns / 1e6, waiting_ns / 1e6
 
 
 def stage_times(calls: list[TimedCall], stamps: StampsByRequest) -> dict[str, StageTimes]:
-    """From each stage to the next, from the client's write on, the endpoint's own time left out."""
-    spans: dict[str, list[tuple[float, float]]] = {}
+    """Times from each stage to the next, from the client's write on, without the endpoint's service time."""
+    times_by_stage: dict[str, list[tuple[float, float]]] = {}
 
-    def add(name: str, ms: float, processor_ms: float) -> None:
-        spans.setdefault(name, []).append((1000.0 * ms, 1000.0 * processor_ms))
+    def add(name: str, duration_s: float, processor_s: float) -> None:
+        times_by_stage.setdefault(name, []).append((1000.0 * duration_s, 1000.0 * processor_s))
 
     for call in calls:
-        found = stamps.get(call.request_id, {})
-        if any(stage not in found for stage in STAGES):
+        call_stamps = stamps.get(call.request_id, {})
+        if any(stage not in call_stamps for stage in STAGES):
             continue
-        add("read", found["read"][0] - call.client_sent, 0.0)
-        # The kernel may bring a write to its reader before the call that writes has returned: what follows
-        # it on the way is counted from its beginning, its processor time as if it were done first.
-        for before, stage in itertools.pairwise(STAGES[:5]):
-            add(stage, *(now - then for now, then in zip(found[stage], found[before], strict=True)))
+        add("read", call_stamps["read"][0] - call.client_sent, 0.0)
+        # The reader may receive data before the writer's system call has returned. The next stage is thus
+        # timed from the begin of the write, while the processor time of the write is added to that stage.
+        for previous, stage in itertools.pairwise(STAGES[:5]):
+            add(
+                stage,
+                *(
+                    time_at - time_before
+                    for time_at, time_before in zip(call_stamps[stage], call_stamps[previous], strict=True)
+                ),
+            )
         add(
             "at the endpoint",
-            call.endpoint_received - found["going"][0],
-            found["written"][1] - found["going"][1],
+            call.endpoint_received - call_stamps["going"][0],
+            call_stamps["written"][1] - call_stamps["going"][1],
         )
-        add("heard", found["heard"][0] - call.endpoint_sent, 0.0)
-        for before, stage in itertools.pairwise(STAGES[6:9]):
-            add(stage, *(now - then for now, then in zip(found[stage], found[before], strict=True)))
+        add("heard", call_stamps["heard"][0] - call.endpoint_sent, 0.0)
+        for previous, stage in itertools.pairwise(STAGES[6:9]):
+            add(
+                stage,
+                *(
+                    time_at - time_before
+                    for time_at, time_before in zip(call_stamps[stage], call_stamps[previous], strict=True)
+                ),
+            )
         add(
             "at the client",
-            call.client_received - found["replying"][0],
-            found["replied"][1] - found["replying"][1],
+            call.client_received - call_stamps["replying"][0],
+            call_stamps["replied"][1] - call_stamps["replying"][1],
         )
     return {
         stage: StageTimes(
-            *_middle_and_tail([wall for wall, _ in both]), _middle_and_tail([one for _, one in both])[0]
+            *_median_and_p99([wall_ms for wall_ms, _ in times]),
+            _median_and_p99([processor_ms for _, processor_ms in times])[0],
         )
-        for stage, both in spans.items()
+        for stage, times in times_by_stage.items()
     }
 
 
-async def _run(rate: float, seed: int, stamped: bool, folder: Path) -> PathRun:
-    loop, rng, alarm = asyncio.get_running_loop(), Random(seed), PreciseTimer()
-    bench = Bench(alarm, rng)
+async def _run_async(rate: float, seed: int, stamped: bool, folder: Path) -> PathRun:
+    loop, rng, timer = asyncio.get_running_loop(), Random(seed), PreciseTimer()
+    bench = Bench(timer, rng)
     servers = [
-        await loop.create_server(lambda: _EndpointSide(bench), "127.0.0.1", 0) for _ in range(ENDPOINTS)
+        await loop.create_server(lambda: _EndpointConnection(bench), "127.0.0.1", 0) for _ in range(ENDPOINTS)
     ]
     ports = [server.sockets[0].getsockname()[1] for server in servers]
-    lines = [
+    endpoints = [
         {"instanceId": f"e{index}", "hostPort": f"127.0.0.1:{port}", "zone": "here", "lifecycle": "Ready"}
         for index, port in enumerate(ports)
     ]
-    known = {"generation": 1, "reset": True, "instances": lines}
-    discovery = await loop.create_server(lambda: _Discovery(msgspec.json.encode(known)), "127.0.0.1", 0)
+    endpoint_list = {"generation": 1, "reset": True, "instances": endpoints}
+    discovery = await loop.create_server(
+        lambda: _DiscoveryConnection(msgspec.json.encode(endpoint_list)), "127.0.0.1", 0
+    )
     command = ["python", "-m", "larkcrank.lab.scale.stamped"] if stamped else []
     child = Child(0, folder, command, lambda *_: None)
     try:
@@ -358,7 +387,7 @@
                 "name": "s0",
                 "seed": str(seed),
                 "discovery": f"127.0.0.1:{address[1]}",
-                "known": known,
+                "known": endpoint_list,
                 "settings": settings,
             }
         )
@@ -368,56 +397,59 @@
             await bench.open_connection(False, port)
             await bench.open_connection(True, rng.choice(ports))
         await asyncio.sleep(1.0)
-        before = _scheduled(child.pid)[0]
+        running_ms_before = _scheduler_times(child.pid)[0]
         await asyncio.sleep(IDLE_S)
-        idle = (_scheduled(child.pid)[0] - before) / IDLE_S
+        idle_ms_per_s = (_scheduler_times(child.pid)[0] - running_ms_before) / IDLE_S
         gc.collect()
         gc.disable()
-        last_s = max(MIN_RUN_S, (MIN_STAMPED_CALLS if stamped else MIN_CALLS) / rate)
-        begin = time.monotonic() + 0.1
-        end = begin + WARM_UP_S + last_s
-        bench.schedule_calls(False, rate, begin, end, lambda: port)
-        bench.schedule_calls(True, rate, begin, end, lambda: rng.choice(ports))
-        await asyncio.sleep(begin + WARM_UP_S - time.monotonic())
-        spent, waited = _scheduled(child.pid)
+        duration_s = max(MIN_RUN_S, (MIN_STAMPED_CALLS if stamped else MIN_CALLS) / rate)
+        start = time.monotonic() + 0.1
+        end = start + WARM_UP_S + duration_s
+        bench.schedule_calls(False, rate, start, end, lambda: port)
+        bench.schedule_calls(True, rate, start, end, lambda: rng.choice(ports))
+        await asyncio.sleep(start + WARM_UP_S - time.monotonic())
+        running_ms, waiting_ms = _scheduler_times(child.pid)
         await asyncio.sleep(end - time.monotonic())
-        spent, waited = (now - then for now, then in zip(_scheduled(child.pid), (spent, waited), strict=True))
-        until = time.monotonic() + RESPONSE_TIMEOUT_S
-        while time.monotonic() < until and any(not one.client_received for one in bench.calls.values()):
+        running_ms, waiting_ms = (
+            now - before
+            for now, before in zip(_scheduler_times(child.pid), (running_ms, waiting_ms), strict=True)
+        )
+        deadline = time.monotonic() + RESPONSE_TIMEOUT_S
+        while time.monotonic() < deadline and any(not call.client_received for call in bench.calls.values()):
             await asyncio.sleep(0.05)
         gc.enable()
-        load = os.getloadavg()[0]
+        load_average = os.getloadavg()[0]
         await child.end()
     finally:
         gc.enable()
         await child.close()
         for server in (*servers, discovery):
             server.close()
-        alarm.close()
-    timed = [one for one in bench.calls.values() if one.client_sent >= begin + WARM_UP_S]
-    ways = {
-        direct: [one for one in timed if one.direct is direct and one.client_received]
+        timer.close()
+    timed_calls = [call for call in bench.calls.values() if call.client_sent >= start + WARM_UP_S]
+    calls_by_direct = {
+        direct: [call for call in timed_calls if call.direct is direct and call.client_received]
         for direct in (True, False)
     }
-    if not all(ways.values()):
-        raise PathError(f"no answers; the sidecar's last lines: {list(child.lines)}")
+    if not all(calls_by_direct.values()):
+        raise PathError(f"no responses; the sidecar's last output lines: {list(child.lines)}")
     stamps = msgspec.json.decode((folder / STAMPS_FILE).read_bytes(), type=StampsByRequest) if stamped else {}
-    quiet = undisturbed_calls(ways[False], stamps)
+    undisturbed = undisturbed_calls(calls_by_direct[False], stamps)
     return PathRun(
         rate=rate,
         seed=seed,
         stamped=stamped,
-        direct=_ways(ways[True]),
-        through=_ways(ways[False]),
-        unanswered=sum(not one.client_received for one in timed),
+        direct=_direction_times(calls_by_direct[True]),
+        through=_direction_times(calls_by_direct[False]),
+        unanswered=sum(not call.client_received for call in timed_calls),
         opened=bench.late_connections,
-        idle_ms=idle,
-        processor_ms=spent / last_s,
-        waited_ms=waited / last_s,
-        load=load,
-        stages=stage_times(ways[False], stamps),
-        quiet=_ways(quiet) if quiet else None,
-        added=[1000.0 * one.added_s for one in ways[False]],
+        idle_ms=idle_ms_per_s,
+        processor_ms=running_ms / duration_s,
+        waited_ms=waiting_ms / duration_s,
+        load=load_average,
+        stages=stage_times(calls_by_direct[False], stamps),
+        quiet=_direction_times(undisturbed) if undisturbed else None,
+        added=[1000.0 * call.added_s for call in calls_by_direct[False]],
     )
 
 
@@ -427,112 +459,125 @@
         tempfile.TemporaryDirectory() as folder,
         asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner,
     ):
-        return runner.run(_run(rate, seed, stamped, Path(folder)))
+        return runner.run(_run_async(rate, seed, stamped, Path(folder)))
 
 
 def sample_chain(
-    added: list[float], base: float, deep: int, rng: numpy.random.Generator
+    added_ms: list[float], base_ms: float, chain_length: int, rng: numpy.random.Generator
 ) -> tuple[float, float]:
-    """Median and 99th in a hundred of what `deep` calls one after another are given, in ms.
+    """Median and 99th percentile of the time added to `chain_length` calls in a row, in ms.
 
-    `base` is what a call without a sidecar takes on the way; drawn independently from what was measured: a
-    busy moment that holds up all sidecars of a machine at once would make the tail longer.
+    `base_ms` is the time of a call without a sidecar. The samples are drawn independently from the measured
+    times. A busy period that delays all sidecars of a machine at once would make the tail longer.
     """
-    drawn = rng.choice(numpy.asarray(added) - base, (CHAIN_SAMPLES, deep)).sum(axis=1)
-    middle, tail = numpy.percentile(drawn, (50.0, 99.0))
-    return float(middle), float(tail)
+    samples = rng.choice(numpy.asarray(added_ms) - base_ms, (CHAIN_SAMPLES, chain_length)).sum(axis=1)
+    median, p99 = numpy.percentile(samples, (50.0, 99.0))
+    return float(median), float(p99)
 
 
 RUSAGE_TARGETS = (resource.RUSAGE_SELF, resource.RUSAGE_CHILDREN)
 
 
-def simulate_dedicated_processor(processor_ms: float, first: float, rate: float, rng: Random) -> list[float]:
-    """What calls would be added if the sidecar had a processor to itself: its own time, and the wait for it.
+def simulate_dedicated_processor(
+    processor_ms: float, forward_share: float, rate: float, rng: Random
+) -> list[float]:
+    """Simulates the time in ms that would be added to each call by a sidecar with a processor of its own.
 
-    A queue of one server, first come first served, in virtual time: calls come at random, each is worked on
-    twice, `first` of its processor time before its endpoint and the rest after, and the endpoint takes
-    SERVICE_S. The kernel's way and the wake-ups are left out, and each call takes as long: a lower bound.
+    This is a first-come, first-served queue with one server, in virtual time. Calls arrive at random. Each is
+    processed twice: `forward_share` of its processor time before the endpoint, which takes SERVICE_S, and the
+    rest after it. Kernel time and wake-ups are left out and all calls take the same processor time, so the
+    result is a lower bound.
     """
-    parts = (processor_ms * first, processor_ms * (1.0 - first))
-    due: list[tuple[float, int, bool]] = []  # when, which call, whether its answer
-    begun, found, now, free = [], [], 0.0, 0.0
-    for number in range(SIMULATED_CALLS):
-        now += rng.expovariate(rate) * 1000.0
-        begun.append(now)
-        due.append((now, number, False))
-    heapq.heapify(due)
-    while due:
-        when, number, is_answer = heapq.heappop(due)
-        free = max(free, when) + parts[is_answer]
-        if is_answer:
-            found.append(free - begun[number] - 1000.0 * SERVICE_S)
+    processor_ms_by_phase = (processor_ms * forward_share, processor_ms * (1.0 - forward_share))
+    pending: list[tuple[float, int, bool]] = []  # time in ms, index of the call, whether it is its response
+    arrivals_ms, added_ms, arrival_ms, free_at_ms = [], [], 0.0, 0.0
+    for call_index in range(SIMULATED_CALLS):
+        arrival_ms += rng.expovariate(rate) * 1000.0
+        arrivals_ms.append(arrival_ms)
+        pending.append((arrival_ms, call_index, False))
+    heapq.heapify(pending)
+    while pending:
+        due_ms, call_index, is_response = heapq.heappop(pending)
+        free_at_ms = max(free_at_ms, due_ms) + processor_ms_by_phase[is_response]
+        if is_response:
+            added_ms.append(free_at_ms - arrivals_ms[call_index] - 1000.0 * SERVICE_S)
         else:
-            heapq.heappush(due, (free + 1000.0 * SERVICE_S, number, True))
-    return found
+            heapq.heappush(pending, (free_at_ms + 1000.0 * SERVICE_S, call_index, True))
+    return added_ms
 
 
 def forward_processor_share(runs: Iterable[PathRun]) -> float:
-    """Of a call's processor time, how much is spent before it is at its endpoint: of all stamped runs."""
-    before = after = 0.0
-    for one in runs:
-        for stage, words in one.stages.items():
+    """Share of a call's processor time spent before it reaches the endpoint, over all stamped runs."""
+    forward_ms = return_ms = 0.0
+    for run in runs:
+        for stage, times in run.stages.items():
             if stage in FORWARD_STAGES:
-                before += words.processor
+                forward_ms += times.processor
             else:
-                after += words.processor
-    return before / (before + after)
+                return_ms += times.processor
+    return forward_ms / (forward_ms + return_ms)
 
 
 class PathRunFile(msgspec.Struct, kw_only=True):
-    """What stands in docs/scale/runs/."""
+    """The content of docs/scale/runs/path.json."""
 
     command: str
     date: str
-    commit: str  # of the text; `+` where files differed from it
+    commit: str  # of the source; `+` if files differed from it
     took_s: float
-    machine: dict[str, Any]  # what others did meanwhile
-    runs: list[PathRun]  # without each call's figure
-    rows: dict[int, list[tuple[float, float]]]  # calls in a row: median and 99th in a hundred, of each seed
+    machine: dict[str, Any]  # its load by other processes meanwhile, see `LoadMeter.summary`
+    runs: list[PathRun]  # with `added` left empty
+    rows: dict[
+        int, list[tuple[float, float]]
+    ]  # by number of calls in a row: median and 99th percentile by seed
 
 
-def _added(index: int, one: PathRun) -> float:
-    return one.through.both[index] - one.direct.both[index]
+def _added_time(percentile_index: int, run: PathRun) -> float:
+    return run.through.both[percentile_index] - run.direct.both[percentile_index]
 
 
-def _undisturbed(index: int, one: PathRun) -> float:
-    return one.quiet.both[index] - one.direct.both[index] if one.quiet is not None else math.nan
+def _undisturbed_added_time(percentile_index: int, run: PathRun) -> float:
+    return (
+        run.quiet.both[percentile_index] - run.direct.both[percentile_index]
+        if run.quiet is not None
+        else math.nan
+    )
 
 
-def _there(index: int, one: PathRun) -> float:
-    return one.through.there[index]
+def _time_to_endpoint(percentile_index: int, run: PathRun) -> float:
+    return run.through.there[percentile_index]
 
 
-def _back(index: int, one: PathRun) -> float:
-    return one.through.back[index]
+def _time_to_client(percentile_index: int, run: PathRun) -> float:
+    return run.through.back[percentile_index]
 
 
-def _direct(index: int, one: PathRun) -> float:
-    return one.direct.both[index]
+def _direct_time(percentile_index: int, run: PathRun) -> float:
+    return run.direct.both[percentile_index]
 
 
-def _took(stage: str, one: PathRun) -> float:
-    return one.stages[stage].median
+def _stage_time(stage: str, run: PathRun) -> float:
+    return run.stages[stage].median
 
 
-def _spent(stage: str, one: PathRun) -> float:
-    return one.stages[stage].processor
+def _stage_processor_time(stage: str, run: PathRun) -> float:
+    return run.stages[stage].processor
 
 
-TIME_SERIES: dict[str, tuple[str, str, Callable[[int, PathRun], float]]] = {  # title, note, figure
-    "added": ("added to a call", "the way through the sidecar less that without it, in the same run", _added),
+TIME_SERIES: dict[str, tuple[str, str, Callable[[int, PathRun], float]]] = {  # title, note, metric
+    "added": (
+        "added to a call",
+        "the way through the sidecar less that without it, in the same run",
+        _added_time,
+    ),
     "quiet": (
         "added to a call, undisturbed",
         "calls of the stamped runs in whose time the sidecar was never kept from running",
-        _undisturbed,
+        _undisturbed_added_time,
     ),
-    "there": ("client to endpoint through the sidecar", "", _there),
-    "back": ("endpoint to client through the sidecar", "", _back),
-    "direct": ("both ways without a sidecar", "", _direct),
+    "there": ("client to endpoint through the sidecar", "", _time_to_endpoint),
+    "back": ("endpoint to client through the sidecar", "", _time_to_client),
+    "direct": ("both ways without a sidecar", "", _direct_time),
 }
 
 
@@ -542,19 +587,19 @@
 Points = list[tuple[float, list[float]]]
 
 
-class _Fits:
-    """The slopes of a run by name."""
+class _SlopeFits:
+    """Collects the fitted slopes of the runs by name."""
 
-    def __init__(self, runs: Sequence[PathRun], run: str) -> None:
-        self.found: dict[str, Slope] = {}
-        self.runs, self._run = runs, run
-        self.rates = sorted({one.rate for one in runs})
+    def __init__(self, runs: Sequence[PathRun], run_file: str) -> None:
+        self.slopes: dict[str, Slope] = {}
+        self.runs, self._run_file = runs, run_file
+        self.rates = sorted({run.rate for run in runs})
 
-    def points(self, stamped: bool, figure: Callable[[PathRun], float]) -> Points:
-        """By rate, one figure for each seed. A rate at which one has none is left out."""
-        chosen = [one for one in self.runs if one.stamped is stamped]
-        found = [(rate, [figure(one) for one in chosen if one.rate == rate]) for rate in self.rates]
-        return [(rate, each) for rate, each in found if all(map(math.isfinite, each))]
+    def points(self, stamped: bool, metric: Callable[[PathRun], float]) -> Points:
+        """Returns the metric by rate, one value per seed, without rates that have non-finite values."""
+        chosen_runs = [run for run in self.runs if run.stamped is stamped]
+        points = [(rate, [metric(run) for run in chosen_runs if run.rate == rate]) for rate in self.rates]
+        return [(rate, values) for rate, values in points if all(map(math.isfinite, values))]
 
     def add(
         self,
@@ -567,64 +612,94 @@
         how: Literal["real", "virtual"] = "real",
     ) -> None:
         cost = "processor time" if name.endswith(("processor", "-cpu")) else "time"
-        words = {"title": title, "cost": cost, "unit": unit, "by": by, "run": self._run, "note": note}
+        fields = {"title": title, "cost": cost, "unit": unit, "by": by, "run": self._run_file, "note": note}
         try:
-            self.found[f"path-{name}"] = fit_slope(points, role="path", how=how, command=COMMAND, **words)
+            self.slopes[f"path-{name}"] = fit_slope(points, role="path", how=how, command=COMMAND, **fields)
         except FitError as error:
-            click.echo(f"{name}: no slope: {error}", err=True)
+            click.echo(f"{name}: no slope fitted: {error}", err=True)
 
 
 def fit_slopes(
-    runs: Sequence[PathRun], rows: Mapping[int, list[tuple[float, float]]], run: str
+    runs: Sequence[PathRun], rows: Mapping[int, list[tuple[float, float]]], run_file: str
 ) -> dict[str, Slope]:
-    """The slopes of all that was measured, by name; what has none is told."""
-    fits = _Fits(runs, run)
-    processor = fits.points(False, lambda one: one.processor_ms / 10)
-    fits.add("processor", "a sidecar's processor time", processor, PERCENT_OF_CORE)
-    queued = fits.points(False, lambda one: one.waited_ms / 10)
+    """Fits the slopes of all runs and returns them by name. Series that can't be fitted are reported."""
+    fits = _SlopeFits(runs, run_file)
+    processor_points = fits.points(False, lambda run: run.processor_ms / 10)
+    fits.add("processor", "a sidecar's processor time", processor_points, PERCENT_OF_CORE)
+    queued_points = fits.points(False, lambda run: run.waited_ms / 10)
     note = "ready to run while another process ran: the machine's doing, not the program's"
-    fits.add("queued", "a sidecar kept from running", queued, PERCENT_OF_CORE, note=note)
-    for index, which in enumerate(PERCENTILES):
-        for name, (title, note, way) in TIME_SERIES.items():
-            figures = fits.points(name == "quiet", partial(way, index))
-            fits.add(f"{name}-{which}", f"{title}, {which}", figures, note=note)
+    fits.add("queued", "a sidecar kept from running", queued_points, PERCENT_OF_CORE, note=note)
+    for percentile_index, percentile_name in enumerate(PERCENTILES):
+        for name, (title, note, metric) in TIME_SERIES.items():
+            points = fits.points(name == "quiet", partial(metric, percentile_index))
+            fits.add(f"{name}-{percentile_name}", f"{title}, {percentile_name}", points, note=note)
         note = f"drawn independently from what {CHAIN_CALLS_PER_S} calls a second were added"
-        row = [(float(deep), [one[index] for one in each]) for deep, each in rows.items()]
-        fits.add(f"row-{which}", f"added to calls in a row, {which}", row, by=BY_CHAIN_LENGTH, note=note)
-    _add_alone(fits)
-    for stage, words in STAGE_DESCRIPTIONS.items():
-        slug = stage.replace(" ", "-")
-        fits.add(f"stage-{slug}", f"{words}, median", fits.points(True, partial(_took, stage)))
-        own = fits.points(True, partial(_spent, stage))
-        fits.add(f"stage-{slug}-cpu", f"{words}, the sidecar's processor time, median", own)
-    return fits.found
-
-
-def _add_alone(fits: _Fits) -> None:
-    """What calls were added if the sidecar had a processor to itself, by the processor time of each run."""
-    first, by_rate = forward_processor_share(fits.runs), dict[float, list[tuple[int, list[float]]]]()
-    for one in fits.runs:
-        if not one.stamped:
-            took = (one.processor_ms - one.idle_ms) / one.rate
-            added = simulate_dedicated_processor(took, first, one.rate, Random(one.seed))
-            by_rate.setdefault(one.rate, []).append((one.seed, added))
+        chain_points = [
+            (float(chain_length), [result[percentile_index] for result in results])
+            for chain_length, results in rows.items()
+        ]
+        fits.add(
+            f"row-{percentile_name}",
+            f"added to calls in a row, {percentile_name}",
+            chain_points,
+            by=BY_CHAIN_LENGTH,
+            note=note,
+        )
+    _add_dedicated_processor_slopes(fits)
+    for stage, description in STAGE_DESCRIPTIONS.items():
+        stage_name = stage.replace(" ", "-")
+        fits.add(
+            f"stage-{stage_name}", f"{description}, median", fits.points(True, partial(_stage_time, stage))
+        )
+        stage_processor_points = fits.points(True, partial(_stage_processor_time, stage))
+        fits.add(
+            f"stage-{stage_name}-cpu",
+            f"{description}, the sidecar's processor time, median",
+            stage_processor_points,
+        )
+    return fits.slopes
+
+
+def _add_dedicated_processor_slopes(fits: _SlopeFits) -> None:
+    """Adds the slopes of the simulated time added by a sidecar with a processor of its own.
+
+    The simulation uses the processor time that a call took in each run.
+    """
+    forward_share, added_by_rate = (
+        forward_processor_share(fits.runs),
+        dict[float, list[tuple[int, list[float]]]](),
+    )
+    for run in fits.runs:
+        if not run.stamped:
+            processor_ms = (run.processor_ms - run.idle_ms) / run.rate
+            added_ms = simulate_dedicated_processor(processor_ms, forward_share, run.rate, Random(run.seed))
+            added_by_rate.setdefault(run.rate, []).append((run.seed, added_ms))
     note = "a queue in virtual time; each call takes the processor time that it took in a run"
     title = "added by a sidecar with a processor to itself"
-    for which, share in PERCENTILES.items():
-        figures = [
-            (rate, [float(numpy.percentile(added, share)) for _, added in each])
-            for rate, each in sorted(by_rate.items())
+    for percentile_name, percentile in PERCENTILES.items():
+        points = [
+            (rate, [float(numpy.percentile(added_ms, percentile)) for _, added_ms in results])
+            for rate, results in sorted(added_by_rate.items())
         ]
-        fits.add(f"alone-{which}", f"{title}, {which}", figures, note=note, how="virtual")
-        row: Points = []
-        for deep in CHAIN_LENGTHS if CHAIN_CALLS_PER_S in by_rate else ():
-            drawn = [
-                sample_chain(added, 0.0, deep, numpy.random.default_rng(seed))
-                for seed, added in by_rate[CHAIN_CALLS_PER_S]
+        fits.add(f"alone-{percentile_name}", f"{title}, {percentile_name}", points, note=note, how="virtual")
+        chain_points: Points = []
+        for chain_length in CHAIN_LENGTHS if CHAIN_CALLS_PER_S in added_by_rate else ():
+            chain_results = [
+                sample_chain(added_ms, 0.0, chain_length, numpy.random.default_rng(seed))
+                for seed, added_ms in added_by_rate[CHAIN_CALLS_PER_S]
             ]
-            row.append((float(deep), [one[which == "p99"] for one in drawn]))
-        words = f"{title}, calls in a row, {CHAIN_CALLS_PER_S} a second, {which}"
-        fits.add(f"alone-row-{which}", words, row, by=BY_CHAIN_LENGTH, note=note, how="virtual")
+            chain_points.append(
+                (float(chain_length), [result[percentile_name == "p99"] for result in chain_results])
+            )
+        chain_title = f"{title}, calls in a row, {CHAIN_CALLS_PER_S} a second, {percentile_name}"
+        fits.add(
+            f"alone-row-{percentile_name}",
+            chain_title,
+            chain_points,
+            by=BY_CHAIN_LENGTH,
+            note=note,
+            how="virtual",
+        )
 
 
 @click.command()
@@ -635,43 +710,45 @@
 def path(rates: tuple[int, ...], seeds: tuple[int, ...], out: Path, fit_only: bool) -> None:
     """What one sidecar adds to a call, in whole and by stage, by calls a second. Exit code 3: cut short."""
     if fit_only:
-        _write(msgspec.json.decode((out / "runs" / "path.json").read_bytes(), type=PathRunFile), out)
+        _write_slopes(msgspec.json.decode((out / "runs" / "path.json").read_bytes(), type=PathRunFile), out)
         return
-    began, load = time.monotonic(), machine.LoadMeter()
+    started, load_meter = time.monotonic(), machine.LoadMeter()
     runs = []
     try:
         for stamped in (False, True):
-            for seed in seeds:  # each seed's rates one after another, so that a busy spell befalls them all
+            for seed in seeds:  # all rates of a seed in sequence, so that a busy period affects all of them
                 for rate in rates:
-                    runs.append(one := measure_run(rate, seed, stamped))
-                    said = f"added {one.through.both[0] - one.direct.both[0]:.2f} ms at the median"
-                    click.echo(f"{rate} a second, seed {seed}{', stamped' * stamped}: {said}", err=True)
+                    runs.append(run := measure_run(rate, seed, stamped))
+                    result = f"added {run.through.both[0] - run.direct.both[0]:.2f} ms at the median"
+                    click.echo(f"{rate} a second, seed {seed}{', stamped' * stamped}: {result}", err=True)
     except (PathError, ProcessError, OSError) as error:
         click.echo(str(error), err=True)
         raise SystemExit(3) from None
-    rows: dict[int, list[tuple[float, float]]] = {deep: [] for deep in CHAIN_LENGTHS}
-    for one in runs:
-        if not one.stamped and one.rate == CHAIN_CALLS_PER_S:
-            rng = numpy.random.default_rng(one.seed)
-            for deep in CHAIN_LENGTHS:
-                rows[deep].append(sample_chain(one.added, one.direct.both[0], deep, rng))
-    where = out / "runs" / "path.json"
-    raw = PathRunFile(
+    rows: dict[int, list[tuple[float, float]]] = {chain_length: [] for chain_length in CHAIN_LENGTHS}
+    for run in runs:
+        if not run.stamped and run.rate == CHAIN_CALLS_PER_S:
+            rng = numpy.random.default_rng(run.seed)
+            for chain_length in CHAIN_LENGTHS:
+                rows[chain_length].append(sample_chain(run.added, run.direct.both[0], chain_length, rng))
+    run_file = out / "runs" / "path.json"
+    run_data = PathRunFile(
         command=COMMAND,
         date=datetime.now(UTC).isoformat(timespec="seconds"),
         commit=machine.source_commit(),
-        took_s=round(time.monotonic() - began, 1),
-        machine=load.summary(sum(sum(resource.getrusage(who)[:2]) for who in RUSAGE_TARGETS)),
-        runs=[msgspec.structs.replace(one, added=[]) for one in runs],
+        took_s=round(time.monotonic() - started, 1),
+        machine=load_meter.summary(sum(sum(resource.getrusage(target)[:2]) for target in RUSAGE_TARGETS)),
+        runs=[msgspec.structs.replace(run, added=[]) for run in runs],
         rows=rows,
     )
-    slopes.write_json(where, raw)
-    _write(raw, out)
+    slopes.write_json(run_file, run_data)
+    _write_slopes(run_data, out)
 
 
-def _write(raw: PathRunFile, out: Path) -> None:
-    for name, slope in fit_slopes(raw.runs, raw.rows, str(slopes.RUNS_FOLDER / "path.json")).items():
-        slopes.write_slope(name, slope, out / "slopes")
+def _write_slopes(run_data: PathRunFile, out_folder: Path) -> None:
+    for name, slope in fit_slopes(
+        run_data.runs, run_data.rows, str(slopes.RUNS_FOLDER / "path.json")
+    ).items():
+        slopes.write_slope(name, slope, out_folder / "slopes")
         click.echo(
             f"{name}: {slope.slope:.4g} ({slope.low:.4g} to {slope.high:.4g}), at none {slope.intercept:.4g}"
         )
