--- a/larkcrank/lab/scale/machine.py
+++ b/larkcrank/lab/scale/machine.py
@@ -80,7 +80,7 @@
         return {
             "others_share": round(others_share, 3),
             "was_busy": others_share > BUSY_SHARE,
-            "load_average": [round(one, 2) for one in os.getloadavg()],
+            "load_average": [round(average, 2) for average in os.getloadavg()],
         }
 
 
--- a/larkcrank/lab/scale/measure.py
+++ b/larkcrank/lab/scale/measure.py
@@ -49,8 +49,8 @@
 
 
 COST_METRICS = {
-    one.name: one
-    for one in (
+    metric.name: metric
+    for metric in (
         CostMetric("sidecar-memory", "sidecar", "resident memory", "MiB"),
         CostMetric("sidecar-start-cpu", "sidecar", "processor time until the first list is in force", "ms"),
         CostMetric("sidecar-start", "sidecar", "time from start to serving", "ms"),
@@ -164,9 +164,9 @@
             return costs
         await hosts.stop_heartbeats()
         await hosts.clear_applied_lists()
-        change_costs, numbers = await _measure_changes(series, size, registry, count, hosts.cpu_s, 0.0)
+        change_costs, change_numbers = await _measure_changes(series, size, registry, count, hosts.cpu_s, 0.0)
         reports = await hosts.collect()
-        delays = _apply_delays(_sidecar_reports(reports), [(await registry.stats())], numbers)
+        delays = _apply_delays(_sidecar_reports(reports), [(await registry.stats())], change_numbers)
         costs["sidecar-in-force"] = statistics.median(chain.from_iterable(delays)) * 1000.0
         return costs | change_costs
 
@@ -324,6 +324,8 @@
 
 
 class _Registry(RegistryProcess):
+    """A registry process that keeps its address."""
+
     host_port = ""
 
 
--- a/larkcrank/lab/scale/path.py
+++ b/larkcrank/lab/scale/path.py
@@ -115,6 +115,8 @@
 
 
 class _EndpointConnection(asyncio.Protocol):
+    """An endpoint's side of a connection. Responds SERVICE_S after it has received a request."""
+
     def __init__(self, bench: "Bench") -> None:
         self._bench, self._received = bench, b""
 
@@ -140,6 +142,8 @@
 
 
 class _ClientConnection(asyncio.Protocol):
+    """A client's side of a connection. It returns to the idle connections after each response."""
+
     def __init__(self, idle_connections: "list[_ClientConnection]") -> None:
         self._idle, self._received = idle_connections, b""
         self._call: TimedCall | None = None
--- a/larkcrank/lab/scale/plan.py
+++ b/larkcrank/lab/scale/plan.py
@@ -34,6 +34,8 @@
 
 
 class Fleet(_Strict, frozen=True):
+    """Size and load of the fleet."""
+
     endpoints: int
     services: int
     calls_per_s: float  # of the whole fleet
@@ -63,11 +65,13 @@
 
 
 class Budgets(_Strict, frozen=True):
+    """The limits that the figures are compared with."""
+
     added_ms: float  # 99th percentile of the time added to calls
     in_force_s: float  # until a change is applied by all sidecars
-    core_percent: float
-    memory_mb: float
-    bytes_per_s: float
+    core_percent: float  # processor time for control
+    memory_mb: float  # for the list and the view
+    bytes_per_s: float  # for lists and the view
 
 
 class OperatorNumbers(_Strict, frozen=True):
--- a/larkcrank/lab/scale/registry.py
+++ b/larkcrank/lab/scale/registry.py
@@ -158,11 +158,11 @@
 class Registry:
     """Serves the list to watchers and records statistics."""
 
-    def __init__(self, listed: EndpointList) -> None:
-        self.endpoint_list = listed
+    def __init__(self, endpoint_list: EndpointList) -> None:
+        self.endpoint_list = endpoint_list
         self.connections = self.watches = self.lists = self.bytes_out = 0
         self.written_times: dict[int, tuple[float, float]] = {}
-        self.reasked_times: dict[int, float] = {}
+        self.acknowledged_times: dict[int, float] = {}
         self._waiting_generation: dict[_Connection, int] = {}  # by waiting watcher
         # The next request of a watcher acknowledges the last change that was sent to it.
         self._unacknowledged_change: dict[_Connection, int] = {}
@@ -184,7 +184,7 @@
             whole_bytes=len(self.endpoint_list.response_after(None)),
             generation=self.endpoint_list.generation,
             told=dict(self.written_times),
-            again=dict(self.reasked_times),
+            again=dict(self.acknowledged_times),
         )
 
     @property
@@ -198,22 +198,22 @@
         If `whole` is true, they get the whole list. Returns the numbers of the changes.
         """
         made_at = time.monotonic()
-        numbers = [self.endpoint_list.change_next(lifecycle) for _ in range(count)]
+        change_numbers = [self.endpoint_list.change_next(lifecycle) for _ in range(count)]
         if whole:
             self.endpoint_list.discard_log()
         waiting, self._waiting_generation = self._waiting_generation, {}
         for connection, after in waiting.items():
             self._acknowledge_change(connection)
-            self._unacknowledged_change[connection] = numbers[-1]
+            self._unacknowledged_change[connection] = change_numbers[-1]
             connection.send_response(self.endpoint_list.response_after(after))
         if waiting:
-            self._unacknowledged_count[numbers[-1]] = len(waiting)
-        told_at = time.monotonic()
-        self.written_times.update(dict.fromkeys(numbers, (made_at, told_at)))
-        for times in (self.written_times, self.reasked_times):
+            self._unacknowledged_count[change_numbers[-1]] = len(waiting)
+        written_at = time.monotonic()
+        self.written_times.update(dict.fromkeys(change_numbers, (made_at, written_at)))
+        for times in (self.written_times, self.acknowledged_times):
             for change in list(times)[:-MAX_RECORDED_CHANGES]:
                 del times[change]
-        return numbers
+        return change_numbers
 
     def _acknowledge_change(self, connection: "_Connection") -> None:
         change = self._unacknowledged_change.pop(connection, None)
@@ -221,9 +221,9 @@
             self._unacknowledged_count[change] -= 1
             if not self._unacknowledged_count[change]:
                 del self._unacknowledged_count[change]
-                self.reasked_times[change] = time.monotonic()
+                self.acknowledged_times[change] = time.monotonic()
 
-    def handle_call(self, connection: "_Connection", after: int | None, wait_ms: float) -> None:
+    def handle_request(self, connection: "_Connection", after: int | None, wait_ms: float) -> None:
         """Responds to a request at once, or as soon as there is a newer generation.
 
         `after` is None in a request for the whole list.
@@ -282,9 +282,9 @@
             return
         query = _WATCH_QUERY.search(target)
         if query is None:
-            self._registry.handle_call(self, None, 0.0)
+            self._registry.handle_request(self, None, 0.0)
         else:
-            self._registry.handle_call(self, int(query[1]), float(query[2] or 0))
+            self._registry.handle_request(self, int(query[1]), float(query[2] or 0))
 
     def send_response(self, response: bytes) -> None:
         self._cancel_timer()
@@ -312,14 +312,16 @@
 
 
 async def _change(registry: Registry, command: dict[str, Any]) -> list[int]:
-    loop, numbers = asyncio.get_running_loop(), list[int]()
+    loop, change_numbers = asyncio.get_running_loop(), list[int]()
     started = loop.time()
     for offset_s, count in change_schedule(
         command["count"], command.get("each", command["count"]), command.get("over_s", 0.0)
     ):
         await asyncio.sleep(max(started + offset_s - loop.time(), 0.0))
-        numbers += registry.change(count, command.get("lifecycle", "flip"), command.get("whole", False))
-    return numbers
+        change_numbers += registry.change(
+            count, command.get("lifecycle", "flip"), command.get("whole", False)
+        )
+    return change_numbers
 
 
 async def _serve() -> None:
@@ -368,8 +370,8 @@
         """
         arguments = {"over_s": over_s, "lifecycle": lifecycle, "whole": whole}
         event = await self.process.send_command("change", count=count, each=each or count, **arguments)
-        numbers: list[int] = event["numbers"]
-        return numbers
+        change_numbers: list[int] = event["numbers"]
+        return change_numbers
 
     async def waiting_count(self) -> int:
         """Number of pending watches; cheaper than `stats`."""
--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -66,6 +66,8 @@
 
 
 def _install_wrappers() -> None:
+    """Wraps the functions of the program that mark the stages of a request."""
+
     from larkcrank.protocol import http1, platform
     from larkcrank.routing.clients import ClientConnections
     from larkcrank.routing.driver import Driver
