--- a/larkcrank/lab/scale/light.py
+++ b/larkcrank/lab/scale/light.py
@@ -1,11 +1,13 @@
-"""Light receivers: they take an answer, note which changes it tells, and ask again. They hold no list.
+"""Lightweight receivers: discovery clients that record which changes each response carries and keep no list.
 
-Beside hollow sidecars they show what the way alone takes. A hollow sidecar spends some tenths of a
-millisecond to a few on a change; in service each does so on a machine of its own, on a bench all share
-a few processors, so that thousands concerned at one moment wait for each other.
+Compared with hollow sidecars, they show the propagation delay of a change without the receivers' own work.
+A hollow sidecar spends between a few tenths of a millisecond and a few milliseconds on a change. In
+production each sidecar does so on its own machine. In the lab all of them share a few processors, so
+thousands of sidecars that receive a change at the same moment wait for each other.
 
-A process (`python -m larkcrank.lab.scale.light`) reads the hollow sidecars' `Spec` and takes their orders; in
-its `config` a `generation` says which they hold at first.
+A host process (`python -m larkcrank.lab.scale.light`) reads the same `Spec` and accepts the same commands as
+a host of hollow sidecars. The key `generation` in the `config` of the `Spec` sets the generation that the
+receivers start from.
 """
 
 import asyncio
@@ -24,113 +26,133 @@
 from larkcrank.protocol import http1
 from larkcrank.protocol.discovery import LIST_TARGET, host_port, watch_target
 
-WAIT_MS = 60_000  # as a sidecar's
-AGAIN_S = 1.0
-_LENGTH = re.compile(rb"[Cc]ontent-[Ll]ength: (\d+)")
-_GENERATION = re.compile(rb'"generation": ?(\d+)')
-_WHOLE = re.compile(rb'"reset": ?true')
-_WEIGHT = re.compile(rb'"weight": ?([0-9.e-]+)')
+WATCH_WAIT_MS = 60_000  # the same wait as in a sidecar's watch
+RETRY_DELAY_S = 1.0
+_CONTENT_LENGTH_PATTERN = re.compile(rb"[Cc]ontent-[Ll]ength: (\d+)")
+_GENERATION_PATTERN = re.compile(rb'"generation": ?(\d+)')
+_FULL_LIST_PATTERN = re.compile(rb'"reset": ?true')
+_WEIGHT_PATTERN = re.compile(rb'"weight": ?([0-9.e-]+)')
 
 
-class Light(asyncio.Protocol):
-    def __init__(self, number: int, place: tuple[str, int], generation: int | None = None) -> None:
-        """With a `generation` it begins as one that holds it, and takes no whole list."""
+class LightweightReceiver(asyncio.Protocol):
+    """Watches discovery over one connection and records the change numbers in each response."""
+
+    def __init__(
+        self, number: int, discovery_address: tuple[str, int], generation: int | None = None
+    ) -> None:
+        """If `generation` is given, the first request is a watch from there; no full list is requested."""
         self.number = number
-        self.serving: float | None = None
-        self.began = time.monotonic()
-        self.seen: deque[Seen] = deque(maxlen=SEEN_MOST)
-        self.bytes_in = self.bytes_out = self.calls = self.failures = self.lines = 0
+        self.serving_since: float | None = None
+        self.started_at = time.monotonic()
+        self.observed_lists: deque[Seen] = deque(maxlen=SEEN_MOST)
+        self.bytes_in = self.bytes_out = self.calls = self.failures = self.list_size = 0
         self.generation = generation
-        self._place = place
+        self._discovery_address = discovery_address
         self._transport: asyncio.Transport | None = None
-        self._parts: list[bytes] = []
-        self._missing = 0  # bytes of an answer that has begun
-        self._task: asyncio.Task[None] | None = None
+        self._response_chunks: list[bytes] = []
+        self._missing_body_bytes = 0  # bytes still to come of a partly received response body
+        self._connect_task: asyncio.Task[None] | None = None
         self._closed = False
 
     async def connect(self) -> None:
+        """Connects to discovery and retries after a fixed delay until it succeeds."""
         while True:
             try:
-                await asyncio.get_running_loop().create_connection(lambda: self, *self._place)
+                await asyncio.get_running_loop().create_connection(lambda: self, *self._discovery_address)
                 return
             except OSError:
                 self.failures += 1
-                await asyncio.sleep(AGAIN_S)
+                await asyncio.sleep(RETRY_DELAY_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
-        self._parts, self._missing = [], 0
-        self._ask()
+        self._response_chunks, self._missing_body_bytes = [], 0
+        self._send_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._transport = None
         if not self._closed:
             self.failures += 1
-            self._task = asyncio.get_running_loop().create_task(self.connect())
+            self._connect_task = asyncio.get_running_loop().create_task(self.connect())
 
     def close(self) -> None:
         self._closed = True
-        if self._task is not None:
-            self._task.cancel()
+        if self._connect_task is not None:
+            self._connect_task.cancel()
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
         self.bytes_in += len(data)
-        self._parts.append(data)
-        if self._missing:
-            self._missing -= len(data)
-            if self._missing > 0:
+        self._response_chunks.append(data)
+        if self._missing_body_bytes:
+            self._missing_body_bytes -= len(data)
+            if self._missing_body_bytes > 0:
                 return
-        text = b"".join(self._parts)
-        head, end, body = text.partition(b"\r\n\r\n")
-        length = _LENGTH.search(head) if end else None
-        if length is None:
+        response_bytes = b"".join(self._response_chunks)
+        head, head_end, body = response_bytes.partition(b"\r\n\r\n")
+        content_length = _CONTENT_LENGTH_PATTERN.search(head) if head_end else None
+        if content_length is None:
             return
-        if len(body) < int(length[1]):
-            self._missing = int(length[1]) - len(body)
-            self._parts = [text]
+        if len(body) < int(content_length[1]):
+            self._missing_body_bytes = int(content_length[1]) - len(body)
+            self._response_chunks = [response_bytes]
             return
-        self._parts, self._missing = [], 0
-        self._take(head, body)
+        self._response_chunks, self._missing_body_bytes = [], 0
+        self._handle_response(head, body)
+
+    def _handle_response(self, head: bytes, body: bytes) -> None:
+        """Records the changes in a response and sends the next watch.
 
-    def _take(self, head: bytes, body: bytes) -> None:
+        The sender encodes the number of a change in the weight of each changed line.
+        """
         if not head.startswith(b"HTTP/1.1 200"):
             self.failures += 1
-            asyncio.get_running_loop().call_later(AGAIN_S, self._ask)
+            asyncio.get_running_loop().call_later(RETRY_DELAY_S, self._send_request)
             return
-        found = _GENERATION.search(body)
-        assert found is not None
-        self.generation = int(found[1])
-        tags = [round((float(weight) - 1.0) * TAG) for weight in _WEIGHT.findall(body)]
-        if tags:
-            at, whole = time.monotonic(), _WHOLE.search(body) is not None
-            self.serving = self.serving or at
-            self.lines = len(tags) if whole else self.lines
-            self.seen.append(Seen(at, self.generation, whole, len(tags), min(tags), max(tags)))
-        self._ask()
-
-    def _ask(self) -> None:
+        generation_match = _GENERATION_PATTERN.search(body)
+        assert generation_match is not None
+        self.generation = int(generation_match[1])
+        change_numbers = [round((float(weight) - 1.0) * TAG) for weight in _WEIGHT_PATTERN.findall(body)]
+        if change_numbers:
+            received_at, is_full_list = time.monotonic(), _FULL_LIST_PATTERN.search(body) is not None
+            self.serving_since = self.serving_since or received_at
+            self.list_size = len(change_numbers) if is_full_list else self.list_size
+            self.observed_lists.append(
+                Seen(
+                    received_at,
+                    self.generation,
+                    is_full_list,
+                    len(change_numbers),
+                    min(change_numbers),
+                    max(change_numbers),
+                )
+            )
+        self._send_request()
+
+    def _send_request(self) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        target = LIST_TARGET if self.generation is None else watch_target(self.generation, WAIT_MS)
+        target = LIST_TARGET if self.generation is None else watch_target(self.generation, WATCH_WAIT_MS)
         request = http1.request_bytes(
-            b"GET", target, (b"Host: %s:%d" % (self._place[0].encode(), self._place[1]),)
+            b"GET",
+            target,
+            (b"Host: %s:%d" % (self._discovery_address[0].encode(), self._discovery_address[1]),),
         )
         self.calls += 1
         self.bytes_out += len(request)
         self._transport.write(request)
         if self.generation is not None:
-            self.serving = self.serving or time.monotonic()
+            self.serving_since = self.serving_since or time.monotonic()
 
     def report(self) -> HollowReport:
         return HollowReport(
             number=self.number,
-            began=self.began,
-            serving=self.serving,
-            servers=self.lines,
+            began=self.started_at,
+            serving=self.serving_since,
+            servers=self.list_size,
             generation=self.generation,
-            seen=list(self.seen),
+            seen=list(self.observed_lists),
             unseen=0,
             bytes_in=self.bytes_in,
             bytes_out=self.bytes_out,
@@ -141,63 +163,79 @@
         )
 
 
-async def _serve() -> None:
+async def _run_host() -> None:
+    """Runs the receivers of one process and handles commands until standard input closes."""
     commands = Commands()
     await commands.open()
     spec = msgspec.json.decode(await commands.spec(), type=Spec)
     numbers = range(spec.first, spec.first + spec.count)
-    places = [host_port(text) for text in spec.discovery]
-    lights = [Light(n, places[n % len(places)], spec.config.get("generation")) for n in numbers]
+    discovery_addresses = [host_port(text) for text in spec.discovery]
+    receivers = [
+        LightweightReceiver(
+            number, discovery_addresses[number % len(discovery_addresses)], spec.config.get("generation")
+        )
+        for number in numbers
+    ]
 
-    async def start() -> None:
-        for light in lights:
-            await light.connect()
+    async def connect_all() -> None:
+        for receiver in receivers:
+            await receiver.connect()
 
-    starting = asyncio.get_running_loop().create_task(start())
+    connect_task = asyncio.get_running_loop().create_task(connect_all())
     commands.say("ready")
     process = psutil.Process()
     try:
-        while (order := await commands.next()) is not None:
-            match order["do"]:
+        while (command := await commands.next()) is not None:
+            match command["do"]:
                 case "serving":
-                    while not starting.done() or not all(light.serving for light in lights):
+                    while not connect_task.done() or not all(
+                        receiver.serving_since for receiver in receivers
+                    ):
                         await asyncio.sleep(0.05)
-                    starting.result()
+                    connect_task.result()
                 case "forget":
-                    for light in lights:
-                        light.seen.clear()
+                    for receiver in receivers:
+                        receiver.observed_lists.clear()
                 case "report":
-                    memory, times = process.memory_full_info(), process.cpu_times()
-                    told = [] if order.get("brief") else [light.report() for light in lights]
+                    memory, cpu_times = process.memory_full_info(), process.cpu_times()
+                    receiver_reports = (
+                        [] if command.get("brief") else [receiver.report() for receiver in receivers]
+                    )
                     commands.say(
                         "report",
                         report=HostReport(
-                            process.pid, times.user + times.system, memory.rss / MIB, memory.uss / MIB, told
+                            process.pid,
+                            cpu_times.user + cpu_times.system,
+                            memory.rss / MIB,
+                            memory.uss / MIB,
+                            receiver_reports,
                         ),
                     )
                     continue
-            commands.say(order["do"])
+            commands.say(command["do"])
     finally:
-        starting.cancel()
-        for light in lights:
-            light.close()
+        connect_task.cancel()
+        for receiver in receivers:
+            receiver.close()
 
 
-class LightHosts(HollowHosts):
-    """As `HollowHosts`, with light receivers in place of sidecars."""
+class LightweightReceiverHosts(HollowHosts):
+    """Host processes like those of `HollowHosts`, with lightweight receivers in place of sidecars."""
 
-    def __init__(self, spec: Spec, each: int) -> None:
-        super().__init__(spec, each)
-        firsts = range(spec.first, spec.first + spec.count, each)
+    def __init__(self, spec: Spec, receivers_per_host: int) -> None:
+        super().__init__(spec, receivers_per_host)
+        first_numbers = range(spec.first, spec.first + spec.count, receivers_per_host)
         self.hosts = [
             Child(
                 f"light {index}",
                 "larkcrank.lab.scale.light",
-                msgspec.structs.replace(spec, first=first, count=min(each, spec.first + spec.count - first)),
+                msgspec.structs.replace(
+                    spec, first=first, count=min(receivers_per_host, spec.first + spec.count - first)
+                ),
             )
-            for index, first in enumerate(firsts)
+            for index, first in enumerate(first_numbers)
         ]
 
 
 if __name__ == "__main__":
-    uvloop.run(_serve())
+    uvloop.run(_run_host())
--- a/larkcrank/lab/scale/way.py
+++ b/larkcrank/lab/scale/way.py
@@ -25,7 +25,7 @@
 
 from larkcrank.lab.scale.children import ChildError
 from larkcrank.lab.scale.hollow import TAG, HollowHosts, HollowReport, HostReport, Spec
-from larkcrank.lab.scale.light import LightHosts
+from larkcrank.lab.scale.light import LightweightReceiverHosts
 from larkcrank.lab.scale.machine import LimitError, Load, look, text_commit
 from larkcrank.lab.scale.registry import RegistryProcess
 from larkcrank.lab.scale.registry import Spec as RegistrySpec
@@ -338,7 +338,7 @@
         if self._light:
             if way.kind == "old":  # 12,000 whole lists of 12,000 are 20 GB, and no part of a change's way
                 spec.config = {"generation": 1}
-            self.hosts: HollowHosts = LightHosts(spec, 3000)
+            self.hosts: HollowHosts = LightweightReceiverHosts(spec, 3000)
         else:
             self.hosts = HollowHosts(spec, min(EACH, max(50, self.sidecars // 16)))
         try:
--- a/larkcrank/lab/scale/way_report.py
+++ b/larkcrank/lab/scale/way_report.py
@@ -1,4 +1,4 @@
-"""Tables and the chart of the way of a change, from the runs' files.
+"""Writes the tables and the chart of change propagation from the result files of the runs.
 
 python -m larkcrank.lab.scale.way_report --runs docs/scale/runs --out docs/scale
 """
@@ -11,45 +11,46 @@
 
 from larkcrank.lab.scale.slopes import RUNS
 
-KINDS = {
+LABEL_BY_KIND = {
     "tiers": "tiers, hollow sidecars",
     "light-tiers": "tiers, light receivers",
     "old": "one discovery, hollow sidecars that hold every endpoint",
     "light-old": "one discovery, light receivers",
     "whole": "one discovery of 12,000 lines, hollow sidecars",
 }
-BEGIN, END = "<!-- tables: made by way_report -->", "<!-- end of the tables -->"
+TABLES_BEGIN, TABLES_END = "<!-- tables: made by way_report -->", "<!-- end of the tables -->"
 
 
-def read(runs: Path) -> list[dict[str, Any]]:
-    """The runs with real processes, by kind and size."""
-    order = list(KINDS)
-    found = [json.loads(path.read_text()) for path in runs.glob("way-*.json")]
-    found = [run for run in found if run.get("kind") in KINDS]
-    return sorted(found, key=lambda run: (order.index(run["kind"]), run["sidecars"]))
+def read_runs(runs_folder: Path) -> list[dict[str, Any]]:
+    """Reads the results of the runs with real processes, sorted by kind and number of sidecars."""
+    kind_order = list(LABEL_BY_KIND)
+    runs = [json.loads(path.read_text()) for path in runs_folder.glob("way-*.json")]
+    runs = [run for run in runs if run.get("kind") in LABEL_BY_KIND]
+    return sorted(runs, key=lambda run: (kind_order.index(run["kind"]), run["sidecars"]))
 
 
-def read_virtual(runs: Path) -> list[dict[str, Any]]:
+def read_virtual_runs(runs_folder: Path) -> list[dict[str, Any]]:
+    """Reads the results of the runs in virtual time, sorted by number of sidecars."""
     return sorted(
-        (json.loads(path.read_text()) for path in runs.glob("way-virtual-*.json")),
+        (json.loads(path.read_text()) for path in runs_folder.glob("way-virtual-*.json")),
         key=lambda run: run["size"],
     )
 
 
-def _table(head: list[str], rows: list[list[Any]]) -> str:
-    lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
+def _markdown_table(column_names: list[str], rows: list[list[Any]]) -> str:
+    lines = ["| " + " | ".join(column_names) + " |", "|" + " --- |" * len(column_names)]
     lines += ["| " + " | ".join(map(str, row)) + " |" for row in rows]
     return "\n".join(lines) + "\n"
 
 
-def times(runs: list[dict[str, Any]]) -> str:
+def propagation_table(runs: list[dict[str, Any]]) -> str:
     rows = []
     for run in runs:
         for phase in run["phases"]:
             if phase["told"]:
                 rows.append(
                     [
-                        KINDS[run["kind"]],
+                        LABEL_BY_KIND[run["kind"]],
                         f"{run['sidecars']:,}",
                         f"{run['lines_a_sidecar']:,.0f}" if run["kind"] != "light-old" else "none",
                         phase["what"],
@@ -61,114 +62,119 @@
                         f"{100 * phase['machine']['others_share']:.0f}%",
                     ]
                 )
-    head = [
+    column_names = [
         "way",
         "sidecars",
         "lines held",
         "load",
-        "told (changes by sidecars concerned)",
-        "not told",
+        "deliveries (changes times affected sidecars)",
+        "not delivered",
         "median s",
         "p99 s",
         "last s",
-        "processor time that others took",
+        "processor time of other processes",
     ]
-    return _table(head, rows)
+    return _markdown_table(column_names, rows)
 
 
-def sidecars(runs: list[dict[str, Any]]) -> str:
+def sidecar_table(runs: list[dict[str, Any]]) -> str:
     rows = []
     for run in runs:
         if "light" in run["kind"]:
             continue
         for phase in run["phases"]:
-            one = phase["sidecar"]
+            sidecar_usage = phase["sidecar"]
             rows.append(
                 [
-                    KINDS[run["kind"]],
+                    LABEL_BY_KIND[run["kind"]],
                     f"{run['sidecars']:,}",
                     phase["what"],
-                    f"{100 * one['core']:.3f}%",
-                    f"{one['mib']:.2f}",
-                    f"{one['bytes_in_per_s'] + one['bytes_out_per_s']:.1f}",
-                    f"{one['calls_per_s']:.4f}",
+                    f"{100 * sidecar_usage['core']:.3f}%",
+                    f"{sidecar_usage['mib']:.2f}",
+                    f"{sidecar_usage['bytes_in_per_s'] + sidecar_usage['bytes_out_per_s']:.1f}",
+                    f"{sidecar_usage['calls_per_s']:.4f}",
                 ]
             )
-    head = ["way", "sidecars", "load", "of a core", "MiB in its host", "bytes a second", "calls a second"]
-    return _table(head, rows)
+    column_names = ["way", "sidecars", "load", "share of a core", "MiB in its host", "bytes/s", "calls/s"]
+    return _markdown_table(column_names, rows)
 
 
-def _most(ones: list[dict[str, float]], key: str, unit: int) -> str:
-    """The highest; a dash where the run did not count it."""
-    found = [one[key] for one in ones if key in one]
-    return f"{max(found) / unit:.1f}" if found else "-"
+def _format_highest(process_usages: list[dict[str, float]], usage_key: str, divisor: int) -> str:
+    """Formats the highest value in the given unit, or a dash if the run did not record it."""
+    values = [usage[usage_key] for usage in process_usages if usage_key in usage]
+    return f"{max(values) / divisor:.1f}" if values else "-"
 
 
-def processes(runs: list[dict[str, Any]]) -> str:
+def process_table(runs: list[dict[str, Any]]) -> str:
     rows = []
     for run in runs:
         if run["kind"] == "light-tiers":
-            continue  # the same processes as below hollow sidecars
+            continue  # the tier processes are the same as in the runs with hollow sidecars
         for phase in run["phases"]:
-            by_kind: dict[str, list[dict[str, float]]] = {}
-            for name, one in phase["tiers"].items():
-                by_kind.setdefault(name.partition("-")[0], []).append(one)
-            for kind, ones in by_kind.items():
+            usages_by_process_kind: dict[str, list[dict[str, float]]] = {}
+            for name, usage in phase["tiers"].items():
+                usages_by_process_kind.setdefault(name.partition("-")[0], []).append(usage)
+            for process_kind, usages in usages_by_process_kind.items():
                 rows.append(
                     [
                         f"{run['kind']} {run['sidecars']:,}",
                         phase["what"],
-                        f"{kind} ({len(ones)})",
-                        f"{100 * max(one['core'] for one in ones):.1f}%",
-                        f"{max(one['mib'] for one in ones):.0f}",
-                        _most(ones, "bytes_out_per_s", 1024),
-                        _most(ones, "bytes_in_per_s", 1024),
-                        _most(ones, "calls_per_s", 1),
+                        f"{process_kind} ({len(usages)})",
+                        f"{100 * max(usage['core'] for usage in usages):.1f}%",
+                        f"{max(usage['mib'] for usage in usages):.0f}",
+                        _format_highest(usages, "bytes_out_per_s", 1024),
+                        _format_highest(usages, "bytes_in_per_s", 1024),
+                        _format_highest(usages, "calls_per_s", 1),
                     ]
                 )
-    head = ["run", "load", "process", "of a core", "MiB", "KiB/s out", "KiB/s in", "calls a second"]
-    return _table(head, rows)
+    column_names = ["run", "load", "process", "share of a core", "MiB", "KiB/s out", "KiB/s in", "calls/s"]
+    return _markdown_table(column_names, rows)
 
 
-def virtual(runs: list[dict[str, Any]]) -> str:
+def virtual_time_table(runs: list[dict[str, Any]]) -> str:
     rows = []
     for run in runs:
-        for what, case in run["cases"].items():
-            timed = [f"{case.get(key, '')}" for key in ("told", "missed", "median_s", "p99_s", "last_s")]
-            rest = {
+        for case_name, results in run["cases"].items():
+            latency_columns = [
+                f"{results.get(key, '')}" for key in ("told", "missed", "median_s", "p99_s", "last_s")
+            ]
+            other_results = {
                 key: value
-                for key, value in case.items()
+                for key, value in results.items()
                 if key not in ("told", "missed", "median_s", "p99_s", "last_s", "bytes_out", "processor_s")
             }
-            more = "; ".join(f"{key.replace('_', ' ')} {value}" for key, value in rest.items())
-            rows.append([f"{run['size']:,}", what, *timed, more])
-    return _table(["sidecars", "case", "told", "not told", "median s", "p99 s", "last s", "also"], rows)
+            other_text = "; ".join(f"{key.replace('_', ' ')} {value}" for key, value in other_results.items())
+            rows.append([f"{run['size']:,}", case_name, *latency_columns, other_text])
+    return _markdown_table(
+        ["sidecars", "case", "delivered", "not delivered", "median s", "p99 s", "last s", "also"],
+        rows,
+    )
 
 
-def chart(runs: list[dict[str, Any]], path: Path) -> None:
+def draw_chart(runs: list[dict[str, Any]], path: Path) -> None:
     import matplotlib
 
     matplotlib.use("Agg")
     from matplotlib import pyplot as plt
 
     figure, axes = plt.subplots(1, 2, figsize=(11, 4.2), sharey=True)
-    for axis, wanted in zip(axes, ("lone change", "zone lost"), strict=True):
-        for kind, label in KINDS.items():
+    for axis, phase_name in zip(axes, ("lone change", "zone lost"), strict=True):
+        for kind, label in LABEL_BY_KIND.items():
             points = [
                 (run["sidecars"], phase["median_s"], phase["last_s"])
                 for run in runs
                 if run["kind"] == kind
                 for phase in run["phases"]
-                if phase["what"].startswith(wanted) and phase["told"]
+                if phase["what"].startswith(phase_name) and phase["told"]
             ]
             if points:
-                sizes, medians, lasts = zip(*points, strict=True)
-                [drawn] = axis.plot(sizes, lasts, "o-", label=label)
-                axis.plot(sizes, medians, "_", color=drawn.get_color(), markersize=12)
+                sizes, median_times, last_times = zip(*points, strict=True)
+                [last_line] = axis.plot(sizes, last_times, "o-", label=label)
+                axis.plot(sizes, median_times, "_", color=last_line.get_color(), markersize=12)
         axis.axhline(3.0, color="grey", linestyle=":")
-        axis.set(xscale="log", yscale="log", title=wanted, xlabel="sidecars")
+        axis.set(xscale="log", yscale="log", title=phase_name, xlabel="sidecars")
         axis.grid(True, which="both", alpha=0.2)
-    axes[0].set_ylabel("seconds until in force (line: the last, dash: median)")
+    axes[0].set_ylabel("seconds until in force (line: last sidecar, dash: median)")
     axes[1].legend(fontsize=7)
     figure.tight_layout()
     figure.savefig(path, dpi=110)
@@ -176,27 +182,27 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(description="tables and chart of the way of a change")
+    parser = argparse.ArgumentParser(description="write tables and a chart of change propagation")
     parser.add_argument("--runs", type=Path, default=RUNS)
     parser.add_argument("--out", type=Path, default=RUNS.parent)
-    words = parser.parse_args()
-    runs = read(words.runs)
+    arguments = parser.parse_args()
+    runs = read_runs(arguments.runs)
     tables = [
         "## Time until in force\n",
-        times(runs),
+        propagation_table(runs),
         "## A sidecar's cost\n",
-        sidecars(runs),
-        "## The processes of the way\n\nThe highest of those of a kind.\n",
-        processes(runs),
+        sidecar_table(runs),
+        "## Tier and discovery processes\n\nThe highest value among the processes of a kind.\n",
+        process_table(runs),
         "## In virtual time\n",
-        virtual(read_virtual(words.runs)),
+        virtual_time_table(read_virtual_runs(arguments.runs)),
     ]
-    page = words.out / "way.md"
-    text = page.read_text() if page.exists() else f"{BEGIN}\n{END}\n"
-    before, _, rest = text.partition(BEGIN)
-    after = rest.partition(END)[2]
-    page.write_text(f"{before}{BEGIN}\n\n" + "\n".join(tables) + f"\n{END}{after}")
-    chart(runs, words.out / "way.png")
+    page_path = arguments.out / "way.md"
+    text = page_path.read_text() if page_path.exists() else f"{TABLES_BEGIN}\n{TABLES_END}\n"
+    before, _, rest = text.partition(TABLES_BEGIN)
+    after = rest.partition(TABLES_END)[2]
+    page_path.write_text(f"{before}{TABLES_BEGIN}\n\n" + "\n".join(tables) + f"\n{TABLES_END}{after}")
+    draw_chart(runs, arguments.out / "way.png")
     return 0
 
 
