--- a/larkcrank/lab/scale/plan.py
+++ b/larkcrank/lab/scale/plan.py
@@ -16,7 +16,7 @@
 from larkcrank.lab.scale import slopes
 from larkcrank.lab.scale.path import STAGE_WORDS
 from larkcrank.lab.scale.slopes import Slope
-from larkcrank.lab.scale.view import RATE_MEMBERS
+from larkcrank.lab.scale.view import RESTART_FLEET_SIZE
 
 NUMBERS = Path("examples/scale/operators.toml")
 DAY_S = 86_400.0
@@ -382,8 +382,8 @@
         more = self.series.growth("view-restart-bytes", self._restarts)
         if more.value is not None:
             more = replace(more, formula=f"{shown(self.series.slopes['view-restart-bytes'].slope)} x {text}")
-        tellings = math.log2(self._all) / math.log2(RATE_MEMBERS)
-        more = more.times(tellings, f"log2 {shown(self._all)} / log2 {RATE_MEMBERS}")
+        tellings = math.log2(self._all) / math.log2(RESTART_FLEET_SIZE)
+        more = more.times(tellings, f"log2 {shown(self._all)} / log2 {RESTART_FLEET_SIZE}")
         return self.series.at("view-calm-bytes", self._all).plus(more)
 
     def _ordinary_between(self) -> Iterator[Row]:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -228,44 +228,49 @@
 
 
 def test_a_settled_world_has_nothing_to_tell() -> None:
-    world = view.SettledWorld(30, 1)
+    world = view.ConvergedFleetSimulation(30, 1)
     assert world.is_settled()
     world.run(5000.0)
-    assert world.is_settled() and not world.deaths and not world.lines
+    assert world.is_settled() and not world.deaths and not world.log_lines
     assert world.sent <= 30 * 2 * 6  # one probe a period, and its answer
 
 
 def test_a_loss_ends_with_every_view_true_and_repeats_by_its_seed() -> None:
     case = view.Case("lose", 30, 4.0, 2)
-    found = view.play(case)
+    found = view.run_case(case)
     assert math.isfinite(found["settled_s"]) and found["wrong"] == 0.0
     assert found["datagrams"] > 0.0
-    assert view.play(case) == found
+    assert view.run_case(case) == found
 
 
 def test_one_member_holds_those_silent_for_dead_and_no_others() -> None:
-    one = view.LoneMember(1000, 1)
+    one = view.SingleMemberSimulation(1000, 1)
     one.run(5000.0)
     assert len(one.member.live_members) == 1000
-    one.lose(30)
+    one.silence_peers(30)
     one.run(60_000.0)
     dead = {name for name, record in one.member.members.items() if record.standing is Standing.DEAD}
-    assert dead == one._silent and len(dead) == 30
+    assert dead == one._silent_names and len(dead) == 30
 
 
 def test_every_series_of_the_view_can_be_fitted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each has the sizes that a fit needs, and its plays give the figure that it takes."""
-    for name in ("RATES_MS", "APART_MS", "CALM_MS", "LOOK_MS"):
+    for name in (
+        "TRAFFIC_MEASUREMENT_MS",
+        "PARTITION_MS",
+        "IDLE_MEASUREMENT_MS",
+        "SINGLE_MEMBER_MEASUREMENT_MS",
+    ):
         monkeypatch.setattr(view, name, 3000.0)
-    figures = {kind: view.play(view.Case(kind, 20, 1.0, 1)) for kind in view.KINDS}
-    for plan in view.plans():
+    figures = {kind: view.run_case(view.Case(kind, 20, 1.0, 1)) for kind in view.SIMULATIONS_BY_KIND}
+    for plan in view.series_plans():
         assert len({x for x, _, _ in plan.points}) >= 4, plan.name
-        assert plan.figure in view.COSTS and plan.figure in figures[plan.kind]
+        assert plan.result_key in view.COST_AND_UNIT_BY_RESULT_KEY and plan.result_key in figures[plan.kind]
 
 
 def test_parts_of_a_smaller_fleet() -> None:
-    assert [view.part_of(size, 364) for size in (100, 400, 12000)] == [3, 12, 364]
-    assert view.part_of(10, 1) == 1
+    assert [view.scaled_group_size(size, 364) for size in (100, 400, 12000)] == [3, 12, 364]
+    assert view.scaled_group_size(10, 1) == 1
 
 
 # The data path's measurement
