--- a/larkcrank/lab/scale/view.py
+++ b/larkcrank/lab/scale/view.py
@@ -277,6 +277,8 @@
         return peer
 
     def _repeating(self, interval_ms: float, action: Callable[[], None]) -> Callable[[], None]:
+        """Wraps an action so that it schedules itself again after each run."""
+
         def run_and_reschedule() -> None:
             action()
             self._schedule(self.now_ms + interval_ms, run_and_reschedule)
@@ -300,13 +302,16 @@
         self._add_cpu_time(started_at_s)
 
     def _receive_ping(self) -> None:
+        """Delivers a ping of a random live peer to the member."""
         peer = self._pick_live_peer()
         self._deliver(peer, Ping(*self._message_header(peer), self.rng.getrandbits(30), [], bytes(100)))
 
     def _message_header(self, peer: MemberRecord) -> tuple[MemberRecord, str, int, int]:
+        """Returns the first fields of a message from a peer, which has the same digest as the member."""
         return peer, "n0", next(self._message_counters[peer.name]), self.member.digest.total
 
     def _deliver(self, sender: MemberRecord, message: Ping | Ack | BucketReply) -> None:
+        """Passes an encoded message of a peer to the member and measures the processor time."""
         data = self._codec.encode(message)
         self.received += 1
         started_at_s = time.thread_time()
@@ -315,6 +320,7 @@
         self._send(outgoing_messages)
 
     def _send(self, outgoing_messages: list[OutgoingMessage]) -> None:
+        """Encodes the member's messages and schedules acks to its pings from peers that are not silent."""
         for outgoing in outgoing_messages:
             started_at_s = time.thread_time()
             data = self._codec.encode(outgoing.message)
@@ -401,6 +407,7 @@
 
 
 def run_case(case: Case) -> SimulationResult:
+    """Runs the simulation of this kind; module level, so that a worker process can import it."""
     return SIMULATIONS_BY_KIND[case.kind](case)
 
 
@@ -437,12 +444,14 @@
 def _linear_points(
     sizes: Iterable[int], amount_of_size: Callable[[int], float] = lambda _: 0.0
 ) -> SeriesPoints:
+    """Returns points with the size as x value."""
     return tuple((float(size), size, amount_of_size(size)) for size in sizes)
 
 
 def _logarithmic_points(
     sizes: Iterable[int], amount_of_size: Callable[[int], float] = lambda _: 0.0
 ) -> SeriesPoints:
+    """Returns points with the logarithm of the size as x value."""
     return tuple((math.log10(size), size, amount_of_size(size)) for size in sizes)
 
 
@@ -566,9 +575,9 @@
         for _, size, amount in plan.points
         for seed in seeds
     }
-    fleet_size_order = ("lose", "join", "apart")
+    kinds_sorted_by_members = ("lose", "join", "apart")
     return sorted(
-        cases, key=lambda case: (case.members if case.kind in fleet_size_order else 0, astuple(case))
+        cases, key=lambda case: (case.members if case.kind in kinds_sorted_by_members else 0, astuple(case))
     )
 
 
@@ -688,7 +697,7 @@
     members: tuple[int, ...], views: tuple[int, ...], seeds: tuple[int, ...], jobs: int, out: Path, more: bool
 ) -> None:
     """Measure in virtual time what a view of the fleet costs, by fleet size and by members lost at once."""
-    began, load = time.monotonic(), machine.Load()
+    started_at_s, load = time.monotonic(), machine.Load()
     run_path, results_path = out / "runs" / "view.json", out / "runs" / "view-plays.jsonl"
 
     def log(text: str) -> None:
@@ -703,7 +712,7 @@
         command=COMMAND,
         date=datetime.now(UTC).isoformat(timespec="seconds"),
         commit=machine.text_commit(),
-        took_s=round(time.monotonic() - began, 1),
+        took_s=round(time.monotonic() - started_at_s, 1),
         machine=load.seen(sum(sum(resource.getrusage(scope)[:2]) for scope in RUSAGE_SCOPES)),
         plays=[asdict(case) | {"found": results[case]} for case in cases],
     )
--- a/larkcrank/lab/scale/virtual_way.py
+++ b/larkcrank/lab/scale/virtual_way.py
@@ -46,6 +46,7 @@
 REQUEST_TIMEOUT_S = 3.0
 TOTAL_OUTAGE_S = 20.0  # how long all tiers are down at once
 WATCH_TARGET_PATTERN = re.compile(rb"after=(\d+)&wait_ms=(\d+)")
+SUSTAINED_CHANGES_PER_S = 0.6
 
 
 class _VirtualClockSelector:
@@ -582,6 +583,7 @@
         }
 
     def region_of_process(self, process: str) -> int:
+        """Derives the region from a process name such as `zone-3`; the origin is in region 0."""
         kind, _, number = process.partition("-")
         if kind == "zone":
             return self.region_of_zone(int(number))
@@ -742,16 +744,19 @@
             self.discoveries[region].apply_changes(lines)
 
     def record_delivery(self, watch: SidecarWatch, instance_id: str, state: str) -> None:
+        """Records the delivery time of a change if this watch had not received it yet."""
         pending_watches = self._pending_watches.get((instance_id, state))
         if pending_watches is not None and watch.number in pending_watches:
             pending_watches.discard(watch.number)
             self.delivery_times_s.append(self.loop.time() - self._changed_at_s[instance_id, state])
 
     def record_call(self, watch: SidecarWatch) -> None:
+        """Counts a request by the zone's process that it goes to."""
         zone_process = self._zone_process_by_address.get(watch.addresses.current, "")
         self.calls_per_100_ms[zone_process, int(self.loop.time() * 10)] += 1
 
     def record_full_list(self, watch: SidecarWatch) -> None:
+        """Counts a full list by the zone's process that sent it, and records removals that it implies."""
         zone_process = self._zone_process_by_address.get(watch.addresses.current, "")
         self.full_lists_per_100_ms[zone_process, int(self.loop.time() * 10)] += 1
         # A full list without an instance also reports the removal of that instance.
@@ -761,6 +766,7 @@
                 self.delivery_times_s.append(self.loop.time() - self._changed_at_s[instance_id, state])
 
     def pending_deliveries(self) -> int:
+        """Returns how many deliveries to watches are still missing."""
         return sum(map(len, self._pending_watches.values()))
 
     def take_delivery_summary(self) -> dict[str, float]:
@@ -780,6 +786,7 @@
         }
 
     def run_until_delivered(self, timeout_s: float) -> None:
+        """Runs until all affected watches have received all changes, or until the timeout."""
         deadline_s = self.loop.time() + timeout_s
         while self.pending_deliveries() and self.loop.time() < deadline_s:
             self.run(0.1)
@@ -796,6 +803,7 @@
         return sum(feed.full_requests for tier in self.tiers.values() for feed in tier._feeds)
 
     def count_log_events(self, name: str) -> int:
+        """Counts the log records of this event in the logs of all tiers."""
         event_field = f'"event":"{name}"'.encode()
         return sum(log.getvalue().count(event_field) for log in self.logs.values())
 
@@ -859,6 +867,7 @@
         self._removed_endpoints: set[int] = set()
 
     def run_all(self, partition_s: float) -> dict[str, dict[str, Any]]:
+        """Starts the simulation, runs all scenarios and returns their results by case name."""
         started_at_s = time.monotonic()
         self.simulation.start()
         self._record_case("start", all_hold_s=round(self.simulation.loop.time(), 1))
@@ -879,6 +888,7 @@
         return self.cases
 
     def _record_case(self, case_name: str, **other_results: Any) -> None:
+        """Stores the delivery times since the last case together with other results."""
         self.cases[case_name] = self.simulation.take_delivery_summary() | other_results
         self._log(f"{self.simulation.size} {case_name}: {self.cases[case_name]}")
 
@@ -901,6 +911,7 @@
         self.simulation.change_endpoints([endpoint_number], new_state)
 
     def run_evenly_spaced_changes(self, case_name: str, count: int, seconds: float) -> None:
+        """Changes one endpoint after another and records delivery times, bytes and calls."""
         bytes_before, calls_before = (
             self.simulation.sent_bytes_by_process_kind(),
             sum(watch.calls for watch in self.simulation.watches),
@@ -1043,10 +1054,10 @@
             pair for inside, outside in process_pairs for pair in ((inside, outside), (outside, inside))
         }
         change_count = 0
-        while change_count < seconds * 0.6:
+        while change_count < seconds * SUSTAINED_CHANGES_PER_S:
             change_count += 1
             self._toggle_drain()
-            simulation.run(1 / 0.6)
+            simulation.run(1 / SUSTAINED_CHANGES_PER_S)
         full_lists_before = sum(watch.full_list_responses for watch in simulation.watches)
         change_responses_before = sum(watch.change_responses for watch in simulation.watches)
         full_list_requests_before = simulation.full_list_requests()
--- a/larkcrank/lab/scale/way_report.py
+++ b/larkcrank/lab/scale/way_report.py
@@ -44,6 +44,7 @@
 
 
 def propagation_table(runs: list[dict[str, Any]]) -> str:
+    """Returns a table of the delivery times of each phase."""
     rows = []
     for run in runs:
         for phase in run["phases"]:
@@ -78,6 +79,7 @@
 
 
 def sidecar_table(runs: list[dict[str, Any]]) -> str:
+    """Returns a table of the average usage of a sidecar in each phase."""
     rows = []
     for run in runs:
         if "light" in run["kind"]:
@@ -106,6 +108,7 @@
 
 
 def process_table(runs: list[dict[str, Any]]) -> str:
+    """Returns a table of the highest usage among the tier or discovery processes of a kind, in each phase."""
     rows = []
     for run in runs:
         if run["kind"] == "light-tiers":
@@ -132,6 +135,7 @@
 
 
 def virtual_time_table(runs: list[dict[str, Any]]) -> str:
+    """Returns a table of the results of the runs in virtual time."""
     rows = []
     for run in runs:
         for case_name, results in run["cases"].items():
@@ -152,6 +156,7 @@
 
 
 def draw_chart(runs: list[dict[str, Any]], path: Path) -> None:
+    """Plots the median and the last delivery against the number of sidecars, for each kind of run."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -199,9 +204,11 @@
     ]
     page_path = arguments.out / "way.md"
     text = page_path.read_text() if page_path.exists() else f"{TABLES_BEGIN}\n{TABLES_END}\n"
-    before, _, rest = text.partition(TABLES_BEGIN)
-    after = rest.partition(TABLES_END)[2]
-    page_path.write_text(f"{before}{TABLES_BEGIN}\n\n" + "\n".join(tables) + f"\n{TABLES_END}{after}")
+    text_before, _, old_tables_and_rest = text.partition(TABLES_BEGIN)
+    text_after = old_tables_and_rest.partition(TABLES_END)[2]
+    page_path.write_text(
+        f"{text_before}{TABLES_BEGIN}\n\n" + "\n".join(tables) + f"\n{TABLES_END}{text_after}"
+    )
     draw_chart(runs, arguments.out / "way.png")
     return 0
 
