--- a/larkcrank/lab/scale/way.py
+++ b/larkcrank/lab/scale/way.py
@@ -122,7 +122,7 @@
     """One endpoint change: its number, when it was made, and the service of the endpoint."""
 
     number: int
-    at: float
+    at: float  # seconds on the monotonic clock
     service: int
 
 
@@ -335,7 +335,7 @@
         self.topology = topology
         self._endpoint_count = endpoint_count or topology.endpoint_count
         self._registry = RegistryProcess(RegistrySpec(endpoints=self._endpoint_count))
-        self.discovery_by_sidecar: list[str] = []
+        self.discovery_by_sidecar: list[str] = []  # a single address, which all sidecars share
         self.first = 0
 
     async def start(self) -> None:
