--- a/larkcrank/lab/scale/plan.py
+++ b/larkcrank/lab/scale/plan.py
@@ -16,7 +16,7 @@
 from larkcrank.lab.scale import slopes
 from larkcrank.lab.scale.path import STAGE_DESCRIPTIONS
 from larkcrank.lab.scale.slopes import Slope
-from larkcrank.lab.scale.view import RATE_MEMBERS
+from larkcrank.lab.scale.view import RESTART_FLEET_SIZE
 
 NUMBERS_FILE = Path("examples/scale/operators.toml")
 SECONDS_PER_DAY = 86_400.0
@@ -494,9 +494,9 @@
                 formula=f"{format_number(self.measured.slopes['view-restart-bytes'].slope)}"
                 f" x {restarts_formula}",
             )
-        transmissions = math.log2(self._endpoints) / math.log2(RATE_MEMBERS)
+        transmissions = math.log2(self._endpoints) / math.log2(RESTART_FLEET_SIZE)
         restart_bytes = restart_bytes.times(
-            transmissions, f"log2 {format_number(self._endpoints)} / log2 {RATE_MEMBERS}"
+            transmissions, f"log2 {format_number(self._endpoints)} / log2 {RESTART_FLEET_SIZE}"
         )
         return self.measured.cost_at("view-calm-bytes", self._endpoints).plus(restart_bytes)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -290,44 +290,49 @@
 
 
 def test_settled_world_sends_only_probes() -> None:
-    world = view.SettledWorld(30, 1)
+    world = view.ConvergedFleetSimulation(30, 1)
     assert world.has_converged()
     world.run(5000.0)
-    assert world.has_converged() and not world.deaths and not world.lines
+    assert world.has_converged() and not world.deaths and not world.log_lines
     assert world.sent_datagrams <= 30 * 2 * 6  # one probe per period, and the response
 
 
 def test_loss_ends_with_correct_views_and_is_reproducible() -> None:
     case = view.Case("lose", 30, 4.0, 2)
-    result = view.play(case)
+    result = view.run_case(case)
     assert math.isfinite(result["settled_s"]) and result["wrong"] == 0.0
     assert result["datagrams"] > 0.0
-    assert view.play(case) == result
+    assert view.run_case(case) == result
 
 
 def test_lone_member_considers_exactly_the_silent_members_dead() -> None:
-    lone_member = view.LoneMember(1000, 1)
+    lone_member = view.SingleMemberSimulation(1000, 1)
     lone_member.run(5000.0)
     assert len(lone_member.member.live_members) == 1000
-    lone_member.lose(30)
+    lone_member.silence_peers(30)
     lone_member.run(60_000.0)
     dead = {name for name, record in lone_member.member.members.items() if record.standing is Standing.DEAD}
-    assert dead == lone_member._silent and len(dead) == 30
+    assert dead == lone_member._silent_names and len(dead) == 30
 
 
 def test_every_view_series_can_be_fitted(monkeypatch: pytest.MonkeyPatch) -> None:
     """Each series has enough sizes for a fit, and its simulations return the cost that it fits."""
-    for name in ("RATES_MS", "APART_MS", "CALM_MS", "LOOK_MS"):
+    for name in (
+        "TRAFFIC_MEASUREMENT_MS",
+        "PARTITION_MS",
+        "IDLE_MEASUREMENT_MS",
+        "SINGLE_MEMBER_MEASUREMENT_MS",
+    ):
         monkeypatch.setattr(view, name, 3000.0)
-    figures = {kind: view.play(view.Case(kind, 20, 1.0, 1)) for kind in view.KINDS}
-    for plan in view.plans():
+    figures = {kind: view.run_case(view.Case(kind, 20, 1.0, 1)) for kind in view.SIMULATIONS_BY_KIND}
+    for plan in view.series_plans():
         assert len({x for x, _, _ in plan.points}) >= 4, plan.name
-        assert plan.figure in view.COSTS and plan.figure in figures[plan.kind]
+        assert plan.result_key in view.COST_AND_UNIT_BY_RESULT_KEY and plan.result_key in figures[plan.kind]
 
 
 def test_failure_size_scales_with_the_fleet() -> None:
-    assert [view.part_of(size, 364) for size in (100, 400, 12000)] == [3, 12, 364]
-    assert view.part_of(10, 1) == 1
+    assert [view.scaled_group_size(size, 364) for size in (100, 400, 12000)] == [3, 12, 364]
+    assert view.scaled_group_size(10, 1) == 1
 
 
 # Measurement of the data path
