--- a/larkcrank/config/sidecar.py
+++ b/larkcrank/config/sidecar.py
@@ -102,7 +102,7 @@
     settings: dict[str, Any]  # the JSON object that `site` was converted from
 
     def changes_needing_restart(self, new: "Config") -> list[str]:
-        """The keys whose values differ in `new`, and that a running sidecar does not apply."""
+        """Return the configuration keys whose values differ in `new` and take effect only after a restart."""
         pairs = {
             "name": (self.name, new.name),
             "listen": (self.listen, new.listen),
--- a/larkcrank/core/balancer.py
+++ b/larkcrank/core/balancer.py
@@ -168,16 +168,18 @@
     if limiter.missed.decayed(now, observation_ms) > allowed_misses:
         if now - limiter.rose_at > HYSTERESIS_WINDOWS * window_ms:
             rate = min(limiter.sends.rate(now, max(observation_ms, RATE_TIME_CONSTANT_MS)), limiter.limit)
-            # M in CARD: measured over more than a pause in sending, and at least one send per observation
-            # period.
+            # The send rate that proved too high (M in CARD). Its time constant is longer than a pause in
+            # sending, and the rate is at least one send per observation period.
             limiter.saturated = max(rate, 1 / observation_ms)
             limiter.limit = (1 - LIMIT_CUT_SHARE) * limiter.saturated
             limiter.event_at = limiter.rose_at = now
             limiter.settled, limiter.missed = DecayingCounter(now), DecayingCounter(now)
     elif limiter.limit < math.inf:
-        recovery_ms = LIMIT_RECOVERY_WINDOWS * window_ms  # K in CARD; C is beta * M / K ** 3
-        growth = LIMIT_CUT_SHARE * limiter.saturated / recovery_ms**3
-        limiter.limit = growth * (now - limiter.event_at - recovery_ms) ** 3 + limiter.saturated
+        # The cubic curve of CARD, C * (t - K) ** 3 + M, rises from the reduced limit at the time of the cut
+        # (t = 0) and is back at the saturated rate M after t = K, here `recovery_ms`.
+        recovery_ms = LIMIT_RECOVERY_WINDOWS * window_ms
+        cubic_factor = LIMIT_CUT_SHARE * limiter.saturated / recovery_ms**3  # C
+        limiter.limit = cubic_factor * (now - limiter.event_at - recovery_ms) ** 3 + limiter.saturated
         limiter.rose_at = now
 
 
@@ -910,8 +912,8 @@
 
     def _rebuild_ring(self) -> None:
         """Choose the servers in use and their round-robin order."""
-        # Each instance has a random order of its own: the server after a skipped one gets its turns as well,
-        # and this should be another server at each instance.
+        # `place` is random, so each instance of the sidecar has another order. A skipped server's turns go to
+        # the server after it; with one common order, that server would get them from all instances.
         self._ring = sorted(self._choose_subset(), key=lambda server: server.place)
         self._update_sizes()
 
@@ -935,9 +937,9 @@
     def _new_limiter(self, allowed_miss_share: float) -> RateLimiter:
         return RateLimiter(
             self._now,
-            DecayingCounter(self._now),
-            DecayingCounter(self._now),
-            DecayingCounter(self._now),
+            DecayingCounter(self._now),  # all sends
+            DecayingCounter(self._now),  # sends answered in time or missed
+            DecayingCounter(self._now),  # missed sends
             allowed_miss_share,
         )
 
--- a/larkcrank/core/interface.py
+++ b/larkcrank/core/interface.py
@@ -175,7 +175,7 @@
 class ServerList:
     endpoints: tuple[Endpoint, ...]
     complete: bool  # True: the whole list; False: only changed entries
-    cached: bool = False  # saved before a restart, possibly outdated
+    cached: bool = False  # not received from discovery itself, possibly outdated
     revision: int = 0
 
 
--- a/larkcrank/fleet/lists.py
+++ b/larkcrank/fleet/lists.py
@@ -123,12 +123,14 @@
         self._version = _ListVersion()
         # The list as discovery reported it, with the addresses of the member that received it, and its hash.
         self._shared_entries: dict[str, ServerEntry] = {}
-        self._hash = 0
+        self._list_hash = 0
         self._direct_generation = -1  # last generation that discovery itself reported here, ...
-        self._direct_at = -math.inf  # ... and when
-        self._lower_since: float | None = None  # since when discovery reports lower generations than held
-        # The generation and the entries that discovery reports meanwhile.
-        self._lower_list: tuple[int, dict[str, ServerEntry]] | None = None
+        self._direct_report_at = -math.inf  # ... and when
+        self._lower_generation_since: float | None = (
+            None  # since when discovery reports lower generations here
+        )
+        # The list that discovery last reported with a lower generation: this generation and the entries.
+        self._lower_generation_list: tuple[int, dict[str, ServerEntry]] | None = None
         # Servers that drain or are gone, by name: start time, state, and when this became known.
         self._departed: dict[str, tuple[float, State, float]] = {}
         # By list ID (epoch, generation, hash): the peers that got it from discovery, and when they said so.
@@ -138,9 +140,9 @@
         # The ID and content of a list that was adopted without its removals, which need confirmation.
         self._unconfirmed: tuple[tuple[int, int, int], SharedListUpdate] | None = None
         # Version and hash of the list before it, which is offered to peers meanwhile.
-        self._confirmed_version = self._version, self._hash
+        self._confirmed_version = self._version, self._list_hash
         self._pending_update: SharedListUpdate | None = None
-        self._announce_soon = False
+        self._announcement_due = False
         self._transfer: _Transfer | None = None
         self._next_status_at = now
         self._seek_confirmation_until = -math.inf
@@ -184,7 +186,7 @@
         self, now: float, entries: Iterable[ServerEntry], generation: int, complete: bool
     ) -> list[ServerEntry]:
         """Handle an answer of discovery. Return the entries to use, with departed servers kept as such."""
-        self._now, self._direct_generation, self._direct_at = now, generation, now
+        self._now, self._direct_generation, self._direct_report_at = now, generation, now
         is_lower = generation < self._version.generation and self.is_reported
         accepted = [self._keep_departed(entry) if is_lower else entry for entry in entries]
         by_name = {entry.name: entry for entry in accepted}
@@ -192,23 +194,25 @@
             accepted = [entry for entry in accepted if entry.state != State.READY]
             by_name = {entry.name: entry for entry in accepted}
             self._record_departed(by_name)
-            self._use(self.entries | by_name)
+            self._set_entries(self.entries | by_name)
             return accepted
         # Discovery lags or restarted its generation count. Both lists are used until it is clear which.
         if is_lower and self._has_peers():
-            self._lower_list = generation, by_name
-            self._lower_since = now if self._lower_since is None else self._lower_since
+            self._lower_generation_list = generation, by_name
+            self._lower_generation_since = (
+                now if self._lower_generation_since is None else self._lower_generation_since
+            )
             self._record_departed(by_name)
-            self._use(self.entries | by_name)
+            self._set_entries(self.entries | by_name)
             return list(self.entries.values())
         self._record_departed(by_name, complete)
         epoch = self._version.epoch + is_lower
         is_newer = (epoch, generation) != (self._version.epoch, self._version.generation)
         before, shared = ({}, {}) if complete else (self.entries, self._shared_entries)
-        self._unconfirmed = self._transfer = self._lower_list = self._lower_since = None
+        self._unconfirmed = self._transfer = self._lower_generation_list = self._lower_generation_since = None
         self._replace_list(before | by_name, shared | by_name, _ListVersion(epoch, generation, now))
         if is_newer:
-            self._announce_soon = True
+            self._announcement_due = True
         return accepted
 
     def receive(self, now: float, address: str, message: ListMessage) -> list[OutgoingMessage]:
@@ -240,8 +244,8 @@
             )
             outgoing += self._send_status(NEW_LIST_FANOUT if seeks_confirmation else 1)
             self._remove_expired()
-        if self._announce_soon:  # the age is computed only now, since the process may have been stalled
-            self._announce_soon = False
+        if self._announcement_due:  # the age is computed only now, since the process may have been stalled
+            self._announcement_due = False
             outgoing += self._send_status(NEW_LIST_FANOUT)
         return outgoing
 
@@ -255,40 +259,45 @@
             (_, update), self._unconfirmed = self._unconfirmed, None
             by_name = {entry.name: entry for entry in update.entries}
             self._record_departed(by_name, True)
-            self._use(by_name)
+            self._set_entries(by_name)
             return update
-        if self._lower_list is not None and self._has_count_restarted():
-            (generation, entries), self._lower_list, self._lower_since = self._lower_list, None, None
+        if self._lower_generation_list is not None and self._has_count_restarted():
+            (generation, entries), self._lower_generation_list, self._lower_generation_since = (
+                self._lower_generation_list,
+                None,
+                None,
+            )
             self._replace_list(
-                entries, entries, _ListVersion(self._version.epoch + 1, generation, self._direct_at)
+                entries, entries, _ListVersion(self._version.epoch + 1, generation, self._direct_report_at)
             )
-            self._announce_soon = True
+            self._announcement_due = True
             return SharedListUpdate(generation, tuple(self.entries.values()), "")
         return None
 
     # Lists of peers
 
-    def _handle_status(self, name: str, address: str, message: ListStatus) -> list[OutgoingMessage]:
+    def _handle_status(self, peer_name: str, address: str, message: ListStatus) -> list[OutgoingMessage]:
         peer_rank = self._rank(message.age_ms, message.epoch, message.generation)
         reported_at = self._now - message.age_ms if message.age_ms >= 0.0 else -math.inf
-        self.peer_started_at[name] = self._now - message.uptime_ms
+        self.peer_started_at[peer_name] = self._now - message.uptime_ms
         if message.direct_generation >= 0:
-            self._peer_reports[name] = message.direct_generation, self._now - message.direct_age_ms
+            self._peer_reports[peer_name] = message.direct_generation, self._now - message.direct_age_ms
         list_id = message.epoch, message.generation, message.list_hash
         if message.direct_generation == message.generation:  # the peer got it from discovery itself
-            self._confirmations.setdefault(list_id, {})[name] = self._now
+            self._confirmations.setdefault(list_id, {})[peer_name] = self._now
             while len(self._confirmations) > MAX_CONFIRMED_LISTS:
                 del self._confirmations[next(iter(self._confirmations))]
         own_rank = self._own_rank()
-        if peer_rank == own_rank and message.list_hash == self._hash:
+        if peer_rank == own_rank and message.list_hash == self._list_hash:
             self._version.reported_at = max(self._version.reported_at, reported_at)
             return []
         if peer_rank < own_rank:
-            status = self._make_status(name)
-            # While a list is unconfirmed, the one before is offered. Two such peers would otherwise answer
-            # each other without end.
+            status = self._make_status(peer_name)
+            # While this list is unconfirmed, the status offers the one before it, which may be no newer than
+            # the peer's. Answering all the same would let two such members answer each other without end.
             if self._rank(status.age_ms, status.epoch, status.generation) <= peer_rank:
                 return []
+            # The answer must not be longer than the message, so that forged messages cannot amplify traffic.
             padding_bytes = encoded_size(message) - encoded_size(status) + len(status.padding)
             return (
                 [
@@ -303,7 +312,7 @@
             self._reject("empty")
             return []
         if peer_rank == own_rank or self._transfer is not None:
-            return []  # lists of one generation that differ are left to discovery
+            return []  # if two lists of one generation differ, the next report of discovery decides
         if (
             message.epoch > self._version.epoch
             and self._version.generation >= 0
@@ -316,16 +325,16 @@
         if message.age_ms > MAX_PEER_LIST_AGE_MS:
             self._reject("old")
             return []
-        self._transfer = _Transfer(name, address, list_id, self._now, reported_at)
+        self._transfer = _Transfer(peer_name, address, list_id, self._now, reported_at)
         return [self._make_request("")]
 
     def _may_have_restarted_count(self, list_id: tuple[int, int, int]) -> bool:
         """Accept a higher epoch from two peers, or if discovery itself reports a lower generation here."""
-        heard_lower = (
-            self._now - self._direct_at < DISCOVERY_REPORT_MAX_AGE_MS
+        discovery_reports_lower = (
+            self._now - self._direct_report_at < DISCOVERY_REPORT_MAX_AGE_MS
             and self._direct_generation < self._version.generation
         )
-        return heard_lower or not self.is_reported or self._is_confirmed(list_id)
+        return discovery_reports_lower or not self.is_reported or self._is_confirmed(list_id)
 
     def _is_confirmed(self, list_id: tuple[int, int, int]) -> bool:
         return len(self._confirmations.get(list_id, ())) >= REQUIRED_CONFIRMATIONS
@@ -353,7 +362,7 @@
             *self._membership.message_header(name),
             version.epoch,
             version.generation,
-            self._hash,
+            self._list_hash,
             self._offered_age(),
             message.after_name,
         )
@@ -416,7 +425,7 @@
             transfer.list_id
         ):
             self._reject("alone")
-            self._confirmed_version = self._version, self._hash
+            self._confirmed_version = self._version, self._list_hash
             self._unconfirmed = transfer.list_id, update
             self._seek_confirmation_until, self._next_status_at = (
                 self._now + CONFIRMATION_TIMEOUT_MS,
@@ -430,7 +439,7 @@
         shared = {entry.name: entry for entry in transfer.entries}
         self._replace_list(used, shared, _ListVersion(epoch, generation, transfer.reported_at))
         self._pending_update = update
-        self._announce_soon = True
+        self._announcement_due = True
 
     # The list in use
 
@@ -439,10 +448,10 @@
     ) -> None:
         self._version = version
         self._shared_entries = {name: entry for name, entry in shared.items() if entry.state != State.GONE}
-        self._hash = list_hash(self._shared_entries.values(), self._same_addresses)
-        self._use(used)
+        self._list_hash = list_hash(self._shared_entries.values(), self._same_addresses)
+        self._set_entries(used)
 
-    def _use(self, entries: dict[str, ServerEntry]) -> None:
+    def _set_entries(self, entries: dict[str, ServerEntry]) -> None:
         self.entries = {name: entry for name, entry in entries.items() if entry.state != State.GONE}
 
     def _keep_departed(self, entry: ServerEntry) -> ServerEntry:
@@ -481,18 +490,19 @@
 
     def _has_count_restarted(self) -> bool:
         """Return whether discovery restarted its generation count, rather than that it lags here."""
-        assert self._lower_since is not None
-        reports = [(self._direct_generation, self._direct_at), *self._peer_reports.values()]
+        assert self._lower_generation_since is not None
+        reports = [(self._direct_generation, self._direct_report_at), *self._peer_reports.values()]
         recent = [
             generation
             for generation, reported_at in reports
             if self._now < reported_at + DISCOVERY_REPORT_MAX_AGE_MS
         ]
         if any(generation >= self._version.generation for generation in recent):
-            self._lower_since = self._now
+            self._lower_generation_since = self._now
             return False
         return (
-            len(recent) >= REQUIRED_CONFIRMATIONS or self._now >= self._lower_since + COUNT_RESTART_CONFIRM_MS
+            len(recent) >= REQUIRED_CONFIRMATIONS
+            or self._now >= self._lower_generation_since + COUNT_RESTART_CONFIRM_MS
         )
 
     def _remove_expired(self) -> None:
@@ -532,10 +542,10 @@
         return [OutgoingMessage(record.address, self._make_status(record.name)) for record in recipients]
 
     def _make_status(self, name: str) -> ListStatus:
-        direct_age = self._now - self._direct_at if self._direct_generation >= 0 else 0.0
+        direct_age = self._now - self._direct_report_at if self._direct_generation >= 0 else 0.0
         # An unconfirmed list is not offered. Peers that hold it or a newer one answer, which settles it.
         version, current_hash = (
-            (self._version, self._hash) if self._unconfirmed is None else self._confirmed_version
+            (self._version, self._list_hash) if self._unconfirmed is None else self._confirmed_version
         )
         age = self._now - version.reported_at
         header = (
--- a/larkcrank/fleet/membership.py
+++ b/larkcrank/fleet/membership.py
@@ -61,8 +61,8 @@
 STALL_MS = 1000.0  # a tick that is later than this means that this process was stalled
 FORGET_DEAD_MS = 24 * 3600 * 1000.0  # dead members are contacted again until then
 MAX_REPLAY_FILTERS = 4  # processes of one name for which replayed datagrams are detected
-MAX_OUTBID_BOOT_IDS = 64  # other processes with this member's name that are remembered
-DUPLICATE_RAISES = 4  # another process that has outbid our incarnation this often is alive
+MAX_DUPLICATE_BOOT_IDS = 64  # other processes with this member's name that are remembered
+DUPLICATE_RAISES = 4  # another process that has raised its incarnation above ours this often is alive
 MAX_PAGES_IN_FLIGHT = 4
 MAX_PAGE_BYTES = 1000  # of records in a page
 LEAVE_PING_COUNT = 4
@@ -166,10 +166,12 @@
         self._updates = UpdateQueue()
         self._dead_since: dict[str, float] = {}
         self._replay_filters: dict[str, dict[int, ReplayFilter]] = {}  # by name and boot ID
-        # For other processes with our name, by boot ID: how often each raised its incarnation above ours, ...
-        self._raise_counts: dict[int, int] = {}
-        self._outbid_incarnations: dict[int, int] = {}  # ... and its highest incarnation that we exceeded.
-        # Pages to send in the comparison of views: name, address, bucket, after_name.
+        # Other processes with our name, by boot ID: how often each raised its incarnation above ours.
+        self._incarnation_raise_counts: dict[int, int] = {}
+        # The same processes: the highest incarnation of each above which we raised ours.
+        self._exceeded_incarnations: dict[int, int] = {}
+        # Pages of member records to send when views are compared: the name and address of the recipient, the
+        # bucket, and the member name after which the page starts.
         self._pending_pages: deque[tuple[str, str, int, str]] = deque()
         self._pages_in_flight = 0
         self._next_sync_at = now
@@ -223,7 +225,9 @@
                 if self._probe is not None and self._probe.probe_id == message.probe_id:
                     self._probe.nacks_received += 1
             case BucketDigests():
-                own_buckets = [digest & 0xFFFFFFFF for digest in self.digest.buckets]
+                own_buckets = [
+                    digest & 0xFFFFFFFF for digest in self.digest.buckets
+                ]  # 32 bits, as in the message
                 differing = [
                     i for i, (a, b) in enumerate(zip(own_buckets, message.buckets, strict=False)) if a != b
                 ]
@@ -305,7 +309,7 @@
             return []
         (self._sync_peer, address), self._sync_candidate = self._sync_candidate, None
         self._next_sync_at = self._now + MIN_PROBE_PERIOD_MS
-        buckets = [digest & 0xFFFFFFFF for digest in self.digest.buckets]
+        buckets = [digest & 0xFFFFFFFF for digest in self.digest.buckets]  # 32 bits, as in the message
         return [OutgoingMessage(address, BucketDigests(*self.message_header(self._sync_peer), buckets))]
 
     # Probes
@@ -537,12 +541,14 @@
         if (
             record.boot_id != self.local_record.boot_id
             and is_raised
-            and record.incarnation > self._outbid_incarnations.get(record.boot_id, -1)
+            and record.incarnation > self._exceeded_incarnations.get(record.boot_id, -1)
         ):
             # Outdated updates may mention a former process of this member. A process that raises its
             # incarnation each time we exceed it is alive.
-            self._raise_counts[record.boot_id] = self._raise_counts.get(record.boot_id, 0) + 1
-            if self._raise_counts[record.boot_id] == DUPLICATE_RAISES:
+            self._incarnation_raise_counts[record.boot_id] = (
+                self._incarnation_raise_counts.get(record.boot_id, 0) + 1
+            )
+            if self._incarnation_raise_counts[record.boot_id] == DUPLICATE_RAISES:
                 self.is_duplicate = record.boot_id > self.local_record.boot_id
                 reason = f"another process uses this member's name, at {record.address}"
                 self.changes.append(MemberChange(self.local_record.name, Standing.SUSPECT, reason))
@@ -555,13 +561,13 @@
             return
         if record.boot_id == own_record.boot_id:
             self.local_health_score = min(self.local_health_score + 1, MAX_LOCAL_HEALTH_SCORE)
-        self._outbid_incarnations[record.boot_id] = max(
-            record.incarnation, self._outbid_incarnations.get(record.boot_id, -1)
+        self._exceeded_incarnations[record.boot_id] = max(
+            record.incarnation, self._exceeded_incarnations.get(record.boot_id, -1)
         )
-        if len(self._outbid_incarnations) > MAX_OUTBID_BOOT_IDS:
-            oldest = next(iter(self._outbid_incarnations))
-            self._raise_counts.pop(oldest, None)
-            del self._outbid_incarnations[oldest]
+        if len(self._exceeded_incarnations) > MAX_DUPLICATE_BOOT_IDS:
+            oldest = next(iter(self._exceeded_incarnations))
+            self._incarnation_raise_counts.pop(oldest, None)
+            del self._exceeded_incarnations[oldest]
         self._set_local_record(msgspec.structs.replace(own_record, incarnation=record.incarnation + 1))
 
     def _set_local_record(self, record: MemberRecord) -> None:
--- a/larkcrank/fleet/records.py
+++ b/larkcrank/fleet/records.py
@@ -69,6 +69,6 @@
     def update(self, before: MemberRecord | None, after: MemberRecord | None) -> None:
         for record in (before, after):
             if record is not None and record.is_live:
-                value = record_hash(record)  # XOR: applying a hash a second time removes it
-                self.total ^= value
-                self.buckets[bucket_index(record.name)] ^= value
+                hash_value = record_hash(record)  # XOR: applying a hash a second time removes it
+                self.total ^= hash_value
+                self.buckets[bucket_index(record.name)] ^= hash_value
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -257,7 +257,7 @@
         self._start_accepting()
 
     def _load_initial_servers(self, message: handover.HandoverMessage | None) -> None:
-        listing: ListUpdate | None = None
+        server_list: ListUpdate | None = None
         # Beside a predecessor, this process calls discovery without coordinating with the fleet.
         if self._fleet_member is not None and self._predecessor is None:
             self._fleet_member.attach(self._discovery)
@@ -265,25 +265,25 @@
             self._balancer.import_state(message.learnt)
             self._names.zones[:], self._names.kinds[:] = message.zones, message.kinds
             endpoints = tuple(server.endpoint for server in message.learnt.servers)
-            listing = ListUpdate(message.generation or 0, True, endpoints, message.places)
+            server_list = ListUpdate(message.generation or 0, True, endpoints, message.places)
             self._discovery.set_generation(message.generation)
             # The predecessor may have lost contact with discovery recently.
             self._discovery.mark_availability_unknown()
             self.log.event("taken_over", known=len(endpoints), taken=message.learnt.known[1])
         else:
             self._restore_learned_state(self._config.learned_state_path)
-            listing = self._discovery.load_list(self._configured_list) if self._configured_list else None
+            server_list = self._discovery.load_list(self._configured_list) if self._configured_list else None
             if self._fleet_member is not None:
-                listing = self._fleet_member.initial_list(listing)
-                self._discovery.set_generation(listing.generation if listing is not None else None)
-        if listing is None:
-            listing = ListUpdate(0, True, ())
+                server_list = self._fleet_member.initial_list(server_list)
+                self._discovery.set_generation(server_list.generation if server_list is not None else None)
+        if server_list is None:
+            server_list = ListUpdate(0, True, ())
         # An empty list is passed on too: on its first event the balancer sets its timer for discovery calls.
-        self._driver.receive_list(listing, cached=True)
+        self._driver.receive_list(server_list, cached=True)
         if self._always_watch:
             self._discovery.watch()
         self._clock.start_heartbeat()
-        self._initial_server_count = len(listing.endpoints)
+        self._initial_server_count = len(server_list.endpoints)
 
     def _start_accepting(self) -> None:
         self._listener.start()
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -144,9 +144,9 @@
         self._speaker: FleetProtocol | None = None
         self._zone = ""
         self._restart = RestartKind.UNKNOWN
-        # Lists that discovery sent before the fleet was joined: received at, lines, generation, is complete.
+        # Lists that discovery sent before the fleet was joined: received at, entries, generation, complete.
         self._early_lists: list[tuple[float, list[ServerEntry], int, bool]] = []
-        # Lines and generation of the list at the start (-1: none), and its age in ms (-1: unknown).
+        # Entries and generation of the list at the start (-1: none), and its age in ms (-1: unknown).
         self._initial_list: tuple[list[ServerEntry], int, float] = [], -1, -1.0
         # Draining and removed servers of the snapshot, by name: start time, state, since when this was known.
         self._gone: dict[str, tuple[float, State, float]] = {}
@@ -160,6 +160,9 @@
         self._last_save_failed = False
 
     def attach(self, discovery: DiscoveryClient) -> None:
+        """Intercept discovery's callbacks; the previous ones are called afterwards. Discovery is then called
+        only when the fleet permits it.
+        """
         self._forward_list, self._forward_failure = discovery.on_list, discovery.on_failure
         discovery.on_list, discovery.on_failure, discovery.may_call = (
             self._on_list,
@@ -179,27 +182,29 @@
         initial_lines, initial_generation, age_ms = self._initial_list
         if initial_generation >= 0:
             lists.load_saved(initial_lines, initial_generation, age_ms if age_ms >= 0.0 else float("inf"))
-        for received_at, lines, generation, is_complete in self._early_lists:
-            lists.on_discovery_list(received_at, lines, generation, is_complete)
+        for received_at, entries, generation, is_complete in self._early_lists:
+            lists.on_discovery_list(received_at, entries, generation, is_complete)
         self._early_lists.clear()
 
     # Lists from discovery, and permission to call it
 
-    def _on_list(self, listing: ListUpdate) -> None:
+    def _on_list(self, list_update: ListUpdate) -> None:
         now = self._clock()
         self._asking.on_success()
-        lines = self._lines_of(listing)
+        entries = self._entries_of(list_update)
         if self._lists is None:
             if not self._is_disabled:
                 self._early_lists = [
                     *self._early_lists,
-                    (now, lines, listing.generation, listing.is_full),
+                    (now, entries, list_update.generation, list_update.is_full),
                 ][-MAX_EARLY_LISTS:]
-            self._forward_list(listing)
+            self._forward_list(list_update)
             return
-        accepted = self._lists.on_discovery_list(now, lines, listing.generation, listing.is_full)
+        accepted = self._lists.on_discovery_list(now, entries, list_update.generation, list_update.is_full)
         self._forward_list(
-            listing if accepted == lines else self._listing_of(listing.generation, listing.is_full, accepted)
+            list_update
+            if accepted == entries
+            else self._make_list_update(list_update.generation, list_update.is_full, accepted)
         )
 
     def _on_failure(self, reason: str) -> None:
@@ -210,10 +215,10 @@
         if self._is_disabled or (self._membership is not None and self._membership.is_duplicate):
             return True
         live_members = [] if self._membership is None else list(self._membership.live_members)
-        told_at = -float("inf") if self._lists is None else self._lists.reported_at
+        reported_at = -float("inf") if self._lists is None else self._lists.reported_at
         # While members do not answer, they may be unreachable: their turns must not be waited for.
         is_isolated = self._membership is not None and self._membership.local_health_score > 0
-        return self._asking.may_call(self._clock(), live_members, told_at, is_isolated)
+        return self._asking.may_call(self._clock(), live_members, reported_at, is_isolated)
 
     # Lists from other members
 
@@ -231,14 +236,14 @@
         return messages
 
     def _apply_shared_list(self, shared_list: SharedListUpdate) -> None:
-        listing = self._listing_of(shared_list.generation, True, shared_list.entries)
+        list_update = self._make_list_update(shared_list.generation, True, shared_list.entries)
         self._log.event(
             "list_from_fellow",
             generation=shared_list.generation,
             by=shared_list.source,
             servers=len(shared_list.entries),
         )
-        self._driver.receive_list(listing, cached=True)
+        self._driver.receive_list(list_update, cached=True)
 
     def _detect_restart(self, now: float) -> None:
         """Infer from the ages of the other processes whether one member, a zone or the fleet restarted."""
@@ -264,8 +269,8 @@
 
     # The snapshot
 
-    def initial_list(self, listing: ListUpdate | None) -> ListUpdate | None:
-        """Read the snapshot, and return the newer of its list and the configured `listing`.
+    def initial_list(self, list_update: ListUpdate | None) -> ListUpdate | None:
+        """Read the snapshot, and return the newer of its list and the configured `list_update`.
 
         Also keeps the snapshot's member addresses and removed servers.
         """
@@ -282,14 +287,14 @@
                 )
                 for server in loaded.gone
             }
-            if loaded.generation >= 0 and (listing is None or loaded.generation > listing.generation):
+            if loaded.generation >= 0 and (list_update is None or loaded.generation > list_update.generation):
                 age_ms = loaded.list_age_ms + since_save_ms if loaded.list_age_ms >= 0.0 else -1.0
-                listing = self._listing_of(loaded.generation, True, loaded.lines)
+                list_update = self._make_list_update(loaded.generation, True, loaded.lines)
                 self._initial_list = loaded.lines, loaded.generation, age_ms
-                return listing
-        if listing is not None:
-            self._initial_list = self._lines_of(listing), listing.generation, -1.0
-        return listing
+                return list_update
+        if list_update is not None:
+            self._initial_list = self._entries_of(list_update), list_update.generation, -1.0
+        return list_update
 
     def _read_snapshot(self) -> snapshot.Snapshot | None:
         if not self._recovery_config.snapshot:
@@ -351,7 +356,7 @@
             snapshot.DepartedServer(name, started_ms, int(state), now - known_since)
             for name, (started_ms, state, known_since) in lists.departed().items()
         ]
-        lines = [lists.entries[name] for name in sorted(lists.entries)]
+        entries = [lists.entries[name] for name in sorted(lists.entries)]
         list_age_ms = now - lists.reported_at if lists.is_reported else -1.0
         size = self._speaker.size_tracker.current.count
         snapshot_now = snapshot.Snapshot(
@@ -360,26 +365,26 @@
             now,
             lists.generation,
             list_age_ms,
-            lines,
+            entries,
             gone,
             places,
             size,
         )
         data = snapshot.encode(snapshot_now)
-        content = lists.generation, tuple(lines), tuple(server.name for server in gone), tuple(places), size
+        content = lists.generation, tuple(entries), tuple(server.name for server in gone), tuple(places), size
         return (data if len(data) <= snapshot.MAX_FILE_BYTES else None), content
 
     def close(self) -> None:
         if self._save_future is not None:
             self._save_future.cancel()
 
-    # Conversion between discovery's listings and the fleet's lines
+    # Conversion between the list updates of discovery and the entries of the fleet
 
-    def _lines_of(self, listing: ListUpdate) -> list[ServerEntry]:
-        return [self._line_of(endpoint, listing) for endpoint in listing.endpoints]
+    def _entries_of(self, list_update: ListUpdate) -> list[ServerEntry]:
+        return [self._entry_of(endpoint, list_update) for endpoint in list_update.endpoints]
 
-    def _line_of(self, endpoint: Endpoint, listing: ListUpdate) -> ServerEntry:
-        host_and_port = listing.host_ports.get(endpoint.address)
+    def _entry_of(self, endpoint: Endpoint, list_update: ListUpdate) -> ServerEntry:
+        host_and_port = list_update.host_ports.get(endpoint.address)
         return ServerEntry(
             endpoint.address.decode(),
             int(endpoint.state),
@@ -391,17 +396,19 @@
             "" if host_and_port is None else f"{host_and_port[0]}:{host_and_port[1]}",
         )
 
-    def _listing_of(
-        self, generation: int, is_complete: bool, lines: "list[ServerEntry] | tuple[ServerEntry, ...]"
+    def _make_list_update(
+        self, generation: int, is_complete: bool, entries: "list[ServerEntry] | tuple[ServerEntry, ...]"
     ) -> ListUpdate:
-        endpoints, places = [], {}
-        for line in lines:
-            state, address = State(line.state), line.name.encode()
+        endpoints, host_ports = [], {}
+        for entry in entries:
+            state, address = State(entry.state), entry.name.encode()
             try:
-                places[address] = parse_host_port(line.host_port)
-            except ValueError:  # as for such a line from discovery: the server gets no new requests
+                host_ports[address] = parse_host_port(entry.host_port)
+            except ValueError:  # as for such an entry of discovery: the server gets no new requests
                 state = State.GONE if state is State.GONE else State.DRAINING
-            zone = NameTable.number_of(self._names.zones, line.zone)
-            kind = NameTable.number_of(self._names.kinds, line.kind)
-            endpoints.append(Endpoint(address, state, zone, line.cell, kind, line.size, line.started_at_ms))
-        return ListUpdate(generation, is_complete, tuple(endpoints), places)
+            zone = NameTable.number_of(self._names.zones, entry.zone)
+            kind = NameTable.number_of(self._names.kinds, entry.kind)
+            endpoints.append(
+                Endpoint(address, state, zone, entry.cell, kind, entry.size, entry.started_at_ms)
+            )
+        return ListUpdate(generation, is_complete, tuple(endpoints), host_ports)
--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -294,7 +294,8 @@
         self, session: "_ClientSession", request: http1.Request, exchange: Exchange, upload: Upload
     ) -> bool:
         """Handle a request whose body is forwarded while it is received. The response may be written before
-        the body ends; the rest of the body is then read and dropped.
+        the body ends; the rest of the body is then read and dropped. Returns whether the connection
+        stays open.
         """
         session.uploading_exchange, session.progress_bytes, session.last_progress_at = (
             exchange,
@@ -322,7 +323,7 @@
         finally:
             upload.release()
             session.uploading_exchange = None
-            # If it is still running, it ends when the connection closes.
+            # If the upload task is still running, it ends when the connection closes.
             upload_task.add_done_callback(_consume_exception)
             self._active_request_ids.discard(exchange.call_info.id)
             self._request_handler.handle_client_gone(exchange)
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -116,11 +116,11 @@
     def load_list(self, encoded_list: bytes) -> ListUpdate | None:
         """Decode a stored list. Returns None if it is unreadable."""
         try:
-            listing = discovery.parse_list(encoded_list, self._names)
+            list_update = discovery.parse_list(encoded_list, self._names)
         except discovery.ServerListError:
             return None
-        self.set_generation(listing.generation)
-        return listing
+        self.set_generation(list_update.generation)
+        return list_update
 
     @property
     def generation(self) -> int | None:
@@ -210,8 +210,8 @@
                 began_at = loop.time()
                 is_long_poll = self._generation is not None and not self._availability_unknown
                 error = await self._call(connection, CallKind.WATCH if is_long_poll else CallKind.CHECK)
-                took_s = loop.time() - began_at
-                if is_long_poll and (error is None or took_s > RETRY_INTERVAL_LIMITS_S[1]):
+                call_duration_s = loop.time() - began_at
+                if is_long_poll and (error is None or call_duration_s > RETRY_INTERVAL_LIMITS_S[1]):
                     retry_intervals.reset()
                 if error is None:
                     if self._failover is not None:
@@ -221,14 +221,14 @@
                 self.on_failure(str(error) or type(error).__name__)
                 if self._failover is not None:
                     await asyncio.sleep(
-                        self._fail_over(connection.host_port, 0.0 if is_long_poll else took_s)
+                        self._fail_over(connection.host_port, 0.0 if is_long_poll else call_duration_s)
                     )
                     continue
                 if is_long_poll and isinstance(error, TimeoutError):
                     # The timeout has already used up the time, and the contract counts what was missed as
                     # known soon.
                     continue
-                await self._wait_before_retry(retry_intervals, 0.0 if is_long_poll else took_s)
+                await self._wait_before_retry(retry_intervals, 0.0 if is_long_poll else call_duration_s)
         finally:
             connection.close()
 
@@ -265,16 +265,16 @@
         finally:
             connection.close()
 
-    def _fail_over(self, failed_host_port: tuple[str, int], took_s: float) -> float:
-        """Fail over from an address whose call failed after `took_s`. Returns how many seconds to wait before
-        the next call.
+    def _fail_over(self, failed_host_port: tuple[str, int], call_duration_s: float) -> float:
+        """Fail over from an address whose call failed after `call_duration_s`. Returns how many seconds to
+        wait before the next call.
         """
         assert self._failover is not None
         if failed_host_port != self._host_port:
             return 0.0  # Another call has already failed over.
         wait_s = self._failover.record_failure(asyncio.get_running_loop().time())
         self._host_port = self._failover.current
-        return min(wait_s, max(RETRY_INTERVAL_LIMITS_S[1] - took_s, 0.0))
+        return min(wait_s, max(RETRY_INTERVAL_LIMITS_S[1] - call_duration_s, 0.0))
 
     async def _select_connection(self, connection: "_DiscoveryConnection") -> "_DiscoveryConnection":
         """Return a connection to the address to call now. While a fallback is in use, the primary is checked
@@ -314,11 +314,15 @@
             self._availability_unknown = True
             await asyncio.sleep(MAY_CALL_POLL_INTERVAL_S)
 
-    async def _wait_before_retry(self, retry_intervals: "_RetryIntervals", took_s: float) -> None:
-        """Wait after a call that failed after `took_s`. The interval to the next call counts from the start
-        of the failed one.
+    async def _wait_before_retry(self, retry_intervals: "_RetryIntervals", call_duration_s: float) -> None:
+        """Wait after a call that failed after `call_duration_s`. The interval to the next call counts from
+        the start of the failed one.
         """
-        wait_s = retry_intervals.next_interval_s() - took_s if self.may_call is None else TURN_RETRY_DELAY_S
+        wait_s = (
+            retry_intervals.next_interval_s() - call_duration_s
+            if self.may_call is None
+            else TURN_RETRY_DELAY_S
+        )
         await asyncio.sleep(max(wait_s, 0.0))
 
     async def _call(self, connection: "_DiscoveryConnection", call_kind: CallKind) -> Exception | None:
@@ -330,9 +334,11 @@
             response = await self._get_with_retry(connection, call_kind)
             if response.status != 200:
                 raise ConnectionLostError(f"answered {response.status}")
-            listing = discovery.parse_list(response.body, self._names)
-            if asks_full_list and not listing.is_full:
-                listing = ListUpdate(listing.generation, True, listing.endpoints, listing.host_ports)
+            list_update = discovery.parse_list(response.body, self._names)
+            if asks_full_list and not list_update.is_full:
+                list_update = ListUpdate(
+                    list_update.generation, True, list_update.endpoints, list_update.host_ports
+                )
             self._counters.lists += 1
             self._availability_unknown = False
             if call_kind is not CallKind.FULL_LIST:
@@ -340,15 +346,15 @@
             elif watch_answers_before != self._watch_answer_count:
                 # A watch has succeeded since this call started, so it is alive and its data is newer.
                 return None
-            watch_is_dead = call_kind is CallKind.FULL_LIST and listing.generation != self._generation
-            self._generation = listing.generation
+            watch_is_dead = call_kind is CallKind.FULL_LIST and list_update.generation != self._generation
+            self._generation = list_update.generation
             if watch_is_dead and self._watch_task is not None and not self._watch_task.done():
                 # A live watch would have reported this change. If a machine vanished, connections to it stay
                 # silent.
                 self._watch_task.cancel()
                 self._watch_task = None
                 self.watch()
-            self.on_list(listing)
+            self.on_list(list_update)
         except (
             ConnectionLostError,
             NoDescriptorError,
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -177,6 +177,7 @@
     # Callbacks of the server side and of discovery
 
     def receive_list(self, server_list: ListUpdate, cached: bool = False) -> None:
+        """Apply a server list. `cached` marks one that this process did not just receive from discovery."""
         self._attempt_executor.apply_list(server_list)
         if self._discovery_down and not cached:
             self._discovery_down = False
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -47,19 +47,19 @@
         self._budget = budget
         self._parts: deque[bytes] = deque()
         self._buffered_bytes = 0
-        self._dropped_parts = 0  # Number of parts removed from the buffer.
+        self._dropped_part_count = 0  # Number of parts removed from the buffer.
         # Number of parts, counted from the first, that the current attempt has consumed.
-        self._taken_parts = 0
+        self._consumed_part_count = 0
         self._changed = asyncio.Event()
-        self.complete = False  # The last byte has arrived.
-        self.discarded = False  # No attempt needs the body any more; further data is dropped.
-        self.aborted = False  # The client stopped before the end of the body.
+        self.complete = False  # Whether the last byte has arrived.
+        self.discarded = False  # Whether no attempt needs the body any more; further data is then dropped.
+        self.aborted = False  # Whether the client stopped before the end of the body.
         self.append(first_part)
 
     @property
     def can_resend(self) -> bool:
         """Whether the body can still be sent from its first byte."""
-        return not self._dropped_parts
+        return not self._dropped_part_count
 
     # Client side
 
@@ -68,7 +68,7 @@
             self._parts.append(data)
             self._buffered_bytes += len(data)
             self._budget.reserve(len(data))
-            self._drop_taken_parts()
+            self._drop_consumed_parts()
             self._changed.set()
 
     @property
@@ -105,28 +105,32 @@
 
     def restart(self) -> None:
         """Let another attempt consume the body from its first byte."""
-        self._taken_parts = 0
+        self._consumed_part_count = 0
 
     async def next_part(self) -> bytes | None:
         """Return the next part, or None at the end. Raises `ConnectionLostError` if it was cut short."""
-        while self._taken_parts - self._dropped_parts >= len(self._parts):
+        while self._consumed_part_count - self._dropped_part_count >= len(self._parts):
             if self.complete and not self.discarded:
                 return None
             if self.aborted or self.discarded:
                 raise ConnectionLostError("the request body was cut short")
             self._changed.clear()
             await self._changed.wait()
-        part = self._parts[self._taken_parts - self._dropped_parts]
-        self._taken_parts += 1
-        self._drop_taken_parts()
+        part = self._parts[self._consumed_part_count - self._dropped_part_count]
+        self._consumed_part_count += 1
+        self._drop_consumed_parts()
         return part
 
-    def _drop_taken_parts(self) -> None:
+    def _drop_consumed_parts(self) -> None:
+        """While the buffer exceeds its limit, drop parts that the current attempt has consumed. The body then
+        cannot be sent again.
+        """
         while (
-            self._buffered_bytes > http1.MAX_BUFFERED_BODY_BYTES and self._taken_parts > self._dropped_parts
+            self._buffered_bytes > http1.MAX_BUFFERED_BODY_BYTES
+            and self._consumed_part_count > self._dropped_part_count
         ):
             dropped_bytes = len(self._parts.popleft())
-            self._dropped_parts += 1
+            self._dropped_part_count += 1
             self._buffered_bytes -= dropped_bytes
             self._budget.release(dropped_bytes)
             self._changed.set()
@@ -212,8 +216,8 @@
         return part
 
     def abandon(self) -> bool:
-        """Record that the client has disconnected. Returns False if it already had its response, or the start
-        of a streamed one.
+        """Record that the client has disconnected. Returns False if the client already had its response, or
+        the start of a streamed one.
         """
         self.stream_broken = True
         self._stream_changed.set()
--- a/larkcrank/tiers/config.py
+++ b/larkcrank/tiers/config.py
@@ -37,7 +37,7 @@
     slack_ms: float = 700.0  # a long poll fails this long after its wait has passed
     whole_ms: float = 3000.0  # timeout of a call for a full list
     connect_ms: float = 500.0
-    fresh_ms: float = 6000.0  # with a source or parent silent for longer, newcomers get no full list
+    fresh_ms: float = 6000.0  # with a source or parent silent for longer, new receivers get no full list
     deaf_ms: float = (
         3000.0  # a parent silent for longer makes a tier stale; without sources it ends its watches
     )
--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -35,7 +35,8 @@
     ) -> None:
         """`decode` raises `AnswerError`, as does `on_answer` for an answer that must not be applied.
 
-        `request_headers` returns the header lines of a call to this address, or of a check if it is None.
+        `request_headers` returns the header lines of a call to this address, or of a catch-up call if it is
+        None.
         """
         self.name = name
         self._decode, self._on_answer, self._request_headers, self._log_event = (
@@ -65,11 +66,11 @@
             None  # when to probe another address; set while the current one is stale
         )
         self._probe_count = 0
-        self._probe: asyncio.Task[None] | None = None
+        self._probe_task: asyncio.Task[None] | None = None
         self._probed_address: HostPort | None = None
-        self._check: asyncio.Task[None] | None = None
-        self._check_client: tuple[HostPort, KeepAliveClient] | None = None
-        self._closed_client_bytes = (0, 0)  # sent and received by check clients that were closed
+        self._catch_up_task: asyncio.Task[None] | None = None
+        self._catch_up_client: tuple[HostPort, KeepAliveClient] | None = None
+        self._closed_client_bytes = (0, 0)  # sent and received by catch-up clients that were closed
         self._last_answered: HostPort | None = None
         self.is_tier: bool | None = None  # None: no answer yet
         self.complete_answer_at: float | None = None  # the last answer that was not provisional
@@ -89,7 +90,7 @@
         """Bytes sent and received."""
         clients = [
             *self._clients.values(),
-            *([self._check_client[1]] if self._check_client is not None else []),
+            *([self._catch_up_client[1]] if self._catch_up_client is not None else []),
         ]
         sent = self._closed_client_bytes[0] + sum(client.bytes_sent for client in clients)
         return sent, self._closed_client_bytes[1] + sum(client.bytes_received for client in clients)
@@ -119,18 +120,18 @@
         try:
             while True:
                 probe_address = self._address_to_probe(loop.time())
-                if self._probe is None and probe_address is not None:
-                    self._probe = loop.create_task(self._probe_once(probe_address))
+                if self._probe_task is None and probe_address is not None:
+                    self._probe_task = loop.create_task(self._probe_once(probe_address))
                     self._probed_address = probe_address
                 address = self.addresses.current
-                if self._probe is not None and self._probed_address == address:
+                if self._probe_task is not None and self._probed_address == address:
                     # Each address has one connection: the watch takes over from the probe.
-                    self._probe.cancel()
-                    await asyncio.gather(self._probe, return_exceptions=True)
-                    self._probe = None
+                    self._probe_task.cancel()
+                    await asyncio.gather(self._probe_task, return_exceptions=True)
+                    self._probe_task = None
                 succeeded = await self._call(address)
                 if address != self.addresses.current:
-                    continue  # a probe has moved the feed meanwhile
+                    continue  # a probe has changed the current address meanwhile
                 if succeeded:
                     self.addresses.record_success()
                     if self._last_answered not in (None, address):
@@ -139,12 +140,12 @@
                 else:
                     await asyncio.sleep(self.addresses.record_failure(loop.time()))
         finally:
-            for task in (self._probe, self._check):
+            for task in (self._probe_task, self._catch_up_task):
                 if task is not None:
                     task.cancel()
             for client in (
                 *self._clients.values(),
-                *([self._check_client[1]] if self._check_client is not None else ()),
+                *([self._catch_up_client[1]] if self._catch_up_client is not None else ()),
             ):
                 client.close()
 
@@ -187,39 +188,39 @@
             self.addresses.switch_to(address, now)
         elif address == self.addresses.primary:
             self.addresses.record_primary_check(now, False)
-        self._probe = None
+        self._probe_task = None
 
-    def check(self) -> None:
-        """Fetch the pending changes of the current address while the watch goes on; one check at a time.
+    def start_catch_up(self) -> None:
+        """Fetch the pending changes of the current address while the watch goes on; one such call at a time.
 
         Only for a tier, whose answers may be applied in any order. A discovery answers its watch soon enough.
         """
-        if self.is_tier and (self._check is None or self._check.done()):
-            self._check = asyncio.get_running_loop().create_task(self._check_once())
+        if self.is_tier and (self._catch_up_task is None or self._catch_up_task.done()):
+            self._catch_up_task = asyncio.get_running_loop().create_task(self._catch_up_once())
 
-    async def _check_once(self) -> None:
+    async def _catch_up_once(self) -> None:
         """Make one call over a second connection to the current address and apply its answer."""
         address = self.addresses.current
         after = self._last_generation.get(address)
         if after is None:
             return
-        if self._check_client is None or self._check_client[0] != address:
-            if self._check_client is not None:
-                old_client = self._check_client[1]
+        if self._catch_up_client is None or self._catch_up_client[0] != address:
+            if self._catch_up_client is not None:
+                old_client = self._catch_up_client[1]
                 self._closed_client_bytes = (
                     self._closed_client_bytes[0] + old_client.bytes_sent,
                     self._closed_client_bytes[1] + old_client.bytes_received,
                 )
                 old_client.close()
-                self._check_client = None
+                self._catch_up_client = None
             client = KeepAliveClient(address, self._settings.connect_ms / 1000.0, self._settings.answer_bytes)
-            self._check_client = (address, client)
+            self._catch_up_client = (address, client)
         self.calls += 1
         try:
             timeout_s = self._settings.slack_ms / 1000.0
             target = watch_target(after, 1)
             answer = self._decode(
-                await self._check_client[1].fetch(target, timeout_s, self._request_headers(self, None))
+                await self._catch_up_client[1].fetch(target, timeout_s, self._request_headers(self, None))
             )
             self._validate(answer, after)
             self._on_answer(self, address, answer)
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -28,8 +28,8 @@
 CHECK_INTERVAL_S = 0.25  # between checks for timeouts, freshness and lag
 PARENT_FEED_NAME = "above"
 SUMMARY_HEADER = b"Held"  # a call's summary of what the sidecars below hold
-# Marks a tier's check, which carries no summary, so that the caller is not counted as a sidecar.
-CHECK_HEADER = b"Held-Aside"
+# Marks a tier's catch-up call, which carries no summary, so that the caller is not counted as a sidecar.
+CATCH_UP_HEADER = b"Held-Aside"
 MAX_LOGGED_LAGGARDS = 5
 MAX_CUT_OFF_LAGGARDS = 20
 OPS_MAX_LINE_BYTES = 128
@@ -77,7 +77,7 @@
         self.receivers: set[Receiver] = set()
         self._blocked_until: dict[Receiver, float] = {}  # peers that do not read, and when they are cut off
         # Receivers with another tier's list that wait until this tier is up to date, and when they called.
-        self._newcomers: dict[Receiver, float] = {}
+        self._deferred_receivers: dict[Receiver, float] = {}
         # Peers that were cut off while they lacked a change, by listener and host: the sequence number that
         # they held, the time of the first change that they lacked, and the address.
         self._cut_off_laggards: dict[tuple[str, str], tuple[int, float, str]] = {}
@@ -94,7 +94,7 @@
         self.ops_address: tuple[str, int] | None = None
         self._operators: set[OperatorConnection] = set()
         self._started_at = self._loop.time()
-        self._announced_prefix = self.table.generation_prefix
+        self._announced_generation_prefix = self.table.generation_prefix
         max_lag_s = settings.held_ms / 1000.0
         self._parent_generations, self._change_times, self._child_summaries = (
             held.ParentGenerations(),
@@ -245,7 +245,7 @@
         if feed is not self.parent:
             return ()
         if address is None:
-            return (CHECK_HEADER + b": 1",)
+            return (CATCH_UP_HEADER + b": 1",)
         summary = held.Summary(self.config.name, [], [])
         if address == self._parent_generations_from:
             summary = held.summarize(self.config.name, self.sidecar_progress(), self._parent_generations)
@@ -270,7 +270,7 @@
             if own_version is not None and own_version > (table.epoch, table.version_counter):
                 self.log.event("tier_epoch_raised", heard=own_version, own=table.epoch)
                 own_changes = table.supersede_version(own_version, self._new_generation_prefix(), now_ms)
-                self._announce_new_prefix()
+                self._announce_new_generation_prefix()
                 self._announce_changes(own_changes)
             feed.record_answer(not answer.provisional)
         self._announce_changes(changes)
@@ -282,7 +282,7 @@
         if not self.is_complete or not table.own_records_complete:
             self._update_completeness()
         self._is_isolated = self._is_isolated and self._has_lost_all_input
-        self._release_newcomers()
+        self._answer_deferred_receivers()
 
     def _new_generation_prefix(self) -> int:
         return new_generation_prefix(time.time(), self._rng.getrandbits(12))
@@ -306,13 +306,16 @@
                 self._announce_changes(table.remove_other_sources(names, time.time() * 1000.0))
             table.replace_generation_prefix(self._new_generation_prefix())
             first_time, self.is_complete = is_complete and not self.is_complete, is_complete
-            self._announce_new_prefix()
+            self._announce_new_generation_prefix()
             if first_time:
                 self.log.event("tier_complete", lines=table.live_count, generation=table.generation)
 
-    def _announce_new_prefix(self) -> None:
-        """Send waiting tiers a full answer after the prefix was replaced. Waiting sidecars lack nothing."""
-        self._announced_prefix = self.table.generation_prefix
+    def _announce_new_generation_prefix(self) -> None:
+        """Send waiting tiers a full answer after the generation prefix was replaced.
+
+        Waiting sidecars lack nothing.
+        """
+        self._announced_generation_prefix = self.table.generation_prefix
         for listener in (self.child_listener, self.parent_listener):
             if listener is not None:
                 for receiver in list(listener.waiting):
@@ -323,8 +326,9 @@
         if not changes:
             return
         now, sequence = self._loop.time(), self.table.sequence
-        if self.table.generation_prefix != self._announced_prefix:  # the sequence number has wrapped around
-            self._announce_new_prefix()
+        if self.table.generation_prefix != self._announced_generation_prefix:
+            # The sequence number has wrapped around, so no change can be told from the old numbers.
+            self._announce_new_generation_prefix()
             self._change_times.clear()
             self._propagation.clear()
             self._parent_generations.clear()
@@ -335,14 +339,14 @@
         self._change_times.record(sequence, now)
         if not self.config.parents:
             self._propagation.record(sequence, now)
-        concerned = {self.child_listener: None}
+        affected_listeners = {self.child_listener: None}
         if self.parent_listener is not None and not changes.owners.isdisjoint(self.table.subtree_owners):
-            concerned[self.parent_listener] = None
+            affected_listeners[self.parent_listener] = None
         if changes.services:
-            concerned.update(dict.fromkeys(self._all_services_listeners))
+            affected_listeners.update(dict.fromkeys(self._all_services_listeners))
         for service in changes.services:
-            concerned.update(dict.fromkeys(self._listeners_by_service.get(service, ())))
-        for listener in concerned:
+            affected_listeners.update(dict.fromkeys(self._listeners_by_service.get(service, ())))
+        for listener in affected_listeners:
             listener.changed_seq = sequence
             if listener.batcher.due_at is None:
                 due_at = listener.batcher.schedule(now)
@@ -382,7 +386,7 @@
         receiver.listener.receivers.discard(receiver)
         receiver.listener.waiting.discard(receiver)
         self._blocked_until.pop(receiver, None)
-        self._newcomers.pop(receiver, None)
+        self._deferred_receivers.pop(receiver, None)
 
     def receiver_blocked(self, receiver: Receiver, is_blocked: bool) -> None:
         """Start or stop the write timeout of a receiver whose socket buffer is full."""
@@ -407,7 +411,7 @@
             if after is not None and not self.is_fresh(listener):
                 self._refuse(receiver)
             elif after is not None and listener.is_for_sidecars:
-                self._hold_newcomer(receiver, now)
+                self._defer_answer(receiver, now)
             else:
                 self._schedule_full_answer(receiver)
             return
@@ -435,28 +439,30 @@
         since = self._loop.time() - self._settings.fresh_ms / 1000.0
         return all(feed.complete_answer_at is not None and feed.complete_answer_at >= since for feed in feeds)
 
-    def _hold_newcomer(self, receiver: Receiver, now: float) -> None:
+    def _defer_answer(self, receiver: Receiver, now: float) -> None:
         """Delay the answer to a receiver whose list came from another tier, and check all feeds first.
 
         The other tier may have been ahead of this one, so that an answer now could undo changes.
         """
-        self._newcomers[receiver] = now
+        self._deferred_receivers[receiver] = now
         receiver.start_timer(now + self._settings.whole_wait_ms / 1000.0, self._refuse)
         for feed in self._feeds:
-            feed.check()
+            feed.start_catch_up()
 
-    def _release_newcomers(self) -> None:
-        """Answer the newcomers since whose call every feed has answered."""
-        if not self._newcomers:
+    def _answer_deferred_receivers(self) -> None:
+        """Answer the deferred receivers after whose call every feed has answered."""
+        if not self._deferred_receivers:
             return
         answered_at = [feed.complete_answer_at for feed in self._feeds if not feed.is_excused]
         all_answered_at = min((at or 0.0 for at in answered_at), default=0.0)
-        for receiver in [connection for connection, at in self._newcomers.items() if at <= all_answered_at]:
-            del self._newcomers[receiver]
+        for receiver in [
+            connection for connection, at in self._deferred_receivers.items() if at <= all_answered_at
+        ]:
+            del self._deferred_receivers[receiver]
             self._schedule_full_answer(receiver)
         for feed in self._feeds:
-            if self._newcomers:
-                feed.check()
+            if self._deferred_receivers:
+                feed.start_catch_up()
 
     def _schedule_full_answer(self, receiver: Receiver) -> None:
         """Send a full answer as soon as the rate limit allows, or refuse the call."""
@@ -465,13 +471,13 @@
         if listener.is_empty and not self._may_be_empty:
             self._refuse(receiver)  # an empty list is probably a fault and must not spread
             return
-        at = (self._sidecar_limiter if listener.is_for_sidecars else self._tier_limiter).reserve(now)
-        if at is None:
+        send_at = (self._sidecar_limiter if listener.is_for_sidecars else self._tier_limiter).reserve(now)
+        if send_at is None:
             self._refuse(receiver)
-        elif at <= now:
+        elif send_at <= now:
             self._send_full(receiver)
         else:
-            receiver.start_timer(at, self._send_full)
+            receiver.start_timer(send_at, self._send_full)
 
     @property
     def _may_be_empty(self) -> bool:
@@ -479,7 +485,7 @@
 
     def _refuse(self, receiver: Receiver) -> None:
         self.refused_calls += 1
-        self._newcomers.pop(receiver, None)
+        self._deferred_receivers.pop(receiver, None)
         receiver.listener.waiting.discard(receiver)
         receiver.send_error(503)
 
@@ -505,7 +511,7 @@
             self._child_summaries.add(summary, self._loop.time())
         elif values:
             self.bad_summaries += 1
-        receiver.is_tier = receiver.is_tier or bool(fields.get_all(CHECK_HEADER.lower()))
+        receiver.is_tier = receiver.is_tier or bool(fields.get_all(CATCH_UP_HEADER.lower()))
 
     def sidecar_progress(self) -> held.SidecarProgress:
         """What the sidecars of this tier and of the tiers below hold, in this tier's sequence numbers."""
@@ -615,7 +621,7 @@
             self._update_completeness()
         if self._propagation.has_pending:
             self._log_propagation(now)
-        self._release_newcomers()
+        self._answer_deferred_receivers()
         if not self._is_isolated and self._has_lost_all_input:
             self._is_isolated = True
             self.log.event(
@@ -663,8 +669,11 @@
         """Whether the only input is a parent that has become silent; a tier with sources always has input."""
         if self.sources or self.parent is None:
             return False
-        at = self.parent.answered_at
-        return at is not None and self._loop.time() - at > self._settings.deaf_ms / 1000.0
+        last_answer_at = self.parent.answered_at
+        return (
+            last_answer_at is not None
+            and self._loop.time() - last_answer_at > self._settings.deaf_ms / 1000.0
+        )
 
     def _refuse_waiting(self, receivers: list[Receiver]) -> None:
         """Refuse the waiting calls of an isolated tier, `BATCH_SIZE` in each loop iteration."""
--- a/larkcrank/tiers/receivers.py
+++ b/larkcrank/tiers/receivers.py
@@ -36,11 +36,12 @@
     ) -> None:
         self.name, self.kind, self.services = name, kind, services
         self.batcher = ChangeBatcher(batch_interval_s)
-        self.changed_seq = 0  # when something that is served here last changed
-        self.receivers: set[Receiver] = set()
-        self.waiting: set[Receiver] = set()
+        self.changed_seq = 0  # sequence number of the last change of something that is served here
+        self.receivers: set[Receiver] = set()  # all open connections
+        self.waiting: set[Receiver] = set()  # those whose call waits for a change
         self.address: tuple[str, int] = ("", 0)
         self._table = table
+        # What the cached responses depend on: generation prefix, sequence number, provisional, stale.
         self._cache_key = (-1, -1, False, False)
         self.reports_stale = False  # in answers to tiers: this tier, or one above it, has lost its parent
         self._cache: dict[int, bytes] = {}  # responses by the sequence number after which they start
--- a/larkcrank/transport/connection.py
+++ b/larkcrank/transport/connection.py
@@ -98,11 +98,11 @@
         return False
 
     def has_peer_closed(self) -> bool:
-        """Return whether the peer has closed the connection, even if its end has not been read yet.
+        """Return whether the peer has closed the connection, even if the end of its data has not been read.
 
-        Unread bytes before the end hide it from a read, but not from poll() with POLLRDHUP. On a system
-        without POLLRDHUP the end stays hidden until they are read. Costs one system call, or two if there
-        are unread bytes.
+        While there are unread bytes, a read returns these and does not show the end; poll() with POLLRDHUP
+        does. On a system without POLLRDHUP the end shows only once the bytes are read. Costs one system call,
+        or two if there are unread bytes.
         """
         if self.closed:
             return True
--- a/tests/test_fleet_lists.py
+++ b/tests/test_fleet_lists.py
@@ -337,8 +337,8 @@
         faulty._replace_list(
             entries, entries, module._ListVersion(rng.randint(0, 3), rng.randint(0, 1000), fleet.now)
         )
-        faulty._direct_generation, faulty._direct_at = faulty.generation, fleet.now
-        faulty._announce_soon = True
+        faulty._direct_generation, faulty._direct_report_at = faulty.generation, fleet.now
+        faulty._announcement_due = True
         fleet.run(rng.choice([200.0, 2000.0]))
         for index in range(4):
             # The other members continue to receive correct answers of discovery.
