--- a/larkcrank/core/interface.py
+++ b/larkcrank/core/interface.py
@@ -51,53 +51,64 @@
 
     @property
     def never_ran(self) -> bool:
+        """Whether the attempt was certainly not executed."""
         return self in (Result.REJECTED, Result.CONNECT_FAILED, Result.NOT_SENT)
 
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
+    """A kind of request, with its target response time and its worth."""
+
     name: str
     effect: Effect
     group: Group
     aim_ms: float  # target response time: an answer within it earns the full worth
-    deadline_ms: float
+    deadline_ms: float  # time from arrival after which the client needs no answer any more
     window_ms: float  # how long the servers deduplicate a keyed request
     worth: float  # points earned by an answer within the target response time
     late_worth: float = 0.0  # share of the worth earned by a later answer, before the deadline
-    streaming: bool = False
-    in_turn: bool = False  # requests with the same key run one at a time, in order of arrival
+    streaming: bool = False  # whether answers are streamed; the first part then counts as the answer
+    in_turn: bool = False  # whether requests with the same key must run one at a time, as they arrived
 
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
+    """A customer whose requests are guaranteed a share of the service."""
+
     name: str
     portion: float  # share of the service that the tenant is entitled to
 
 
 @dataclass(slots=True, frozen=True)
 class Settings:
+    """The settings of one balancer instance."""
+
     classes: tuple[RequestClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    zone: int = 0
+    zone: int = 0  # zone of this instance
     ordinal: int = 0  # position of this instance among all instances, from 0
-    instances: int = 1
+    instances: int = 1  # number of balancer instances
     most: int = 0  # upper bound on the instances that send to the same servers, if known (see `FleetSize`)
-    must_ask: bool = False  # discovery reports changes only to instances that subscribe with `Watch`
-    may_cancel: bool = False
-    may_probe: bool = False
-    second_copies: bool = False  # a second attempt may start while the first is in flight (hedging)
-    retry_after: bool = False  # refusals carry a Retry-After hint
-    max_retry_after_ms: float = 0.0
-    max_attempts: int = 1
-    listed_sizes: bool = True  # sizes in the server list are nominal capacities, not an outdated load
+    must_ask: bool = False  # whether list changes have to be subscribed to with `Watch`
+    may_cancel: bool = False  # whether attempts may be cancelled
+    may_probe: bool = False  # whether probes may be sent to servers
+    second_copies: bool = False  # whether a second attempt may start while the first is in flight (hedging)
+    retry_after: bool = False  # whether refusals carry a Retry-After hint
+    max_retry_after_ms: float = 0.0  # upper bound on this hint
+    max_attempts: int = 1  # maximum number of attempts per request
+    # Whether sizes in the server list are nominal capacities; otherwise they are outdated loads, and ignored.
+    listed_sizes: bool = True
     tick_ms: float = 1.0  # clock resolution: the minimum interval between events
     cold_from: float = 1.0  # a server starts with at least this share of its capacity
     warm_after_ms: float = 0.0  # time from a server's start to its full capacity
-    fall_multiple: float = 1.0  # a cold server fails at more than this multiple of its present capacity,
-    fall_ms: float = 1000.0  # if the overload lasts this long
+    fall_multiple: float = (
+        1.0  # overload that makes a cold server fail, as a multiple of its current capacity
+    )
+    fall_ms: float = 1000.0  # how long the overload must last to make a cold server fail
     key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
-    warm_keys: bool = False  # a server does less work for a key that it has served recently
-    only_draining_binds: bool = False  # gone or unlisted servers may be sent to, draining ones may not
+    warm_keys: bool = False  # whether a server does less work for a key that it has served recently
+    # Whether only draining servers are excluded: requests may then go to gone or unlisted servers as well.
+    only_draining_binds: bool = False
     nines_part: float = 0.0  # weight of availability, as a number of nines, in the users' objective
     nines_full: float = 3.0  # number of nines that earns this weight in full
 
@@ -120,24 +131,27 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
+    """A request has arrived from a client."""
+
     id: int
     class_index: int  # index in `Settings.classes`
     time_left_ms: float  # until the client's deadline
     tenant_index: int = 0  # index in `Settings.tenants`
     key: int = 0  # identifies the object that the request concerns; 0: none
-    cost_ms: float | None = None
-    is_retry: bool = False
-    is_write: bool = False
-    # The body is still arriving and is streamed through; the request's time starts with `Uploaded`.
+    cost_ms: float | None = None  # processing cost, if the transport knows it
+    is_retry: bool = False  # whether the client marks it as a retry
+    is_write: bool = False  # whether the client marks it as a write
+    # Whether the body is still arriving. If so, it is forwarded as it arrives, and the response time and the
+    # deadline count from the `Uploaded` event.
     uploading: bool = False
 
 
 @dataclass(slots=True, frozen=True)
 class Uploaded:
-    """The last byte of a request's body has arrived: response time and deadline count from now."""
+    """The last byte of a request's body has arrived: the response time and the deadline count from now."""
 
     id: int
-    time_left_ms: float
+    time_left_ms: float  # until the client's deadline
 
 
 @dataclass(slots=True, frozen=True)
@@ -152,16 +166,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """How one attempt ended."""
+    """One attempt has ended."""
 
     id: int
     attempt: int  # index of the attempt within the request, from 0
     address: Address
     result: Result
     elapsed_ms: float
-    request_answered: bool  # the client has its final answer
-    load: tuple[float, ...] = ()
-    can_resend: bool = True  # the whole request is still buffered, so that it can be sent again
+    request_answered: bool  # whether the client has received its final answer
+    load: tuple[float, ...] = ()  # load figures reported by the server
+    can_resend: bool = True  # whether the whole request is still buffered, as another attempt requires
 
 
 @dataclass(slots=True, frozen=True)
@@ -173,33 +187,39 @@
 
 @dataclass(slots=True, frozen=True)
 class ServerList:
+    """The server list, or changes to it, has arrived."""
+
     endpoints: tuple[Endpoint, ...]
     complete: bool  # True: the whole list; False: only changed entries
-    cached: bool = False  # not received from discovery itself, possibly outdated
-    revision: int = 0
+    cached: bool = False  # True: not received from discovery itself, possibly outdated
+    revision: int = 0  # version of the list, as discovery counts it
 
 
 @dataclass(slots=True, frozen=True)
 class DiscoveryFailed:
-    """A discovery call failed or the watch connection broke; the current server list stays in force."""
+    """A discovery call failed or the watch connection broke; the known server list remains valid."""
 
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    token: int
+    """The time set by a `SetTimer` action has passed."""
+
+    token: int  # the token of that action
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeResult:
+    """A probe of a server has ended."""
+
     address: Address
     result: Result
     elapsed_ms: float
-    load: tuple[float, ...] = ()
+    load: tuple[float, ...] = ()  # load figures reported by the server
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from another instance, in deployments that allow these. The balancer ignores it."""
+    """A message from another instance, where the deployment allows such messages. The balancer ignores it."""
 
     sender: int
     body: bytes
@@ -207,12 +227,12 @@
 
 @dataclass(slots=True, frozen=True)
 class FleetSize:
-    """Number of instances, as they count themselves, and the position of this one among them."""
+    """The number of balancer instances, counted by themselves, or the position of this one has changed."""
 
     count: int
     ordinal: int  # from 0
-    # Upper bound on the instances that may send to the same servers, at least `count`; also holds while the
-    # count is in doubt.
+    # Upper bound on the number of instances that may send to the same servers; at least `count`. It is valid
+    # even while the instances are uncertain about `count`.
     max_instances: int
 
 
@@ -235,8 +255,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start an attempt. `stop_at_ms` is when to abandon it; 0 means at the client's deadline. It must not
-    begin at or after `begin_by_ms`, however long its connection took to open."""
+    """Start an attempt.
+
+    The transport abandons it at `stop_at_ms`, or at the client's deadline if that is 0. It must send the
+    request before `begin_by_ms` or not at all, even if opening the connection takes long.
+    """
 
     id: int
     address: Address
@@ -246,7 +269,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer to the client: not served, and safe to retry."""
+    """Refuse the request; the client may retry it without harm."""
 
     id: int
     retry_after_ms: float = 0.0
@@ -254,7 +277,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer to the client: failed; the request may have been executed."""
+    """Report to the client that the request failed; it may have been executed."""
 
     id: int
 
@@ -269,11 +292,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
+    """Send a health probe to a server."""
+
     address: Address
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
+    """Deliver a `TimerFired` event with this token after `wait_ms`."""
+
     wait_ms: float
     token: int
 
@@ -282,7 +309,7 @@
 class Watch:
     """Subscribe to changes of the server list, or unsubscribe."""
 
-    subscribe: bool = True
+    subscribe: bool = True  # False: unsubscribe
 
 
 @dataclass(slots=True, frozen=True)
@@ -307,6 +334,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
