--- a/larkcrank/core/balancer.py
+++ b/larkcrank/core/balancer.py
@@ -2,8 +2,12 @@
 
 The types of events and actions are in larkcrank/core/interface.py, the types of its state in
 larkcrank/core/state.py, and the reasons for the design in docs/design.md. Times are milliseconds on the
-caller's clock; rates are per millisecond. "Usual" answer times are long-term averages, "recent" ones follow
-changes faster. The "aim" of a request is its target response time.
+caller's clock; rates are per millisecond. "Usual" answer times are long-term averages; "recent" ones are
+averages over a shorter time. The "aim" of a request is its target response time.
+
+A "miss" is a send that failed or became overdue. A "failing" server is one whose count of failures is not yet
+back at zero. A "window" is the interval at which the send quotas are refilled. Traffic is "sparse" if the
+average server gets less than `SPARSE_SENDS_PER_WINDOW` sends per window.
 """
 
 import bisect
@@ -51,95 +55,107 @@
     Server,
 )
 
-# Send limit of a server or a cell, after CARD. A miss is a send that failed or became overdue.
+# Send limit of a server or a cell, after CARD, an algorithm for client-side rate limiting.
 LIMIT_CUT_SHARE = 0.20  # share of the send rate that one cut removes (beta in CARD)
-LIMIT_RECOVERY_WINDOWS = 10  # windows until the limit is back at M; determines C ("within tens of windows")
-HYSTERESIS_WINDOWS = 2  # minimum number of windows from a rise of the limit to a cut (CARD: 10 ms of 5 ms)
-OBSERVATION_SENDS = 4  # sends to an average server in one observation period: "a few answers"
-MAX_OBSERVATION_MS = 20000.0  # a longer observation period would compare outdated conditions
-
-# Share of a request's slack that the queued requests ahead of it may use up. Beyond it the last request is
-# given up: an early refusal is better than a late one.
+# Windows from a cut until the limit is back at the send rate that caused the cut (CARD: "within tens of
+# windows"). It determines the cubic factor C of CARD.
+LIMIT_RECOVERY_WINDOWS = 10
+HYSTERESIS_WINDOWS = 2  # minimum windows from a rise of the limit to the next cut (CARD: 10 ms / 5 ms)
+OBSERVATION_SENDS = 4  # sends to an average server in one observation period
+MAX_OBSERVATION_MS = 20000.0  # with a longer period, outdated results would count
+
+# The slack of a request is the time left to send it. If the requests queued ahead of it would take more than
+# this share of the slack, the last request in the queue is refused at once, since a client can act on an
+# early refusal better than on a late one.
 QUEUE_SLACK_SHARE = 0.5
 # A request is sent only with at least this many recent answer times left until its target time.
 MIN_TIME_LEFT_ANSWERS = 2.0
-MIN_TIME_LEFT_AIM_SHARE = 0.8  # upper bound on the time that must be left, as a share of the aim
+MIN_TIME_LEFT_AIM_SHARE = 0.8  # upper bound on this required time, as a share of the aim
 
-# The limit is cut if the misses of an observation period exceed both this number and the share below.
+# The limit is cut if the misses of an observation period exceed both the number and the share below.
 ALLOWED_MISSES = 1.5  # misses that chance alone may cause
-ALLOWED_MISS_SHARE = 0.25  # share of a server's sends that may be missed by chance
-CELL_ALLOWED_MISS_SHARE = 0.5  # the same for a cell: with unequal servers, a quarter late is usual
+ALLOWED_MISS_SHARE = 0.25  # share of the sends to a server that may be missed by chance
+# The same for a cell. If its servers are unequal, a quarter of its sends usually become late.
+CELL_ALLOWED_MISS_SHARE = 0.5
 
 # The limit on attempts in flight at all servers together, as a multiple of the usual number in flight.
-LATE_WORTH_IN_FLIGHT_FACTOR = 5.0  # if late answers of some class are worth something
+LATE_WORTH_IN_FLIGHT_FACTOR = 5.0  # if late answers to some class have a worth
 IN_FLIGHT_FACTOR = 3.0  # otherwise
-# Added to this limit for each server, divided among the instances that share the server: the attempts of many
-# instances with sparse traffic add up.
+# Added to this limit for each server. It is divided by the number of instances that use the server, because
+# the attempts of many instances with sparse traffic add up.
 SHARED_IN_FLIGHT_PER_SERVER = 2.0
 # Share of the limit open to requests of the lowest worth; the rest is reserved for requests of higher worth.
 LOW_WORTH_IN_FLIGHT_SHARE = 0.8
 # Allowed chance variation of the number in flight, in standard deviations.
 TOTAL_IN_FLIGHT_DEVIATIONS = 1.5  # at all servers together
 SERVER_IN_FLIGHT_DEVIATIONS = 2.0  # at one server
-# Minimum limit at one server, without the shared part: at a limit of 1, one lost answer would block it.
+# Minimum limit at one server, before `SHARED_IN_FLIGHT_PER_SERVER` is added. With a limit of 1, a single lost
+# answer would block the server.
 MIN_IN_FLIGHT_PER_SERVER = 1.5
 
 # An answer is overdue after this many usual answer times, or after a share of its aim if that is sooner.
 OVERDUE_FACTOR = 4.0
-OVERDUE_AIM_SHARE = 0.5  # the whole aim if a late answer is worth something
+OVERDUE_AIM_SHARE = 0.5  # if late answers have a worth, the whole aim applies instead
 ANSWER_TIME_WEIGHT = 0.05  # weight of one answer in the recent time, and in the usual time if it was faster
-SLOWER_ANSWER_WEIGHT = 0.01  # weight in the usual time if it was slower: queueing must not become usual
+SLOWER_ANSWER_WEIGHT = 0.01  # in the usual time if it was slower; small, so that queueing hardly raises it
 INITIAL_USUAL_AIM_SHARE = 0.2  # usual answer time before the first answer, as a share of the aim
-MAX_RESTORED_RATIO = 2.5  # largest ratio of a restored usual time to the initial one, or the inverse
-# Retry-After of a refusal, as a share of the aim: the retry has to come while an answer has some worth.
+MAX_RESTORED_RATIO = 2.5  # a restored usual time is at most this factor above or below the initial one
+# Retry-After hint of a refusal, as a share of the aim; short, so that an answer to the retry still has worth.
 RETRY_AFTER_AIM_SHARE = 0.25
 
-# Below this many sends per window to an average server, a server's own limit cannot adapt in time.
+# Traffic is sparse below this many sends per window to an average server. A limit of one server then gets too
+# few results to adapt in time.
 SPARSE_SENDS_PER_WINDOW = 0.1
-SPARSE_AVOIDANCE_MS = 30000.0  # avoidance of a late server on sparse traffic: faults last tens of seconds
-STALE_LIST_FAILURES = 2  # if most servers fail this often in a row, the server list is probably outdated
-# A failing server is left alone for 1, 2, 4, ... overdue times, with at most this many doublings.
+# How long a late server is avoided on sparse traffic. Faults last tens of seconds.
+SPARSE_AVOIDANCE_MS = 30000.0
+STALE_LIST_FAILURES = 2  # if most servers have this many failures, the server list is probably outdated
+# After a failure a server gets no requests for up to `OVERDUE_FACTOR` windows. This time doubles with each
+# further failure, at most this many times.
 MAX_BACKOFF_DOUBLINGS = 4
 
 # If there are many instances, each uses only a subset of the servers, of about this size.
 SUBSET_SERVERS = 4
-UNSIZED_SUBSET_SERVERS = 64  # if the list gives no sizes: four servers may all be small ones
-# Minimum number of instances per server: rises with the fleet from the first value to the second.
+UNSIZED_SUBSET_SERVERS = 64  # if the list gives no sizes; a subset of four might have only small servers
+# Minimum number of instances that use each server: the first value in small fleets, rising to the
+# second in large ones.
 MIN_INSTANCES_PER_SERVER = (4, 6)
 MIN_SUBSET_SERVERS = 4  # minimum number of ready servers in a subset
-MAX_SERVERS_EXAMINED = 64  # servers examined for one request per event
+MAX_SERVERS_EXAMINED = 64  # maximum number of servers examined for one request in one event
 
 RETRY_BUDGET_SHARE = 0.2  # allowed retries as a share of the accepted requests
-MAX_RETRY_BUDGET = 10.0  # retries that may accumulate in quiet times
+MAX_RETRY_BUDGET = 10.0  # maximum number of unused retries that the budget accumulates
 
-# Initial load of a cold server, as a share of its guaranteed capacity. The load grows as it answers.
+# A server is cold until `Settings.warm_after_ms` after its start. This is its initial load, as a share of its
+# guaranteed capacity. The load grows with each successful answer.
 COLD_SAFE_SHARE = 0.7
-# Maximum of this load, as a share of the load at which the server fails: even doubled, it does no harm.
+# Maximum load of a cold server, as a share of the load at which it fails; twice this load is still harmless.
 MAX_COLD_LOAD_SHARE = 0.5
 
-RATE_TIME_CONSTANT_MS = 2000.0  # of the rates of requests, sends and answers
-TENANT_TIME_CONSTANT_MS = 5000.0  # of the sends counted for a tenant
+RATE_TIME_CONSTANT_MS = 2000.0  # for the rates of requests, sends and answers
+TENANT_TIME_CONSTANT_MS = 5000.0  # for the sends of each tenant
 
-# Discovery calls are spread over this time per instance: the service handles them in turn, a few per second.
+# The discovery calls of all instances are spread over this time multiplied by the number of instances,
+# because the service handles them one after another, a few per second.
 DISCOVERY_SPREAD_PER_INSTANCE_MS = 150.0
-# Minimum and maximum wait before a discovery call or after a failed one, and the wait for an answer.
+# Minimum and maximum wait before a discovery call or after a failed one, and the time allowed for an answer.
 DISCOVERY_RETRY_MS = (500.0, 5000.0, 8000.0)
 
 MISS_SHARE_WEIGHT = 0.1  # weight of one send in the share of missed sends of its class
-# A class with a higher share of missed sends waits for something behind the servers, and is called stalled,
-# provided that the share of another class is below the second value.
+# A class is called stalled if its share of missed sends is above the first value while that of another class
+# is below the second. The servers then work, and the cause is a system that they depend on for this class.
 STALLED_CLASS_MISS_SHARE = 0.75
 HEALTHY_CLASS_MISS_SHARE = 0.3
 
 # If the list gives no nominal sizes, the size of a machine type is estimated from its answer time.
 MACHINE_TYPE_WEIGHT = 0.02  # weight of one answer in the relative answer time of a machine type
 SIZE_UPDATE_INTERVAL_MS = 1000.0
-SIZE_EXPONENT = 2.0  # the size falls with this power of the relative answer time
-# Largest ratio of an estimated size to the mean, or the inverse: a congested server is not a small one.
+SIZE_EXPONENT = 2.0  # the estimated size is the relative answer time to the negative power of this
+# An estimated size is at most this factor above or below the mean, because slow answers may
+# come from congestion and not from a small server.
 MAX_SIZE_RATIO = 2.0
 
-MAX_TURNS_AHEAD = 4  # turns that a server may use in advance for keys that prefer it
-HOME_SERVERS = 2  # number of servers that a key prefers, in order
+MAX_TURNS_AHEAD = 4  # round-robin turns that a server may use in advance, for keys that prefer it
+HOME_SERVERS = 2  # number of servers that an affinity key prefers
 MIN_UNLISTED_KEPT = 16  # unlisted servers kept: at least this many, or as many as are listed
 # After these results, the server may still be executing the attempt.
 MAY_STILL_RUN = (Result.TIMEOUT, Result.RESET, Result.CANCELLED)
@@ -155,7 +171,7 @@
 ) -> None:
     """Count one send as answered in time or missed."""
     if missed and sent_at < limiter.event_at:
-        return  # The last cut already accounts for sends before it: one overload episode causes one cut.
+        return  # Sends before the last cut are part of the overload that it responded to.
     limiter.settled.add(now, observation_ms)
     if missed:
         limiter.missed.add(now, observation_ms)
@@ -163,20 +179,21 @@
 
 
 def update_limit(limiter: RateLimiter, now: float, window_ms: float, observation_ms: float) -> None:
-    """Cut the limit if too many sends were missed; otherwise let it rise along the cubic curve."""
+    """Cut the limit if too many sends were missed; otherwise raise it along the cubic curve."""
     allowed_misses = max(ALLOWED_MISSES, limiter.share * limiter.settled.decayed(now, observation_ms))
     if limiter.missed.decayed(now, observation_ms) > allowed_misses:
         if now - limiter.rose_at > HYSTERESIS_WINDOWS * window_ms:
             rate = min(limiter.sends.rate(now, max(observation_ms, RATE_TIME_CONSTANT_MS)), limiter.limit)
-            # The send rate that proved too high (M in CARD). Its time constant is longer than a pause in
-            # sending, and the rate is at least one send per observation period.
+            # The send rate that proved too high (M in CARD). It is averaged over a longer time than a pause
+            # in sending, and is at least one send per observation period.
             limiter.saturated = max(rate, 1 / observation_ms)
             limiter.limit = (1 - LIMIT_CUT_SHARE) * limiter.saturated
             limiter.event_at = limiter.rose_at = now
             limiter.settled, limiter.missed = DecayingCounter(now), DecayingCounter(now)
     elif limiter.limit < math.inf:
-        # The cubic curve of CARD, C * (t - K) ** 3 + M, rises from the reduced limit at the time of the cut
-        # (t = 0) and is back at the saturated rate M after t = K, here `recovery_ms`.
+        # The cubic curve of CARD is C * (t - K) ** 3 + M, where t is the time since the cut and M the rate
+        # that proved too high. It starts at the reduced limit (t = 0) and reaches M at t = K, here
+        # `recovery_ms`.
         recovery_ms = LIMIT_RECOVERY_WINDOWS * window_ms
         cubic_factor = LIMIT_CUT_SHARE * limiter.saturated / recovery_ms**3  # C
         limiter.limit = cubic_factor * (now - limiter.event_at - recovery_ms) ** 3 + limiter.saturated
@@ -194,41 +211,47 @@
 
 
 class Balancer:
-    """Weighted round-robin over servers whose send rates are limited along a cubic curve."""
+    """Distributes requests over the servers by weighted round-robin, within adaptive send limits."""
 
     def __init__(self, settings: Settings, rng: Random, now: float) -> None:
         self._settings, self._rng, self._now = settings, rng, now
         self._actions: list[Action] = []
         self._cell_limiters: dict[int, RateLimiter] = {}
-        self._servers: dict[Address, Server] = {}  # every listed server, also draining ones
+        self._servers: dict[Address, Server] = {}  # all known servers, also draining and unlisted ones
         self._ring: list[Server] = []  # ready servers of the subset, in round-robin order
-        self._next_index = rng.randrange(1 << 16)  # random start, so that instances do not move in step
+        # Where the search for the next server begins; random at first, so that the instances do not all send
+        # to the same server.
+        self._next_index = rng.randrange(1 << 16)
         self._requests: dict[int, PendingRequest] = {}
         self._queue: list[PendingRequest] = []  # requests that wait for quota, by priority
-        # By request and attempt index: sent completely, still without an outcome.
+        # Attempts sent completely and still without an outcome, by request id and attempt index.
         self._owed_attempts: dict[tuple[int, int], Attempt] = {}
-        # By ordering key, as long as the key has requests, orphaned attempts or a quiet time.
+        # By ordering key. A queue exists as long as the key has requests, orphaned attempts or a quiet time.
         self._key_queues: dict[int, KeyQueue] = {}
-        # Ordering keys of attempts in flight whose requests are closed.
+        # Ordering keys of orphaned attempts, by request id and attempt index. An attempt is orphaned if it is
+        # in flight although its request is closed.
         self._orphaned_attempts: dict[tuple[int, int], int] = {}
         self._ready_keys: list[int] = []  # ordering keys whose first request may be able to run now
-        # Heap of (due time, sequence number, kind, subject). "backstop" and "turn" end the wait of a request,
-        # "overdue" counts an attempt as missed, "rest" ends the quiet time of a key, "window" retries the
-        # queue, "ask" calls discovery, and "fetch" fetches the whole server list once.
+        # Heap of (due time, sequence number, kind, subject). "backstop" gives up a request shortly before its
+        # deadline, "turn" gives up one that waited too long for its ordering key, "overdue" counts an attempt
+        # as missed, "rest" ends the quiet time of a key, "window" retries the queue, "ask" calls discovery,
+        # and "fetch" fetches the whole server list once.
         self._timers: list[tuple[float, int, str, object]] = []
         self._timer_sequence, self._timer_at, self._timer_token = 0, math.inf, 0
-        # The following lists are indexed by class.
+        # The following lists have one element per class.
         self._usual_ms = [
             request_class.aim_ms * INITIAL_USUAL_AIM_SHARE for request_class in settings.classes
         ]
         self._recent_ms = list(self._usual_ms)
         self._miss_shares = [0.0] * len(settings.classes)  # share of recent sends that were missed
-        self._stalled_classes: set[int] = set()  # classes that are missed at every server
+        self._stalled_classes: set[int] = set()  # classes mostly missed while another class is not
         self._arrivals, self._sends, self._timely_answers = (
             DecayingCounter(now),
             DecayingCounter(now),
             DecayingCounter(now),
         )
+        # Estimates from this instance's traffic; `_update_estimates` sets them before each event is handled.
+        # `_even_rate`: requests per millisecond for each server if they were divided evenly.
         self._window_ms = self._even_rate = self._observation_ms = self._usual_in_flight_per_server = (
             self._max_in_flight
         ) = self._usual_in_flight = 1.0
@@ -257,7 +280,8 @@
         """Process one event and return the actions to carry out."""
         self._actions, late_ms, self._now = [], now - max(self._timer_at, self._now), now
         self._update_estimates()
-        # After a stall of this process, shift the limit curves by its length, and let no quota accumulate.
+        # If this process was stopped for longer than a window, the limits do not rise for that time, and the
+        # quotas do not grow.
         if late_ms > self._window_ms:
             for limiter in [
                 *self._cell_limiters.values(),
@@ -279,7 +303,7 @@
                 self._schedule_discovery_call(self._discovery_wait_ms * self._rng.random())
             case ClientGone():
                 self._remove_request(event.id)
-            case StreamStarted():  # Counts as the answer: the client's reading time is not the server's.
+            case StreamStarted():  # Counts as the answer, because the rest takes as long as the client reads.
                 request = self._requests.get(event.id)
                 request_id, elapsed_ms = event.id, event.elapsed_ms
                 self._handle_outcome(
@@ -298,7 +322,7 @@
                 for attempt_index, attempt in request.in_flight.items():
                     attempt.sent_at = self._now
                     self._start_owing(request, attempt_index, attempt)
-            case FleetSize():  # The subsets change with the fleet size, so that every server stays in use.
+            case FleetSize():  # The subset depends on the number of instances.
                 self._settings = replace(
                     self._settings, instances=event.count, ordinal=event.ordinal, most=event.max_instances
                 )
@@ -311,31 +335,33 @@
         self._run_due_timers()
         self._release_ready_keys()
         self._send_queued()
-        while self._ready_keys:  # Requests given up above may have unblocked later ones with the same key.
+        while self._ready_keys:  # A request given up above may have unblocked the next one with its key.
             self._release_ready_keys()
             self._send_queued()
         self._arm_timer()
         return self._actions
 
     def usual_answer_times(self) -> tuple[float, ...]:
-        """The usual answer time of each class, in the order of the settings, to be kept across a restart."""
+        """The usual answer time of each class, in the order of the settings, to be saved for a restart."""
         return tuple(self._usual_ms)
 
     def restore_answer_times(self, usual_ms: Mapping[int, float]) -> None:
-        """Start from saved usual answer times, by class index. They are kept near the initial values, so that
-        misleading ones do little harm."""
-        for class_index, value in usual_ms.items():
-            initial = INITIAL_USUAL_AIM_SHARE * self._settings.classes[class_index].aim_ms
+        """Start from saved usual answer times, by class index. Values far from the initial ones are limited,
+        so that misleading ones do little harm."""
+        for class_index, saved_ms in usual_ms.items():
+            initial_ms = INITIAL_USUAL_AIM_SHARE * self._settings.classes[class_index].aim_ms
             self._usual_ms[class_index] = min(
-                max(value, initial / MAX_RESTORED_RATIO), initial * MAX_RESTORED_RATIO
+                max(saved_ms, initial_ms / MAX_RESTORED_RATIO), initial_ms * MAX_RESTORED_RATIO
             )
 
     def export_state(self) -> HandoverState:
         """The state from which the next process of this instance continues."""
         rates = [self._arrivals, self._sends, self._timely_answers, *self._tenant_sends]
         servers = [replace(server, owes=[]) for server in self._servers.values()]
-        known = self._mean_worth, self._requests_accepted, self._retry_budget, self._next_index
-        return HandoverState(self._usual_ms, self._recent_ms, rates, known, self._cell_limiters, servers)
+        mean_and_counts = self._mean_worth, self._requests_accepted, self._retry_budget, self._next_index
+        return HandoverState(
+            self._usual_ms, self._recent_ms, rates, mean_and_counts, self._cell_limiters, servers
+        )
 
     def import_state(self, state: HandoverState) -> None:
         """Continue from the state of the previous process of this instance; call before the first event."""
@@ -353,13 +379,14 @@
         self._schedule(self._discovery_call_at, "ask")
 
     def _arm_timer(self) -> None:
-        """Set the transport's timer if the next due time is earlier than the one set."""
+        """Request a timer event if the next due time is earlier than the timer already requested."""
         if self._timers and self._timers[0][0] < self._timer_at:
             self._timer_at = max(self._timers[0][0], self._now)
             self._timer_token += 1
             self._actions.append(SetTimer(self._timer_at - self._now, self._timer_token))
 
     def _run_due_timers(self) -> None:
+        """Process the timers that are due; `_timers` describes their kinds."""
         while self._timers and self._timers[0][0] <= self._now:
             due_at, _, kind, subject = heapq.heappop(self._timers)
             if isinstance(subject, PendingRequest) and self._requests.get(subject.id) is subject:
@@ -367,7 +394,7 @@
                 if due_at >= expires_at and not (subject.uploading and subject.in_flight):
                     self._give_up(subject)
             elif isinstance(subject, tuple) and (attempt := self._owed_attempts.get(subject)) is not None:
-                # If this process is late itself, the answer may have arrived but not been handled yet.
+                # If this process is late with the timer, an answer may have arrived and not been handled yet.
                 if due_at < self._now - self._window_ms:
                     self._schedule(self._now + 2 * self._settings.tick_ms, kind, subject)
                 else:
@@ -395,23 +422,26 @@
         self._usual_in_flight = usual_in_flight = self._timely_answers.rate(
             self._now, RATE_TIME_CONSTANT_MS
         ) * max(sum(answer_times) / len(answer_times), self._window_ms)
-        shared = SHARED_IN_FLIGHT_PER_SERVER / self._instances_per_server
+        shared_in_flight = SHARED_IN_FLIGHT_PER_SERVER / self._instances_per_server
         has_late_worth = any(request_class.late_worth for request_class in self._settings.classes)
         max_in_flight = (
             LATE_WORTH_IN_FLIGHT_FACTOR if has_late_worth else IN_FLIGHT_FACTOR
         ) * usual_in_flight
-        # In a small fleet a burst here is a burst of the whole fleet, so only large fleets get this bound.
+        # A number in flight far above chance variation is limited only in large fleets. In a small fleet, a
+        # burst of requests at one instance is a burst of the whole fleet and has to be served.
         if not has_late_worth and self._settings.instances > MIN_INSTANCES_PER_SERVER[0]:
             max_in_flight = min(
                 max_in_flight, usual_in_flight + TOTAL_IN_FLIGHT_DEVIATIONS * math.sqrt(usual_in_flight)
             )
-        self._max_in_flight = max(max_in_flight + shared * ready_count, 1.0)
-        # The minimum is the mean m for which m + 2 * sqrt(m), the limit at one server, is the least limit.
+        self._max_in_flight = max(max_in_flight + shared_in_flight * ready_count, 1.0)
+        # The limit at one server is m + 2 * sqrt(m), where m is its usual number in flight. The lower bound
+        # on m is chosen so that this limit is at least the minimum limit.
         self._usual_in_flight_per_server = max(
-            usual_in_flight / ready_count, (math.sqrt(MIN_IN_FLIGHT_PER_SERVER + shared + 1.0) - 1.0) ** 2
+            usual_in_flight / ready_count,
+            (math.sqrt(MIN_IN_FLIGHT_PER_SERVER + shared_in_flight + 1.0) - 1.0) ** 2,
         )
-        # On sparse traffic a server's own limit gets too few sends to adapt. The limit of its cell, the first
-        # late answer and the listed sizes are used in its place.
+        # On sparse traffic a limit of one server gets too few sends to adapt. Instead, the limit of the cell
+        # applies, a server is avoided after its first late answer, and turns follow the server sizes.
         self._is_sparse = self._even_rate * self._window_ms < SPARSE_SENDS_PER_WINDOW
         self._use_sizes = self._is_sparse or not self._settings.listed_sizes
         if not self._settings.listed_sizes and self._now >= self._sizes_updated_at + SIZE_UPDATE_INTERVAL_MS:
@@ -423,7 +453,7 @@
         )
 
     def _latest_send_time(self, request: PendingRequest) -> float:
-        """Time after which an answer would probably miss the target time."""
+        """Time after which it is too late to send: the answer would probably miss its target time."""
         min_time_left_ms = min(
             MIN_TIME_LEFT_ANSWERS * self._recent_ms[request.class_index],
             MIN_TIME_LEFT_AIM_SHARE * request.request_class.aim_ms,
@@ -431,21 +461,24 @@
         return math.inf if request.uploading else request.aim_at - min_time_left_ms
 
     def _limiter_for(self, server: Server) -> RateLimiter:
-        """The limit in force: the server's own, or on sparse traffic, where that cannot adapt, its cell's."""
+        """The limit that applies: the server's own, or on sparse traffic that of its cell."""
         return self._cell_limiters[server.endpoint.cell] if self._is_sparse else server.brake
 
     def _can_accept(self, server: Server) -> bool:
         """Whether a request may be sent to this server now."""
         if self._now < server.benched_until:
             return False
-        usual = self._usual_in_flight_per_server * (server.size if self._is_sparse else 1.0)
-        owed = (
+        usual_in_flight = self._usual_in_flight_per_server * (server.size if self._is_sparse else 1.0)
+        owed_count = (
             sum(attempt.index not in self._stalled_classes for attempt in server.owes)
             if self._stalled_classes
             else len(server.owes)
         )
-        # A failing server gets one attempt at a time; others get no more than chance variation explains.
-        if owed and (server.fails or owed + 1 > usual + SERVER_IN_FLIGHT_DEVIATIONS * math.sqrt(usual)):
+        # A failing server gets one attempt at a time, any other its usual number plus chance variation.
+        if owed_count and (
+            server.fails
+            or owed_count + 1 > usual_in_flight + SERVER_IN_FLIGHT_DEVIATIONS * math.sqrt(usual_in_flight)
+        ):
             return False
         limiter = self._limiter_for(server)
         return self._has_cold_credit(server) and has_quota(
@@ -453,14 +486,17 @@
         )
 
     def _has_cold_credit(self, server: Server) -> bool:
-        """Rule 4: a cold server gets only the part of its even load that it can certainly handle."""
+        """Whether the additional quota of a cold server allows a send. A cold server must not get more than
+        it can certainly handle, which is a part of its even share of the load."""
         cold_ms = self._settings.warm_after_ms - (self._now - server.endpoint.started_at)
         if cold_ms <= 0 or not server.endpoint.started_at:
             return True
-        guaranteed = 1 - (1 - self._settings.cold_from) * min(cold_ms / self._settings.warm_after_ms, 1.0)
+        guaranteed_share = 1 - (1 - self._settings.cold_from) * min(
+            cold_ms / self._settings.warm_after_ms, 1.0
+        )
         load_share = max(
-            COLD_SAFE_SHARE * guaranteed,
-            min(server.warmth, MAX_COLD_LOAD_SHARE * self._settings.fall_multiple * guaranteed),
+            COLD_SAFE_SHARE * guaranteed_share,
+            min(server.warmth, MAX_COLD_LOAD_SHARE * self._settings.fall_multiple * guaranteed_share),
         )
         return (
             server.refill_cold_credit(
@@ -471,7 +507,7 @@
 
     def _pick_server(self, request: PendingRequest) -> Server | None:
         """The server for this request: a home server of its key, or else the next one in round-robin order
-        that has quota and may receive it. The first usable one that is not preferred is the fallback."""
+        that has quota and may receive it. If none is preferred, the first usable one is the fallback."""
         ring_size, fallback_index, turns_used = len(self._ring), -1, list[Server]()
         for server in self._home_servers(request):
             if (
@@ -489,7 +525,7 @@
                 server.passed = server.passed % 1.0 + (
                     server.size / self._largest_size if self._use_sizes else 1.0
                 )
-                if server.ahead and server.passed >= 1.0:  # This turn was used in advance.
+                if server.ahead and server.passed >= 1.0:  # This turn has been used in advance.
                     turns_used.append(server)
                     fallback_index = index if fallback_index < 0 else fallback_index
                     continue
@@ -514,7 +550,8 @@
         )
 
     def _home_servers(self, request: PendingRequest) -> list[Server]:
-        """The servers that the key prefers: the same at every instance; larger servers have more keys."""
+        """The servers that the affinity key prefers, best first. Instances with the same servers in use agree
+        on them, and larger servers are preferred by more keys."""
         if not request.affinity_key:
             return []
         return heapq.nlargest(
@@ -524,19 +561,23 @@
         )
 
     def _may_send_to(self, request: PendingRequest, server: Server) -> bool:
-        """Rule 2: a request that may have been executed is repeated only where that is harmless: a safe one
-        anywhere, a keyed one in the group of servers that deduplicates it."""
+        """Whether this server may receive the request. One that may have been executed must be repeated only
+        where that is harmless: a safe one anywhere, a keyed one in the group that deduplicates it."""
         if request.first_possible_run is None or request.request_class.effect is Effect.SAFE:
             return True
         if self._now + self._settings.tick_ms >= request.latest_repeat_at:
             return False
-        first, candidate, group = (
+        first_endpoint, candidate_endpoint, dedup_group = (
             request.first_possible_run.server.endpoint,
             server.endpoint,
             request.request_class.group,
         )
-        same_group = first.zone == candidate.zone if group is Group.ZONE else first.cell == candidate.cell
-        return same_group or group is Group.ALL
+        same_group = (
+            first_endpoint.zone == candidate_endpoint.zone
+            if dedup_group is Group.ZONE
+            else first_endpoint.cell == candidate_endpoint.cell
+        )
+        return same_group or dedup_group is Group.ALL
 
     def _accept_request(self, event: Request) -> None:
         request_class, tenant_index = (
@@ -560,8 +601,8 @@
             self._enqueue(request)
 
     def _enqueue_for_key(self, request: PendingRequest, key: int) -> None:
-        """Rule 5: requests with the same key run one at a time, in order of arrival. A request that would
-        probably wait too long for its turn is given up at once."""
+        """Add a request whose key requires that its requests run one at a time, in order of arrival. If it
+        would probably wait too long for its turn, it is given up at once."""
         key_queue = self._key_queues.setdefault(key, KeyQueue())
         key_queue.requests.append(request)
         request.ordering_key, request.waits_for_turn = key, True
@@ -573,12 +614,13 @@
             self._give_up(request)
 
     def _schedule_turn_timeout(self, request: PendingRequest) -> None:
+        """Give up the request if it still waits for its turn at its latest send time."""
         request.latest_send_at = self._latest_send_time(request)
         if request.latest_send_at < math.inf:
             self._schedule(request.latest_send_at, "turn", request)
 
     def _release_ready_keys(self) -> None:
-        """Enqueue the first request of each key that may run now, and drop the queues that have no state."""
+        """Enqueue the first request of each key that may run now, and remove the empty key queues."""
         ready_keys, self._ready_keys = self._ready_keys, []
         for key in ready_keys:
             key_queue = self._key_queues.get(key)
@@ -591,7 +633,7 @@
                 self._enqueue(key_queue.requests[0])
 
     def _set_deadlines(self, request: PendingRequest, time_left_ms: float, uploading: bool = False) -> None:
-        """Start the request's time now; called again when a body that is still arriving is complete."""
+        """Count response time and deadline from now: on arrival, and again once the body is complete."""
         deadline, request.uploading = self._now + time_left_ms, uploading
         request.aim_at = (
             deadline
@@ -602,9 +644,9 @@
         self._schedule(request.give_up_at, "backstop", request)
 
     def _enqueue(self, request: PendingRequest) -> None:
-        """Queue a request by priority: first those of tenants within their share, then by worth, then by the
-        time left to send. If the queue has become too long, its last request is given up."""
-        # The few requests of a stalled class that are let through show when the class has recovered.
+        """Insert a request into the queue: tenants within their share come first, then higher worth, then the
+        earlier latest send time. If the queue has become too long, its last request is given up."""
+        # A few requests of a stalled class are still sent, to find out when the class has recovered.
         if request.class_index in self._stalled_classes and self._is_at_in_flight_limit(request):
             self._give_up(request)
             return
@@ -626,8 +668,8 @@
         queued, self._queue, no_quota_left = self._queue, [], False
         remaining: list[PendingRequest] = []
         for request in queued:
-            # An instance with sparse traffic hardly ever has a queue to order by worth; the limit on attempts
-            # in flight, which depends on the worth, has to select the requests.
+            # With sparse traffic the queue is usually empty, so its order by worth has no effect. The limit
+            # on attempts in flight therefore depends on the worth as well.
             is_at_limit = self._is_at_in_flight_limit(request)
             server = None if no_quota_left or is_at_limit else self._pick_server(request)
             if server is not None:
@@ -646,7 +688,7 @@
             self._schedule(self._queue_retry_at, "window")
 
     def _is_at_in_flight_limit(self, request: PendingRequest) -> bool:
-        """Whether the limit on attempts in flight at all servers together, by worth, leaves no room."""
+        """Whether the attempts in flight at all servers have reached the limit for this request's worth."""
         owed_classes = (
             [attempt.index for attempt in self._owed_attempts.values()] if self._stalled_classes else []
         )
@@ -654,10 +696,10 @@
             return owed_classes.count(request.class_index) >= max(
                 self._usual_in_flight / len(self._usual_ms), 1.0
             )
-        owed = len(self._owed_attempts) - sum(
+        owed_count = len(self._owed_attempts) - sum(
             class_index in self._stalled_classes for class_index in owed_classes
         )
-        return owed >= max(
+        return owed_count >= max(
             self._max_in_flight
             * max(request.request_class.worth / (self._mean_worth or 1.0), LOW_WORTH_IN_FLIGHT_SHARE),
             1.0,
@@ -683,7 +725,7 @@
         """From now on the server owes an answer to this attempt, which becomes overdue after some time."""
         self._owed_attempts[request.id, attempt_index] = attempt
         attempt.server.owes.append(attempt)
-        # With a larger share, too little time would be left for a retry.
+        # With the whole aim, too little time would be left for a retry.
         aim_share = 1.0 if request.request_class.late_worth else OVERDUE_AIM_SHARE
         overdue_after_ms = min(
             OVERDUE_FACTOR * self._usual_ms[request.class_index], aim_share * request.request_class.aim_ms
@@ -741,6 +783,7 @@
         )
 
     def _extend_quiet_time(self, key_queue: KeyQueue, key: int, quiet_until: float) -> None:
+        """Block the ordering key until `quiet_until`, because an attempt may still be running."""
         key_queue.quiet_until = max(key_queue.quiet_until, quiet_until)
         if key_queue.quiet_until > self._now:
             self._schedule(key_queue.quiet_until, "rest", key)
@@ -760,7 +803,7 @@
                 if miss_share > STALLED_CLASS_MISS_SHARE and some_class_healthy
             }
             if attempt.index in self._stalled_classes:
-                return  # The cause is behind the servers, so no limit is cut.
+                return  # The servers are not the cause, so no limit is cut.
             if not missed:
                 self._timely_answers.add(self._now, RATE_TIME_CONSTANT_MS)
             record_send_result(
@@ -773,12 +816,13 @@
             )
 
     def _handle_outcome(self, event: Outcome) -> None:
+        """Learn from the outcome of an attempt; then close, retry or give up its request."""
         attempt, request = (
             self._owed_attempts.pop((event.id, event.attempt), None),
             self._requests.get(event.id),
         )
         in_flight = request.in_flight.pop(event.attempt, None) if request is not None else None
-        attempt = attempt or in_flight  # not yet owed if the body of the request was still arriving
+        attempt = attempt or in_flight  # not in `_owed_attempts` if the request's body was still arriving
         quiet_until = self._now + self._settings.key_quiet_ms if event.result in MAY_STILL_RUN else -math.inf
         if key := self._orphaned_attempts.pop((event.id, event.attempt), 0):
             self._key_queues[key].orphaned_attempts -= 1
@@ -828,14 +872,14 @@
             server.warmth /= 2
         if failed:
             server.spared.clear()
-            # A reset says nothing about speed, so it counts as a miss only on sparse traffic.
+            # A reset does not show that the server is slow, so it counts as a miss only on sparse traffic.
             self._record_result(attempt, event.result is not Result.RESET or self._is_sparse)
             server.fails += 1
             if server.fails == MAX_BACKOFF_DOUBLINGS:  # An unlisted server leaves the ring now.
                 self._rebuild_ring()
-            failing = sum(other.fails >= STALE_LIST_FAILURES for other in self._ring)
-            # Most servers are not as listed: the list may be outdated because the watch connection is dead.
-            if failing * 2 > len(self._ring) > 1 and now >= self._next_fetch_at:
+            failing_count = sum(other.fails >= STALE_LIST_FAILURES for other in self._ring)
+            # If most servers fail, the list may be outdated, because the watch connection is dead.
+            if failing_count * 2 > len(self._ring) > 1 and now >= self._next_fetch_at:
                 self._next_fetch_at = now + DISCOVERY_RETRY_MS[1]
                 self._schedule(now + self._rng.random() * self._discovery_spread_ms, "fetch")
             if server.fails == MAX_BACKOFF_DOUBLINGS:
@@ -845,17 +889,17 @@
             server.fails //= 2
             server.warmth = min(max(server.warmth, 1 - COLD_SAFE_SHARE) / COLD_SAFE_SHARE, 1.0)
             server.spared.pop(attempt.index, None)
-            # An overdue attempt that was sent no later than the one just answered was lost on its connection;
-            # the server is not working on it any more.
+            # An overdue attempt that was sent no later than the one just answered is taken as lost on its
+            # connection, so the server no longer owes an answer to it.
             server.owes = [owed for owed in server.owes if not owed.missed or owed.sent_at > attempt.sent_at]
             if request is not None:
                 if not self._settings.listed_sizes:
                     relative_time = event.elapsed_ms / max(
                         self._recent_ms[request.class_index], self._settings.tick_ms
                     )
-                    known_time = self._machine_type_times.setdefault(server.endpoint.kind, 1.0)
-                    self._machine_type_times[server.endpoint.kind] = known_time + MACHINE_TYPE_WEIGHT * (
-                        relative_time - known_time
+                    previous_time = self._machine_type_times.setdefault(server.endpoint.kind, 1.0)
+                    self._machine_type_times[server.endpoint.kind] = previous_time + MACHINE_TYPE_WEIGHT * (
+                        relative_time - previous_time
                     )
                 self._recent_ms[request.class_index] += ANSWER_TIME_WEIGHT * (
                     event.elapsed_ms - self._recent_ms[request.class_index]
@@ -866,7 +910,8 @@
                 ) * difference_ms
 
     def _handle_server_list(self, event: ServerList) -> None:
-        # A list that was fetched while no watch call was open is no answer to a watch call.
+        """Add, update and remove servers as listed, and rebuild the ring."""
+        # Only a list that arrives while a watch call is open, and is not cached, is the answer to that call.
         if self._awaits_list and not event.cached:
             self._discovery_call_at, self._discovery_wait_ms = (
                 math.inf,
@@ -894,15 +939,15 @@
                 self._servers[endpoint.address] = server
             else:
                 known_server.endpoint, known_server.listed = endpoint, True
-        unlisted = [known for known, server in self._servers.items() if not server.listed]
-        # Drop the oldest: otherwise unlisted servers would accumulate without bound as a fleet is replaced.
+        unlisted = [known_address for known_address, server in self._servers.items() if not server.listed]
+        # Remove the oldest unlisted servers; their number would grow with every replaced server otherwise.
         for address in unlisted[: -max(len(self._servers) - len(unlisted), MIN_UNLISTED_KEPT)]:
             del self._servers[address]
         self._rebuild_ring()
 
     def _unlist(self, address: Address) -> None:
-        """Remove a server. If only draining binds, keep one that was ready: its own answers show whether it
-        is still usable."""
+        """Remove a server that is gone or not listed any more. If only draining servers are excluded from
+        use, a ready one is kept, and its answers show whether it is still usable."""
         server = self._servers.get(address)
         if server is None:
             return
@@ -912,13 +957,14 @@
 
     def _rebuild_ring(self) -> None:
         """Choose the servers in use and their round-robin order."""
-        # `place` is random, so each instance of the sidecar has another order. A skipped server's turns go to
-        # the server after it; with one common order, that server would get them from all instances.
+        # `place` is random, so the instances have different orders. The turns of a server that cannot accept
+        # go to the next in order. With the same order everywhere, one server would get them from all
+        # instances.
         self._ring = sorted(self._choose_subset(), key=lambda server: server.place)
         self._update_sizes()
 
     def _update_sizes(self) -> None:
-        """Set the sizes relative to the mean, as listed or as estimated for each machine type."""
+        """Set each server's size relative to the mean, as listed or as estimated for its machine type."""
         self._sizes_updated_at, sizes = self._now, [server.endpoint.size for server in self._ring]
         if not self._settings.listed_sizes:
             relative_times = [
@@ -929,23 +975,23 @@
                 min(max(relative_time**-SIZE_EXPONENT, 1 / MAX_SIZE_RATIO), MAX_SIZE_RATIO)
                 for relative_time in relative_times
             ]
-        total = sum(sizes)
+        total_size = sum(sizes)
         for server, size in zip(self._ring, sizes, strict=True):
-            server.size = size * len(sizes) / total
+            server.size = size * len(sizes) / total_size
         self._largest_size = max((server.size for server in self._ring), default=1.0)
 
     def _new_limiter(self, allowed_miss_share: float) -> RateLimiter:
         return RateLimiter(
             self._now,
             DecayingCounter(self._now),  # all sends
-            DecayingCounter(self._now),  # sends answered in time or missed
-            DecayingCounter(self._now),  # missed sends
+            DecayingCounter(self._now),  # sends answered in time or missed, since the last cut
+            DecayingCounter(self._now),  # missed sends, since the last cut
             allowed_miss_share,
         )
 
     def _choose_subset(self) -> list[Server]:
-        """The ready servers that this instance uses: all of them, or a subset if many instances and many
-        servers are present."""
+        """The ready servers that this instance uses: all of them, or a subset if there are many instances and
+        many servers."""
         ready = [server for server in self._servers.values() if server.endpoint.state is State.READY]
         ready = [server for server in ready if server.listed or server.fails < MAX_BACKOFF_DOUBLINGS] or ready
         instance_count, server_count = max(self._settings.instances, 1), len(ready)
@@ -960,26 +1006,29 @@
         self._instances_per_server = float(max(instance_count, self._settings.most))
         if instances_per_server >= instance_count or server_count <= MIN_SUBSET_SERVERS:
             return ready
-        # The servers are ordered on a circle, and each subset is a run of neighbours. Every server is then in
-        # about the same number of subsets, and a changed list only moves the ends of the runs.
+        # The servers are ordered in a circle, and a subset consists of consecutive ones, from a position that
+        # depends on the instance. Every server is then in about the same number of subsets, and a change of
+        # the list only shifts where the subsets begin and end.
         keep_cells_together = any(
             request_class.effect is Effect.KEYED and request_class.group is Group.CELL
             for request_class in self._settings.classes
         )
         cell_order = {
-            member.endpoint.cell: zlib.crc32(b"%d" % member.endpoint.cell) if keep_cells_together else 0
-            for member in ready
+            ready_server.endpoint.cell: zlib.crc32(b"%d" % ready_server.endpoint.cell)
+            if keep_cells_together
+            else 0
+            for ready_server in ready
         }
         ready.sort(key=lambda server: (cell_order[server.endpoint.cell], server.mark))
         subset_size = max(round(instances_per_server * server_count / instance_count), MIN_SUBSET_SERVERS)
-        first, subset, warm_count = (
+        first_index, subset, warm_count = (
             self._settings.ordinal * server_count // instance_count,
             list[Server](),
             0,
         )
         # Cold servers do not count towards the size of the subset, because they take hardly any load.
         while warm_count < subset_size and len(subset) < server_count:
-            subset.append(ready[(first + len(subset)) % server_count])
+            subset.append(ready[(first_index + len(subset)) % server_count])
             started_at = subset[-1].endpoint.started_at
             warm_count += not started_at or self._now - started_at >= self._settings.warm_after_ms
         self._instances_per_server = max(
--- a/larkcrank/core/state.py
+++ b/larkcrank/core/state.py
@@ -1,8 +1,8 @@
 """The data types of the balancer's state. The decisions are made in balancer.py.
 
 All times are milliseconds on the caller's clock; all rates are sends per millisecond. `HandoverState` and the
-objects in it are encoded under their field names for the next process of the same instance, so the
-field names must not change.
+objects in it are encoded under their field names for the next process of the same instance, so the field
+names must not change.
 """
 
 import math
--- a/larkcrank/simwire/__main__.py
+++ b/larkcrank/simwire/__main__.py
@@ -8,6 +8,7 @@
 
 
 def main() -> int:
+    """Serve the simulator until the input ends. Returns the exit code: 0, or 2 if the input is malformed."""
     gc.freeze()  # excludes the objects made by the imports from garbage collection
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
--- a/larkcrank/simwire/host.py
+++ b/larkcrank/simwire/host.py
@@ -1,4 +1,4 @@
-"""Runs many balancer instances behind one stream of batches, and answers each batch with a reply."""
+"""Runs many balancer instances on one stream of batch frames, and answers each frame with a reply frame."""
 
 import random
 import sys
@@ -11,12 +11,12 @@
 
 
 class BalancerHost:
-    """Holds the balancer instances of one process. They share no state, only the input and output streams."""
+    """The balancer instances of one process. They share the input and output streams, but no state."""
 
     def __init__(self, error_stream: TextIO | None = None) -> None:
         self._decoder = codec.BatchDecoder()
         self._balancers: dict[int, Balancer] = {}
-        self._error_stream = error_stream  # receives tracebacks; None: standard error
+        self._error_stream = error_stream  # tracebacks are written to it; None: to standard error
 
     def handle_batch(self, now_ms: float, body: bytes, record_count: int) -> bytes:
         """Handle the records of one batch and return the reply frame."""
@@ -36,7 +36,7 @@
                     continue
                 case codec.StopInstance():
                     self._balancers.pop(instance, None)
-                    # Drop the actions that the stopped instance already returned in this batch.
+                    # Actions that the instance returned earlier in this batch are not sent.
                     action_groups = [group for group in action_groups if group[0] != instance]
                     continue
             balancer = self._balancers.get(instance)
@@ -67,7 +67,10 @@
 
 
 def serve(input_stream: BinaryIO, output_stream: BinaryIO, error_stream: TextIO | None = None) -> None:
-    """Answer batches until the input ends. Raises `WireError` on malformed input."""
+    """Answer batch frames until the input ends.
+
+    Raises `WireError`, with the number of the frame, if the input is malformed.
+    """
     host = BalancerHost(error_stream)
     frame_number = 0
     while header := _read_up_to(input_stream, codec.BATCH_HEADER.size):
