--- a/larkcrank/core/balancer.py
+++ b/larkcrank/core/balancer.py
@@ -235,7 +235,8 @@
         # Heap of (due time, sequence number, kind, subject). "backstop" gives up a request shortly before its
         # deadline, "turn" gives up one that waited too long for its ordering key, "overdue" counts an attempt
         # as missed, "rest" ends the quiet time of a key, "window" retries the queue, "ask" calls discovery,
-        # and "fetch" fetches the whole server list once.
+        # and "fetch" fetches the whole server list once. The subject is the request of "backstop" and "turn",
+        # the request id and attempt index of "overdue", the ordering key of "rest", and None otherwise.
         self._timers: list[tuple[float, int, str, object]] = []
         self._timer_sequence, self._timer_at, self._timer_token = 0, math.inf, 0
         # The following lists have one element per class.
@@ -371,6 +372,7 @@
         self._servers = {server.endpoint.address: server for server in state.servers}
 
     def _schedule(self, due_at: float, kind: str, subject: object = None) -> None:
+        """Add a timer; `_timers` describes the kinds and their subjects."""
         self._timer_sequence += 1
         heapq.heappush(self._timers, (due_at, self._timer_sequence, kind, subject))
 
@@ -409,7 +411,8 @@
 
     def _update_estimates(self) -> None:
         """Derive the window, the even rate per server, the observation period and the in-flight limits from
-        this instance's traffic. A shorter window would count sends before their answers can arrive."""
+        this instance's traffic."""
+        # With a shorter window, sends would be judged before their answers can arrive.
         self._window_ms = max(sum(self._usual_ms) / len(self._usual_ms), 2 * self._settings.tick_ms)
         ready_count = max(len(self._ring), 1)
         self._even_rate = max(self._arrivals.rate(self._now, RATE_TIME_CONSTANT_MS) / ready_count, 1e-9)
@@ -580,6 +583,7 @@
         return same_group or dedup_group is Group.ALL
 
     def _accept_request(self, event: Request) -> None:
+        """Register a new request, and put it into the queue or into the queue of its ordering key."""
         request_class, tenant_index = (
             self._settings.classes[event.class_index],
             event.tenant_index if self._tenant_sends else 0,
@@ -706,6 +710,7 @@
         )
 
     def _send(self, request: PendingRequest, server: Server) -> None:
+        """Start an attempt at this server, and charge it to the quotas."""
         attempt = Attempt(server, self._now, request.class_index)
         if request.attempts_sent == 0 and self._tenant_sends:
             self._tenant_sends[request.tenant_index].add(self._now, TENANT_TIME_CONSTANT_MS)
@@ -990,7 +995,7 @@
         )
 
     def _choose_subset(self) -> list[Server]:
-        """The ready servers that this instance uses: all of them, or a subset if there are many instances and
+        """Choose the ready servers that this instance uses: all, or a subset if there are many instances and
         many servers."""
         ready = [server for server in self._servers.values() if server.endpoint.state is State.READY]
         ready = [server for server in ready if server.listed or server.fails < MAX_BACKOFF_DOUBLINGS] or ready
--- a/larkcrank/core/interface.py
+++ b/larkcrank/core/interface.py
@@ -68,7 +68,8 @@
     worth: float  # points earned by an answer within the target response time
     late_worth: float = 0.0  # share of the worth earned by a later answer, before the deadline
     streaming: bool = False  # whether answers are streamed; the first part then counts as the answer
-    in_turn: bool = False  # whether requests with the same key must run one at a time, as they arrived
+    # Whether requests with the same key must run one at a time, in order of arrival.
+    in_turn: bool = False
 
 
 @dataclass(slots=True, frozen=True)
@@ -101,9 +102,7 @@
     tick_ms: float = 1.0  # clock resolution: the minimum interval between events
     cold_from: float = 1.0  # a server starts with at least this share of its capacity
     warm_after_ms: float = 0.0  # time from a server's start to its full capacity
-    fall_multiple: float = (
-        1.0  # overload that makes a cold server fail, as a multiple of its current capacity
-    )
+    fall_multiple: float = 1.0  # load above which a cold server fails, as a multiple of its present capacity
     fall_ms: float = 1000.0  # how long the overload must last to make a cold server fail
     key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
     warm_keys: bool = False  # whether a server does less work for a key that it has served recently
@@ -138,9 +137,9 @@
     time_left_ms: float  # until the client's deadline
     tenant_index: int = 0  # index in `Settings.tenants`
     key: int = 0  # identifies the object that the request concerns; 0: none
-    cost_ms: float | None = None  # processing cost, if the transport knows it
-    is_retry: bool = False  # whether the client marks it as a retry
-    is_write: bool = False  # whether the client marks it as a write
+    cost_ms: float | None = None  # processing time that the request needs; None: unknown
+    is_retry: bool = False  # whether it is a retry by the client
+    is_write: bool = False  # whether it is a write
     # Whether the body is still arriving. If so, it is forwarded as it arrives, and the response time and the
     # deadline count from the `Uploaded` event.
     uploading: bool = False
@@ -192,7 +191,7 @@
     endpoints: tuple[Endpoint, ...]
     complete: bool  # True: the whole list; False: only changed entries
     cached: bool = False  # True: not received from discovery itself, possibly outdated
-    revision: int = 0  # version of the list, as discovery counts it
+    revision: int = 0  # version number of the list
 
 
 @dataclass(slots=True, frozen=True)
