--- a/larkcrank/protocol/discovery.py
+++ b/larkcrank/protocol/discovery.py
@@ -16,6 +16,8 @@
 
 
 class _Instance(msgspec.Struct, rename="camel"):
+    """One server of the list, with the names of the JSON fields in camel case."""
+
     instance_id: str
     lifecycle: str
     host_port: str = ""
@@ -29,7 +31,7 @@
 class _ListBody(msgspec.Struct):
     generation: int
     instances: list[_Instance]
-    reset: bool = False  # true: a full list; false: only the instances that changed
+    reset: bool = False  # whether this is a full list rather than only the changed instances
 
 
 @dataclass(slots=True)
@@ -44,6 +46,7 @@
 
     @staticmethod
     def number_of(names: list[str], name: str) -> int:
+        """Return the position of `name` in `names`, appending it if it is new."""
         if name not in names:
             names.append(name)
         return names.index(name)
@@ -63,6 +66,7 @@
 
 
 def parse_list(text: bytes, names: NameTable) -> ListUpdate:
+    """Parse a server list and add its new names to `names`. Raises `ServerListError` if it is malformed."""
     try:
         body = _decoder.decode(text)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -91,6 +95,7 @@
 
 
 def parse_host_port(text: str, min_port: int = 1) -> tuple[str, int]:
+    """Parse `host:port`. Raises `ValueError` for another form or a port below `min_port`."""
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not min_port <= int(port) < 65536:
         raise ValueError(f"{text!r} is not in the form host:port")
--- a/larkcrank/protocol/http1.py
+++ b/larkcrank/protocol/http1.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, replace
 
 MAX_HEAD_BYTES = 16 * 1024
-MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a request body up to this size is buffered, a longer one is streamed
+MAX_BUFFERED_BODY_BYTES = 64 * 1024  # a longer body is forwarded in parts as it arrives
 MAX_BODY_BYTES = 40 << 20
 _MAX_CHUNK_LINE_BYTES = 256
 
@@ -68,6 +68,8 @@
 
 @dataclass(slots=True, frozen=True)
 class Field:
+    """One header field."""
+
     name: bytes  # in lower case
     value: bytes
     raw_line: bytes  # as received
@@ -79,6 +81,7 @@
     __slots__ = ()
 
     def get_all(self, name: bytes) -> list[bytes]:
+        """Return the values of all fields with this name, which must be in lower case."""
         return [field.value for field in self if field.name == name]
 
     def get_single(self, name: bytes) -> bytes | None:
@@ -110,26 +113,32 @@
 
 @dataclass(slots=True, frozen=True)
 class Request:
+    """A request whose body may still be arriving."""
+
     method: bytes
     target: bytes
     fields: Fields
     body: bytes  # only its beginning, unless the request is complete
     keep_alive: bool
-    content_length: int | None = 0  # as announced in the head; None: the body is chunked
-    is_complete: bool = True  # if false, the rest of the body is to be taken from the parser
-    is_http10: bool = False  # HTTP/1.0 has no chunked bodies
+    content_length: int | None = 0  # as announced in the head; None if the body is chunked
+    is_complete: bool = True  # if false, `RequestParser.take_part` returns the rest of the body
+    is_http10: bool = False  # whether the client uses HTTP/1.0, which has no chunked bodies
 
 
 @dataclass(slots=True, frozen=True)
 class ResponseHead:
+    """The status and header of a response, before its body has arrived."""
+
     status: int
     fields: Fields
     keep_alive: bool
-    content_length: int | None = 0  # None: the length is known only at the end of the body
+    content_length: int | None = 0  # None if the length is known only at the end of the body
 
 
 @dataclass(slots=True, frozen=True)
 class Response:
+    """A response whose body is complete."""
+
     status: int
     fields: Fields
     body: bytes
@@ -183,8 +192,8 @@
         self._bytes_left = length or 0  # in the body, or in the current chunk
         self._state = "size"  # the part of a chunked body that comes next: size, data, end or trailer
         self._trailer_bytes = 0
-        self.until_close = until_close  # the body ends where the connection ends
-        self.done = length == 0
+        self.until_close = until_close  # whether the end of the connection marks the end of the body
+        self.done = length == 0  # whether the whole body was decoded
 
     def decode(self, buffer: bytearray, body: bytearray) -> None:
         """Move the bytes of the body from `buffer` to `body`, without the chunk framing."""
@@ -208,7 +217,9 @@
         self._bytes_left -= count
 
     def _decode_chunked_step(self, buffer: bytearray, body: bytearray) -> bool:
-        """Decode the next data or line of a chunked body. Returns False if more bytes are needed."""
+        """Decode the next data or the next framing line of a chunked body. Returns False if more bytes are
+        needed.
+        """
         if self._state == "data":
             self._move_data(buffer, body)
             if self._bytes_left:
@@ -286,12 +297,13 @@
         self._head: Request | None = None
         self._body_decoder = _BodyDecoder(0, 0, 0)
         self._body = bytearray()
-        self.expects_continue = False  # the client waits for 100 Continue before it sends the body
-        self.is_streaming = False  # the rest of the last request's body is to be taken with `take_part`
+        self.expects_continue = False  # whether the client waits for 100 Continue before it sends the body
+        # Whether the last request was returned before the end of its body; `take_part` returns the rest.
+        self.is_streaming = False
 
     @property
     def has_partial_request(self) -> bool:
-        """Whether a request has arrived in part."""
+        """Whether some bytes of the next request, or of a streamed body, were received but not all."""
         return bool(self._buffer) or self._head is not None or self.is_streaming
 
     @property
@@ -300,12 +312,14 @@
         return self._head is not None
 
     def feed(self, data: bytes) -> None:
+        """Add received bytes, which `next` or `take_part` then parses."""
         self._buffer += data
 
     def next(self) -> Request | None:
         """Return the next request, or None if more bytes are needed.
 
-        Of a body over `MAX_BUFFERED_BODY_BYTES` only the beginning is included; `take_part` returns the rest.
+        If the body is longer than `MAX_BUFFERED_BODY_BYTES`, the request contains only the part that has
+        arrived, and `take_part` returns the rest.
         Raises `MessageError`, after which the connection can't be used any more.
         """
         if self.is_streaming:
@@ -367,7 +381,8 @@
 class ResponseParser:
     """Parses one response from the bytes of a connection.
 
-    The body of a stream may have any length, because the caller takes it in parts with `take_body`.
+    With an infinite `max_body_bytes` the body may have any length; the caller then takes it in parts with
+    `take_body`.
     """
 
     def __init__(self, max_body_bytes: float = MAX_BODY_BYTES) -> None:
@@ -379,6 +394,7 @@
 
     @property
     def complete(self) -> bool:
+        """Whether the whole response has arrived."""
         return self.head is not None and self._body_decoder.done
 
     @property
@@ -387,6 +403,7 @@
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> None:
+        """Parse received bytes. Raises `MessageError` if the response is invalid."""
         self._buffer += data
         while self.head is None:
             lines = _take_head_lines(self._buffer)
@@ -413,6 +430,7 @@
         return body
 
     def response(self) -> Response:
+        """Return the complete response. Raises `MessageError` if it is incomplete."""
         if self.head is None or not self._body_decoder.done:
             raise MessageError(502, "incomplete response")
         keep_alive = self.head.keep_alive and not self._buffer
@@ -425,7 +443,7 @@
         fields = _parse_fields(lines[1:])
         keep_alive = _is_keep_alive(match[1], match[2], fields)
         status = int(match[3])
-        if 100 <= status < 200:
+        if 100 <= status < 200:  # an interim response, which is skipped; the final one follows
             if status == 101:
                 raise MessageError(502, "unrequested protocol switch")
             return
@@ -458,6 +476,7 @@
 
 
 def content_length_line(length: int) -> bytes:
+    """Return the header line without its line end."""
     return b"Content-Length: %d" % length
 
 
@@ -472,6 +491,7 @@
     close: bool = False,
     announce_keep_alive: bool = False,
 ) -> bytes:
+    """Return a response with its whole body. For the parameters see `encode_response_head`."""
     return (
         encode_response_head(status, header_lines, content_length_line(len(body)), close, announce_keep_alive)
         + body
@@ -487,7 +507,12 @@
 ) -> bytes:
     """Return the head of a response.
 
-    `announce_keep_alive` adds the header for clients of HTTP/1.0, which expect a close by default.
+    `framing`: the header line that gives the length or the chunked coding of the body; if empty, the body
+    ends where the connection ends.
+
+    `close`: announce that the connection closes after the response.
+
+    `announce_keep_alive`: add the header for clients of HTTP/1.0, which expect a close by default.
     """
     head = [_status_line(status), *header_lines]
     if framing:  # empty: the body ends where the connection ends
--- a/larkcrank/protocol/ops.py
+++ b/larkcrank/protocol/ops.py
@@ -6,6 +6,8 @@
 
 
 class Call(Enum):
+    """The calls an operator can make; the values are the lines sent."""
+
     PING = b"PING"
     LAMEDUCK = b"LAMEDUCK"
     REJOIN = b"REJOIN"
@@ -39,4 +41,5 @@
 
 
 def encode_answer(succeeded: bool, text: str) -> bytes:
+    """Return the answer line: 200 or 400, then the text."""
     return f"{200 if succeeded else 400} {text}\n".encode()
--- a/larkcrank/protocol/platform.py
+++ b/larkcrank/protocol/platform.py
@@ -34,17 +34,19 @@
 
     id: str  # only for the log
     kind: str  # the name of its request class
-    client_timeout_ms: float | None  # how long the client waits; None: it doesn't say
+    client_timeout_ms: float | None  # how long the client waits; None if it sends no deadline
     is_retry: bool
     has_idempotency_key: bool
     owner: str  # the name of its tenant
 
 
 def is_ready_check(request: http1.Request) -> bool:
+    """Return whether the request is the platform's readiness check of the sidecar."""
     return request.method == b"GET" and _split_target(request.target)[1].partition(b"?")[0] == READY_PATH
 
 
 def first_path_segment(target: bytes) -> str:
+    """Return the first segment of the path, which names the request class if there is no Req-Kind."""
     path = _split_target(target)[1]
     return path.partition(b"?")[0].lstrip(b"/").partition(b"/")[0].decode("latin-1")
 
@@ -59,7 +61,10 @@
 
 
 def read_call_info(request: http1.Request) -> CallInfo:
-    """Raises `MessageError` if Req-Id is missing or a header is repeated or malformed."""
+    """Read the platform's headers of a request.
+
+    Raises `MessageError` if Req-Id is missing or a header is repeated or malformed.
+    """
     fields = request.fields
     request_id = fields.get_single(_ID_HEADER)
     if not request_id:
@@ -132,6 +137,7 @@
 
 
 def classify_response(response: http1.Response | http1.ResponseHead) -> Result:
+    """Return the result of an attempt. It is REJECTED if the server says that it declined the request."""
     if response.status == 200:
         return Result.OK
     if response.status in (503, 504) and b"1" in response.fields.get_all(_DECLINED_HEADER):
@@ -153,9 +159,11 @@
 
 
 def read_load_report(fields: http1.Fields, names: tuple[str, ...]) -> tuple[float, ...]:
+    """Return the load report in a response's header, as `parse_load_report` does; empty if there is none."""
     reports = fields.get_all(_LOAD_HEADER) if names else []
     return parse_load_report(reports[0], names) if reports else ()
 
 
 def retry_after_line(delay_ms: float) -> bytes:
+    """Return the header line that asks the client to wait, in seconds."""
     return b"Retry-After: %.3f" % (delay_ms / 1000.0)
--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -17,22 +17,24 @@
 from larkcrank.transport.connection import Connection, ConnectionLostError
 from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
-# Limit on receiving a request head, counted from the accept for a connection's first request. After the head,
-# `REQUEST_PROGRESS_BYTES` of the body, or its end, must arrive within each such interval in which the body is
-# read.
+# Time limit for receiving a request head; for the first request of a connection it starts when the connection
+# is accepted. After the head, `REQUEST_PROGRESS_BYTES` of the body, or its end, must arrive within each
+# further interval of this length. Time during which reading from the client is paused does not count.
 REQUEST_PROGRESS_TIMEOUT_S = 2.4
 REQUEST_PROGRESS_BYTES = 16 * 1024
 # A client that has read nothing of a long response for this time is disconnected.
 CLIENT_WRITE_TIMEOUT_S = 20.0
 # How long a body that is no longer needed is read and dropped, so that the client sees the early response.
 DISCARD_BODY_TIMEOUT_S = 10.0
-MIN_IDLE_BEFORE_EVICTION_S = 0.2  # Idle time after which a connection may be closed to make room for another.
-# Idle time for which a connection that was served stays open, unless descriptors run out.
+MIN_IDLE_BEFORE_EVICTION_S = 0.2  # Idle time after which a connection may be closed to free its descriptor.
+# Idle time for which a connection that has had a response stays open, unless descriptors run out.
 MIN_KEEPALIVE_S = 2.0
 # Fraction of the clients' descriptors in use below which idle connections are not closed, since they cost
 # nothing then.
 IDLE_CLOSE_THRESHOLD = 0.5
-LINGER_TIMEOUT_S = 0.3  # A client that was sent an error may still be sending.
+# Limits on how long, and how much, is still read after an error response. The client may still be sending,
+# and closing a connection with unread input would discard the response.
+LINGER_TIMEOUT_S = 0.3
 MAX_LINGER_BYTES = 1 << 20
 SWEEP_INTERVAL_S = 0.2
 
@@ -82,10 +84,10 @@
         }
         self._tenants = {tenant.name: index for index, tenant in enumerate(settings.tenants)}
         self._sessions: dict[Connection, _ClientSession] = {}
-        # Idle sessions, the longest idle first, so that finding one to close needs no search. The first group
-        # has not sent any part of a request yet.
+        # Idle sessions that have not had a response yet, the longest idle first, so that finding one to close
+        # needs no search.
         self._idle_unserved: OrderedDict[_ClientSession, None] = OrderedDict()
-        # Idle after at least one response.
+        # Sessions that are idle after at least one response, in the same order.
         self._idle_served: OrderedDict[_ClientSession, None] = OrderedDict()
         self._active_request_ids: set[str] = set()  # Ids of the requests being handled.
         self._close_watch = CloseWatcher()
@@ -97,9 +99,11 @@
 
     @property
     def open_count(self) -> int:
+        """The number of open client connections."""
         return len(self._sessions)
 
     def accept(self, connection: Connection) -> None:
+        """Start serving a connection that was just accepted."""
         session = _ClientSession(connection, self._max_body)
         self._sessions[connection] = session
         self._counters.connections += 1
@@ -109,11 +113,11 @@
             self._sweep_timer = loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close_idle(self, min_idle_s: float = 0.0) -> int:
-        """Close the connections that have been idle for at least `min_idle_s` and that have no request in
-        transit. Returns how many others are open.
+        """Close the connections that have been idle for at least `min_idle_s`. Returns how many connections
+        stay open.
 
-        `min_idle_s` leaves time for a request in transit: the first one on a connection just accepted, or the
-        next one after a response.
+        `min_idle_s` leaves time for a request that is still on the network: the first one on a connection
+        just accepted, or the next one after a response.
         """
         now = asyncio.get_running_loop().time()
         for session in list(self._sessions.values()):
@@ -152,7 +156,8 @@
     def _close_longest_idle(idle_sessions: "OrderedDict[_ClientSession, None]", idle_since: float) -> bool:
         """Close the longest idle connection if it has been idle since `idle_since` or earlier."""
         while idle_sessions and (session := next(iter(idle_sessions))).last_progress_at <= idle_since:
-            del idle_sessions[session]  # If not quiet, it has data that is about to be read.
+            # Removed even if it is not closed: then it has unread data and is about to become active.
+            del idle_sessions[session]
             if session.lingering or session.connection.is_idle():
                 session.connection.close()
                 return True
@@ -329,7 +334,7 @@
             self._request_handler.handle_client_gone(exchange)
 
     async def _read_upload(self, session: "_ClientSession", exchange: Exchange, upload: Upload) -> None:
-        """Read the body of an upload. Its last byte starts the request's time."""
+        """Read the body of an upload. The deadline of the request counts from the body's last byte."""
         parser = session.parser
         try:
             if parser.expects_continue:
@@ -374,7 +379,7 @@
     ) -> bool:
         connection, response_future = session.connection, exchange.response_future()
         while not response_future.done():
-            # The client has pipelined its next request; nothing more is read until this one is answered.
+            # The client has pipelined its next request. Nothing more is read until this one is answered.
             if session.parser.has_partial_request:
                 with self._watch_for_close(session, exchange):
                     await asyncio.wait((response_future,))
@@ -431,7 +436,7 @@
             framing = http1.CHUNKED_LINE
         # HTTP/1.0 has no chunked encoding, so closing the connection marks the end of the body.
         close_after = close_after or not framing
-        # Otherwise the task that reads the upload notices the end of the connection.
+        # After an early answer, the task that still reads the upload notices the end of the connection.
         if not session.answered_early:
             connection.start_read().add_done_callback(lambda _: connection.closed and exchange.abandon())
         head = http1.encode_response_head(
@@ -514,7 +519,7 @@
         """
         self._counters.bad_requests += 1
         connection = session.connection
-        # Sorted first, so that it is the first to be closed for another connection.
+        # Placed first, so that it is closed before other idle connections when a descriptor is needed.
         session.lingering, session.last_progress_at = True, 0.0
         self._idle_unserved[session] = None
         self._idle_unserved.move_to_end(session, last=False)
@@ -588,22 +593,24 @@
         self.connection = connection
         self.parser = http1.RequestParser(max_body)
         self.uploading_exchange: Exchange | None = None  # The request whose body is being received.
-        self.reading_paused = False  # True while the upload buffer is full, when nothing is read.
-        self.answered_early = False  # The request was answered before the end of its body.
+        self.reading_paused = False  # Whether reading is paused because the upload buffer is full.
+        self.answered_early = False  # Whether the request was answered before the end of its body.
         self.progress_bytes = 0  # Bytes of a body received since `last_progress_at`.
         # True from the last byte of a request received to the last byte of its response sent.
         self.has_active_request = False
-        self.lingering = False  # An error was sent; what the client still sends is read and dropped.
-        # When the connection was accepted, last answered a request, began one, or made progress with its
-        # body.
+        # Whether an error was sent and what the client still sends is read and dropped.
+        self.lingering = False
+        # Loop time of the last of these: the connection was accepted, a request was answered, a request
+        # began, or enough of a body arrived.
         self.last_progress_at = asyncio.get_running_loop().time()
         # Earliest time at which the last data read can have arrived. A pipelined request waits in the
         # socket's buffer.
         self.data_arrived_at = 0.0
-        self.has_served = False
+        self.has_served = False  # Whether at least one request was answered.
         self.task: asyncio.Task[None] | None = None
 
     def is_idle(self) -> bool:
+        """Return whether no request is being received or handled and no data is unread."""
         return (
             not self.has_active_request and not self.parser.has_partial_request and self.connection.is_idle()
         )
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -19,22 +19,22 @@
 if TYPE_CHECKING:
     from larkcrank.routing.places import AddressFailover
 
-# The longest wait that discovery allows; each call costs it work. The contract assumes that a change reaches
-# the sidecar soon after the wait of a call ends, whether or not the response arrives. A sidecar that is cut
-# off is held to drains that it cannot learn of.
+# The longest wait that discovery allows. It is used in full because each call costs discovery work. The
+# contract assumes that the sidecar knows a change soon after the wait of a call ends, whether or not the
+# response arrives. So a sidecar that cannot reach discovery must still obey drains that it cannot learn of.
 MAX_WATCH_WAIT_MS = 60000
-# A call unanswered for this long after its wait has timed out. After 2 s the contract counts changes as
-# known.
+# A call times out this long after the end of its wait. The contract assumes that the sidecar knows the
+# changes 2 s after that end.
 WATCH_TIMEOUT_SLACK_MS = 1500.0
-# Timeout of a call without a wait. Discovery itself gives it up after 2 s.
+# Timeout of a call without a wait. Discovery itself ends such a call after 2 s.
 IMMEDIATE_CALL_TIMEOUT_MS = 2500.0
 # A response that has started must be complete within this time, however long the call may wait for it to
 # start.
 RESPONSE_READ_TIMEOUT_S = 2.0
-# After a failed call, the contract counts a change as known 6 s after discovery has it and is reachable.
-# Until a call succeeds, none may wait, since a call that hangs would bring no news for a minute. The values
-# are the longest interval between the starts of two calls, at first and after repeated failures. The
-# 4 s and the 2 s that discovery takes at most make the 6 s.
+# Longest interval between the starts of two calls, as (at first, after repeated failures). After a failed
+# call, the contract assumes that the sidecar knows a change 6 s after discovery has it and is reachable: at
+# most 4 s until the next call and at most 2 s for discovery to answer. Until a call succeeds, calls are made
+# without a wait, since a call that hangs would report nothing for a minute.
 RETRY_INTERVAL_LIMITS_S = (1.0, 4.0)
 TURN_RETRY_DELAY_S = 0.5  # After a failed call, where the sidecars take turns at calling discovery.
 PRIMARY_CHECK_TIMEOUT_S = 0.7  # Time limit for checking the primary address while a fallback is in use.
@@ -45,8 +45,8 @@
 
 class CallKind(Enum):
     WATCH = "watch"  # Waits for changes.
-    CHECK = "look"  # Asks for the changes so far, when it is unknown whether discovery responds.
-    FULL_LIST = "list"  # Asks for the full list.
+    CHECK = "look"  # Requests the changes so far, when it is unknown whether discovery responds.
+    FULL_LIST = "list"  # Requests the full list.
 
 
 class DiscoveryCounters(Protocol):
@@ -102,7 +102,9 @@
         self._generation: int | None = None
         self._watch_task: asyncio.Task[None] | None = None
         self._watch_wanted = False  # Whether to watch, even if no watch is running at the moment.
-        self._availability_unknown = False  # The last watch call failed, and none has succeeded since.
+        # Whether it is unknown that discovery responds. Set when a watch call fails or had to wait until it
+        # was allowed; cleared when any call succeeds.
+        self._availability_unknown = False
         self._watch_answer_count = 0  # Number of watch calls answered.
         self._moved = False  # Whether the address is another one than configured at startup.
         self._fetch_task: asyncio.Task[None] | None = None
@@ -151,14 +153,15 @@
                 # The cancelled task has not finished yet, but the next call must start a new one.
                 self._watch_task = None
         elif self._closed:
-            return  # The balancer may still ask while the last requests finish.
+            return  # The balancer may still request a watch while the last requests finish.
         elif self._watch_task is None or self._watch_task.done():
             self._watch_task = asyncio.get_running_loop().create_task(self._watch_loop())
 
     def fetch_list(self) -> None:
+        """Fetch the full list, unless a fetch is already running or no call is allowed now."""
         if self.may_call is not None and not self.may_call():
-            # After a loss all sidecars doubt their lists; only those whose turn it is fetch, on behalf of the
-            # others.
+            # After a loss of servers no sidecar can rely on its list. Only those whose turn it is fetch a new
+            # one, and they pass it on to the others.
             return
         if not self._closed and (self._fetch_task is None or self._fetch_task.done()):
             self._fetch_task = asyncio.get_running_loop().create_task(self._fetch_loop())
@@ -173,8 +176,8 @@
     def move_to(self, host_port: tuple[str, int], fallbacks: Sequence[tuple[str, int]] = ()) -> None:
         """Call another address from now on. It counts generations on its own, so the full list is requested.
 
-        This does not wait for the balancer's next call: the contract counts the new discovery's changes as
-        known soon.
+        The first call is made at once, not at the balancer's next request for the list, because the contract
+        assumes that the sidecar knows the changes of the new discovery soon.
         """
         primary = self._host_port if self._failover is None else self._failover.primary
         if (host_port, tuple(fallbacks)) == (primary, self._fallbacks):
@@ -225,8 +228,8 @@
                     )
                     continue
                 if is_long_poll and isinstance(error, TimeoutError):
-                    # The timeout has already used up the time, and the contract counts what was missed as
-                    # known soon.
+                    # Retry at once: the call has already taken its whole time, and the contract assumes that
+                    # the sidecar knows the missed changes soon.
                     continue
                 await self._wait_before_retry(retry_intervals, 0.0 if is_long_poll else call_duration_s)
         finally:
@@ -307,8 +310,8 @@
         return connection
 
     async def _wait_until_allowed(self) -> None:
-        """Wait until a call is allowed. After such a wait, the call may have become allowed because discovery
-        does not respond to anyone.
+        """Wait until a call is allowed. If that took any time, the availability of discovery is marked as
+        unknown, since the reason for allowing the call may be that no sidecar reaches discovery.
         """
         while self.may_call is not None and not self.may_call():
             self._availability_unknown = True
@@ -349,8 +352,8 @@
             watch_is_dead = call_kind is CallKind.FULL_LIST and list_update.generation != self._generation
             self._generation = list_update.generation
             if watch_is_dead and self._watch_task is not None and not self._watch_task.done():
-                # A live watch would have reported this change. If a machine vanished, connections to it stay
-                # silent.
+                # A working watch would have reported this change. The connection to a machine that vanished
+                # shows no error, so the watch is started again.
                 self._watch_task.cancel()
                 self._watch_task = None
                 self.watch()
@@ -400,8 +403,9 @@
 class _RetryIntervals:
     """Intervals between the starts of successive failing calls.
 
-    Many clients fail together. Their first retries are spread evenly. Later retries come after at least half
-    of the longest interval and vary by as much, so that clients do not synchronize.
+    Many clients fail together. Each draws its first interval between zero and a maximum, and each later one
+    between half of the current maximum and all of it, so that clients do not synchronize. The maximum doubles
+    with each failure up to `RETRY_INTERVAL_LIMITS_S[1]`.
     """
 
     def __init__(self, retry_spread_s: float, rng: Random) -> None:
@@ -427,7 +431,7 @@
 
 
 class _StaleConnectionError(ConnectionLostError):
-    """The peer closed a kept connection while the call was on its way."""
+    """Discovery closed a reused connection while a call was being sent on it."""
 
 
 class _DiscoveryConnection:
@@ -444,8 +448,8 @@
         self._connection: Connection | None = None
 
     async def get(self, target: bytes) -> http1.Response:
-        """Make one call. Raises `_StaleConnectionError` if a kept connection had been closed by the peer; the
-        next call opens a new one.
+        """Make one call. Raises `_StaleConnectionError` if discovery has closed a reused connection; the next
+        call opens a new one.
         """
         loop = asyncio.get_running_loop()
         if self._connection is not None and self._connection.is_idle():
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -72,7 +72,7 @@
 
 
 class Driver:
-    """The event loop around the balancer; a sidecar has one.
+    """Connects the balancer to the client side, the server side and discovery.
 
     The balancer's `handle` is never re-entered: events that arise while it runs are queued.
     """
@@ -114,13 +114,16 @@
     # Interface of the client side
 
     def next_request_id(self) -> int:
+        """Return a request id that this process has not used yet."""
         self._last_request_id += 1
         return self._last_request_id
 
     def is_full(self) -> bool:
+        """Return whether the limit on open requests is reached."""
         return len(self._open_exchanges) >= self._max_open
 
     def start_request(self, exchange: Exchange) -> None:
+        """Pass a new request to the balancer."""
         self._counters.taken += 1
         self._open_exchanges[exchange.id] = exchange
         uploading = exchange.upload is not None
@@ -138,7 +141,7 @@
         )
 
     def complete_upload(self, exchange: Exchange) -> None:
-        """Record that the last byte of an uploaded body has arrived, which starts the request's time."""
+        """Record that the last byte of an uploaded body has arrived. The deadline counts from then."""
         if self._open_exchanges.get(exchange.id) is exchange:
             time_left_ms = self._start_overdue_timer(exchange)
             self._attempt_executor.complete_upload(exchange)
@@ -152,8 +155,8 @@
         return time_left_ms
 
     def limit_deadlines(self, latest_deadline: float) -> None:
-        """Move the deadlines of open requests to `latest_deadline` at the latest, since the process exits
-        after that.
+        """Move later deadlines of open requests to `latest_deadline`, since the process exits after that.
+        Requests whose upload is incomplete have no deadline yet.
         """
         for exchange in self._open_exchanges.values():
             if exchange.id in self._overdue_timers and latest_deadline < exchange.deadline:
@@ -177,7 +180,9 @@
     # Callbacks of the server side and of discovery
 
     def receive_list(self, server_list: ListUpdate, cached: bool = False) -> None:
-        """Apply a server list. `cached` marks one that this process did not just receive from discovery."""
+        """Apply a server list. `cached` is true if this process did not just receive the list from
+        discovery.
+        """
         self._attempt_executor.apply_list(server_list)
         if self._discovery_down and not cached:
             self._discovery_down = False
@@ -224,6 +229,7 @@
     # Event dispatch and execution of actions
 
     def dispatch(self, event: Event) -> None:
+        """Pass an event to the balancer and execute its actions, or queue it if the balancer is running."""
         self._pending_events.append(event)
         if self._is_handling:
             return
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -1,5 +1,5 @@
-"""The state of one request, shared by the client side that received it and the server side that sends it on.
-This is the only place where the two sides meet.
+"""The state of one request, shared by the client side that received it and the server side that forwards it.
+The two sides exchange data only through these objects.
 """
 
 import asyncio
@@ -14,7 +14,7 @@
 
 # Limit on the part of a body that its endpoint has not read yet, while memory is plentiful.
 UPLOAD_BUFFER_BYTES = 512 * 1024
-MAX_BUFFERED_STREAM_PARTS = 1  # Parts of a streamed response held for a client that reads slowly.
+MAX_BUFFERED_STREAM_PARTS = 1  # Parts of a streamed response buffered for a slow client.
 
 
 @dataclass(slots=True, frozen=True)
@@ -40,7 +40,7 @@
     attempt consumes them.
 
     The start of the body stays buffered, so that it can be sent again, until the buffer exceeds the limit for
-    bodies held in memory.
+    bodies kept in memory, `http1.MAX_BUFFERED_BODY_BYTES`.
     """
 
     def __init__(self, first_part: bytes, budget: BufferBudget) -> None:
@@ -64,6 +64,7 @@
     # Client side
 
     def append(self, data: bytes) -> None:
+        """Add a part received from the client; ignored if the body is no longer needed."""
         if data and not self.discarded:
             self._parts.append(data)
             self._buffered_bytes += len(data)
@@ -75,8 +76,8 @@
     def is_full(self) -> bool:
         """Whether reading from the client should pause.
 
-        Data left unread may include the last byte, and the request's time starts with that byte. So the body
-        is buffered here for a slow endpoint as long as memory allows.
+        The deadline of the request counts from the body's last byte, so that byte must be read soon. The body
+        is therefore buffered for a slow endpoint as far as memory allows.
         """
         return (
             self._buffered_bytes
@@ -85,16 +86,18 @@
         )
 
     async def wait_for_room(self) -> None:
+        """Wait until reading from the client may continue."""
         while self.is_full:
             self._changed.clear()
             await self._changed.wait()
 
     def finish(self, complete: bool) -> None:
+        """Record that no more parts follow; `complete` tells whether the last byte has arrived."""
         self.complete, self.aborted = complete, not complete
         self._changed.set()
 
     def release(self) -> None:
-        """Drop the body. This is the only place where its remaining bytes are returned to the budget."""
+        """Drop the body and return its remaining bytes to the budget. Later data is dropped too."""
         self.discarded = True
         self._budget.release(self._buffered_bytes)
         self._buffered_bytes = 0
@@ -138,10 +141,11 @@
 
 @dataclass(slots=True, eq=False)
 class Exchange:
-    """A request from its last byte received (for a long one, its head) to the last byte of its response.
+    """The state of a request from its arrival to the last byte of its response.
 
-    The client side creates it and waits; the server side responds to it through the driver. Responses after
-    the first are ignored.
+    It is created once the request has arrived in full or, if the body is forwarded while it is received, once
+    the head has arrived. The client side creates it and waits for the response, which the server side or the
+    driver sets. Responses after the first are ignored.
     """
 
     id: int
@@ -157,16 +161,16 @@
     key: int = 0  # The request's subject key, where requests are ordered or routed by it; 0 if there is none.
     attempt_count: int = 0
     written_attempts: int = 0  # Attempts whose last byte was passed to the kernel for sending.
-    closed: bool = False  # The final response was given, or the client has disconnected.
-    abandoned: bool = False  # The client disconnected before the final response.
+    closed: bool = False  # Whether the final response was set or the client has disconnected.
+    abandoned: bool = False  # Whether the client disconnected before the final response.
     _response: asyncio.Future[BufferedResponse | StreamedResponse] = field(
         default_factory=lambda: asyncio.get_running_loop().create_future()
     )
     _stream_parts: deque[bytes | None] = field(default_factory=deque)
     _stream_changed: asyncio.Event = field(default_factory=asyncio.Event)
-    stream_broken: bool = False  # The streamed response could not be completed.
+    stream_broken: bool = False  # Whether the streamed response could not be completed.
     on_client_gone: Callable[[], None] | None = None  # Set while a response is being streamed.
-    # Checks the client's connection directly, since its end may not have been read yet.
+    # Checks the client's socket directly, since the end of its data may not have been read yet.
     has_client_ended: Callable[[], bool] = lambda: False
 
     # Server side
@@ -176,6 +180,7 @@
         return self._resolve(BufferedResponse(status, tuple(header_lines), body))
 
     def begin_stream(self, status: int, header_lines: Iterable[bytes], content_length: int | None) -> bool:
+        """Set the start of a streamed final response. Returns False if there is a response already."""
         return self._resolve(StreamedResponse(status, tuple(header_lines), content_length))
 
     def _resolve(self, response: BufferedResponse | StreamedResponse) -> bool:
@@ -188,7 +193,7 @@
         return True
 
     async def add_stream_part(self, data: bytes) -> None:
-        """Forward a part of the stream; waits while the client has enough unread parts."""
+        """Add a part of the stream. Waits while `MAX_BUFFERED_STREAM_PARTS` parts are already buffered."""
         while len(self._stream_parts) >= MAX_BUFFERED_STREAM_PARTS and not self.stream_broken:
             self._stream_changed.clear()
             await self._stream_changed.wait()
@@ -196,6 +201,7 @@
         self._stream_changed.set()
 
     def end_stream(self, complete: bool) -> None:
+        """End the stream; `complete` tells whether the endpoint sent the whole body."""
         self.on_client_gone = None
         self.stream_broken = self.stream_broken or not complete
         self._stream_parts.append(None)
@@ -204,6 +210,7 @@
     # Client side
 
     def response_future(self) -> "asyncio.Future[BufferedResponse | StreamedResponse]":
+        """Return the future of the final response. It is cancelled if the client disconnects first."""
         return self._response
 
     async def next_stream_part(self) -> bytes | None:
--- a/larkcrank/routing/life.py
+++ b/larkcrank/routing/life.py
@@ -1,4 +1,4 @@
-"""The lifecycle phase of the sidecar as its clients see it. It is kept in this one place."""
+"""The lifecycle phase of the sidecar as its clients see it."""
 
 import math
 from collections.abc import Callable
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self._started = self._draining = self._ending = False
-        self.latest_deadline = math.inf  # Time after which no request may be open.
+        self.latest_deadline = math.inf  # Every request must have ended by this time.
         self.on_change: Callable[[], None] = lambda: None
 
     @property
@@ -34,6 +34,7 @@
 
     @property
     def is_ready(self) -> bool:
+        """Whether the readiness check succeeds."""
         return self.phase is Phase.READY
 
     @property
@@ -42,6 +43,7 @@
         return self._draining or self._ending
 
     def start(self) -> None:
+        """Record that startup is complete."""
         self._started = True
         self.on_change()
 
@@ -58,5 +60,6 @@
         return not self._ending
 
     def begin_shutdown(self, latest_deadline: float) -> None:
+        """Start the shutdown. Every request must have ended by `latest_deadline`."""
         self._ending, self.latest_deadline = True, latest_deadline
         self.on_change()
--- a/larkcrank/routing/places.py
+++ b/larkcrank/routing/places.py
@@ -24,7 +24,12 @@
         primary_retry_range_s: tuple[float, float] = (20.0, 60.0),
         max_mean_wait_s: float = 2.0,
     ) -> None:
-        """`max_mean_wait_s` limits the mean wait once every address has failed in turn."""
+        """`max_failover_wait_s`: longest wait before the next address is used, until each has failed once.
+
+        `primary_retry_range_s`: shortest and longest interval after which the primary is checked again.
+
+        `max_mean_wait_s`: limit on the mean wait once every address has failed in turn.
+        """
         self._host_ports = tuple(host_ports)
         self._rng = rng
         self._max_failover_wait_s, self._primary_retry_range_s, self._max_mean_wait_s = (
@@ -34,18 +39,21 @@
         )
         self._index = 0
         self._consecutive_failures = 0  # Failures since the last successful call.
-        self._check_primary_at: float | None = None
+        self._check_primary_at: float | None = None  # None while the primary is in use.
 
     @property
     def current(self) -> HostPort:
+        """The address to use now."""
         return self._host_ports[self._index]
 
     @property
     def primary(self) -> HostPort:
+        """The preferred address, which is the first one."""
         return self._host_ports[0]
 
     @property
     def on_fallback(self) -> bool:
+        """Whether the address in use is not the primary."""
         return self._index != 0
 
     def record_failure(self, now: float) -> float:
--- a/larkcrank/routing/servers.py
+++ b/larkcrank/routing/servers.py
@@ -39,7 +39,8 @@
 class Attempt:
     """One attempt at sending a request to an endpoint.
 
-    `end` is the only place where an attempt ends, its timer stops and its connection is released.
+    Only `end` ends an attempt, stops its timer and closes its connection. An attempt that returns its
+    connection to the pool does so before calling `end`.
     """
 
     __slots__ = (
@@ -70,19 +71,20 @@
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.begin_by_ms = begin_by_ms
-        self.writing_started = False  # The first byte was passed to the kernel for sending.
-        self.fully_written = False  # So was the last one.
-        self.response_started = False  # A streamed response has started.
+        self.writing_started = False  # Whether the first byte of the request was passed to the kernel.
+        self.fully_written = False  # Whether the last byte of the request was passed to the kernel.
+        self.response_started = False  # Whether a streamed response has started.
         self.ended = False
         self._on_end = on_end
 
     def end(self, result: Result, load: tuple[float, ...] = ()) -> None:
+        """End the attempt with `result` and the endpoint's load report. Later calls do nothing."""
         if self.ended:
             return
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
-        if self.connection is not None:  # Closing the connection is how an attempt is abandoned.
+        if self.connection is not None:  # HTTP/1.1 has no other way to cancel a request.
             self.connection.close()
             self.connection = None
         self._on_end(self, result, load)
@@ -105,7 +107,8 @@
         only_draining_binds: bool = False,
     ) -> None:
         self._pool = pool
-        # If set, only a drain stops requests to a server; being absent from the list or gone does not.
+        # If set, only a drain stops requests to a server. A server that is missing from the list, or listed
+        # as gone, is still used.
         self._only_draining_binds = only_draining_binds
         self._descriptors = descriptors
         self._connect_timeout_ms = connect_timeout_ms
@@ -117,9 +120,9 @@
         self._report_failure = report_failure
         self._loop = asyncio.get_running_loop()
         self._host_ports: dict[Address, tuple[str, int]] = {}
-        self._started_at: dict[Address, float] = {}
-        self._ready: set[Address] = set()
-        self._attempts: dict[tuple[int, int], Attempt] = {}
+        self._started_at: dict[Address, float] = {}  # Start time of the server process, as last listed.
+        self._ready: set[Address] = set()  # The servers to which requests may be sent.
+        self._attempts: dict[tuple[int, int], Attempt] = {}  # By request id and attempt index.
         self._tasks: set[asyncio.Task[None]] = set()
         self.on_outcome: Callable[[Attempt, Result, tuple[float, ...]], None] = lambda *_: None
         self.on_stream_started: Callable[[Attempt], None] = lambda _: None
@@ -128,6 +131,7 @@
 
     @property
     def active_attempts(self) -> int:
+        """The number of attempts that have not ended."""
         return len(self._attempts)
 
     def host_ports(self) -> dict[Address, tuple[str, int]]:
@@ -152,7 +156,7 @@
             if self._host_ports.get(address, host_port) != host_port or (
                 self._started_at.get(address, endpoint.started_at) != endpoint.started_at
             ):
-                # The address now belongs to another process; connections to the old one are useless.
+                # The address now belongs to another process; connections to the old one cannot be reused.
                 self._pool.close_address(address)
             self._ready.add(address)
             self._started_at[address] = endpoint.started_at
@@ -160,6 +164,7 @@
                 self._host_ports[address] = host_port
 
     def _retire(self, address: Address) -> None:
+        """Send no more requests to a server and close its idle connections."""
         self._ready.discard(address)
         self._pool.close_address(address)
 
@@ -171,6 +176,10 @@
         stop_at_ms: float,
         begin_by_ms: float = math.inf,
     ) -> None:
+        """Start an attempt that sends nothing from `begin_by_ms` on and times out at `stop_at_ms`.
+
+        With an infinite `stop_at_ms` the timeout starts once the upload is complete.
+        """
         now = self._clock()
         attempt = Attempt(exchange, attempt_index, address, now, begin_by_ms, self._attempt_ended)
         self._attempts[exchange.id, attempt_index] = attempt
@@ -195,17 +204,18 @@
         attempt.timer = self._loop.call_later(wait_s, self._attempt_timed_out, attempt)
 
     def cancel(self, request_id: int, attempt_index: int) -> None:
+        """Cancel an attempt, if it has not ended yet."""
         attempt = self._attempts.get((request_id, attempt_index))
         # An attempt that has not sent its first byte cannot have run, so nothing depends on its result.
         if attempt is not None:
             attempt.end(Result.CANCELLED if attempt.writing_started else Result.NOT_SENT)
 
     def abandon_unwritten(self, exchange: Exchange) -> None:
-        """Abandon those attempts of a finished request that are not fully sent, even if sent requests may not
-        be cancelled.
+        """Cancel those attempts of a finished request that are not fully written. This is done even where the
+        settings forbid cancelling an attempt that was sent in full.
 
-        For an attempt that has started sending, it is not known yet whether the kernel has just accepted the
-        last byte.
+        If writing has started, the result is CANCELLED rather than NOT_SENT, because the kernel may already
+        have accepted the last byte.
         """
         for attempt_index in range(exchange.attempt_count):
             attempt = self._attempts.get((exchange.id, attempt_index))
@@ -215,9 +225,11 @@
                 self.cancel(exchange.id, attempt_index)
 
     def close_idle(self, address: Address) -> None:
+        """Close the idle connections to one server."""
         self._pool.close_address(address)
 
     def probe(self, address: Address) -> None:
+        """Start a probe of one server. Its result goes to `on_probe_result`."""
         self._start_task(self._run_probe(address))
 
     def _start_task(self, coroutine: "asyncio._CoroutineLike[None]") -> None:
@@ -236,9 +248,9 @@
             and past_connect_timeout
         )
         if unanswered or result in (Result.RESET, Result.CONNECT_FAILED):
-            # Whatever ended one connection has probably ended all of them, and a machine that does not
-            # respond may be gone. A request written to an old connection may have run; a failing new
-            # connection proves that it has not.
+            # What broke one connection has probably broken all connections to this server, and a machine that
+            # does not respond may be gone. With these closed, the next attempt opens a new connection.
+            # If that fails, the request certainly did not run; on a broken reused connection it might have.
             self._pool.close_address(attempt.address)
         self.on_outcome(attempt, result, load)
 
@@ -266,13 +278,14 @@
 
     async def _perform_attempt(self, attempt: Attempt, stop_at_ms: float) -> None:
         if not self._may_start_writing(attempt):
-            return  # Returns before taking a connection that others may need.
+            return  # Checked before taking a pooled connection, which other attempts may need.
         connection = self._take_pooled(attempt)
         if connection is None:
             connection = await self._open_connection(attempt)
             if not self._may_start_writing(attempt):
                 return
-        # The event loop, whose iterations may be long, does not run between this check and the first byte.
+        # There is no await between the last check and writing the first byte, so the check still holds
+        # however long an iteration of the event loop takes.
         exchange = attempt.exchange
         self._counters.sends += 1
         attempt.writing_started = True
@@ -291,17 +304,17 @@
             send_task.cancel()
 
     def _may_start_writing(self, attempt: Attempt) -> bool:
-        """Check once more whether to send. The decision is some loop iterations old, or older than the
-        connection, and may no longer hold.
+        """Check again whether the request may be sent, and end the attempt if not. Since the balancer decided
+        to send, event loop iterations have passed, possibly the whole time of connecting.
         """
         exchange = attempt.exchange
         if not (attempt.ended or exchange.closed) and exchange.has_client_ended():
-            # Noticed here first: the end of the client's connection is still unread, possibly behind unread
-            # data.
+            # The client side has not noticed this yet: it has not read the end of the connection, which may
+            # come after unread data.
             self.on_client_gone(exchange)
         if exchange.closed or attempt.address not in self._ready or self._clock() >= attempt.begin_by_ms:
-            # In the meantime the request was answered, the server left, or the window of the idempotency key
-            # closed. Nothing new may be sent.
+            # The request was answered, the server left, or the window in which the idempotency key is valid
+            # ended. Nothing new may be sent.
             attempt.end(Result.NOT_SENT)
         return not attempt.ended
 
@@ -332,7 +345,7 @@
         except (ConnectionLostError, TimeoutError):
             if upload.aborted or upload.discarded:
                 connection.abort()  # The endpoint must not take the body as complete.
-                attempt.end(Result.NOT_SENT)  # This says nothing about the server.
+                attempt.end(Result.NOT_SENT)  # The client caused this, so it is no failure of the server.
             attempt.end(Result.RESET if attempt.fully_written else Result.CONNECT_FAILED)
 
     async def _read_response(
@@ -431,8 +444,8 @@
         attempt.end(Result.OK, platform.read_load_report(head.fields, self._load_fields))
 
     async def _relay_part(self, exchange: Exchange, data: bytes) -> None:
-        """Pass a part to the client side. It counts against the memory budget until the client side accepts
-        it.
+        """Pass one part of the body to the client side. The part counts against the memory budget until the
+        client side accepts it.
         """
         if not data:
             return
--- a/larkcrank/transport/budget.py
+++ b/larkcrank/transport/budget.py
@@ -19,10 +19,12 @@
         self.peak_held_bytes = 0
 
     def reserve(self, byte_count: int) -> None:
+        """Count bytes that the process now buffers. This never fails or waits."""
         self.held_bytes += byte_count
         self.peak_held_bytes = max(self.peak_held_bytes, self.held_bytes)
 
     def release(self, byte_count: int) -> None:
+        """Stop counting bytes that the process no longer buffers."""
         self.held_bytes -= byte_count
 
     def set_other_processes(self, count: int) -> None:
@@ -31,8 +33,10 @@
 
     @property
     def is_used_up(self) -> bool:
+        """Whether this process buffers at least its part of the limit."""
         return self.held_bytes >= self._limit_bytes / (1 + self._other_processes)
 
     @property
     def read_size(self) -> int:
+        """The largest number of bytes that the next read may return."""
         return SMALL_READ_BYTES if self.is_used_up else LARGE_READ_BYTES
--- a/larkcrank/transport/connection.py
+++ b/larkcrank/transport/connection.py
@@ -67,8 +67,8 @@
             self._pending_read = None
             is_clean_close = error.real_error is None and not self._closed
             raise ConnectionLostError(str(error.real_error or "closed"), is_clean_close) from None
-        # A cancelled caller leaves its cancelled read here, because the stream can't start another one.
-        # (asyncio.shield would avoid that, at the cost of one more loop iteration for every read.)
+        # If the caller is cancelled, `_pending_read` keeps the cancelled read, because the stream can't start
+        # another one. (asyncio.shield would avoid that, at the cost of one more loop iteration per read.)
         self._pending_read = None
         return data
 
@@ -121,7 +121,7 @@
             return False
 
     def close(self) -> None:
-        """Close at once. The descriptor is released nowhere else."""
+        """Close at once and release the descriptor. No other method releases it."""
         if self._closed:
             return
         self._closed = True
@@ -185,6 +185,7 @@
         self._host_port = host_port
 
     async def wait(self, timeout_ms: float) -> Connection:
+        """Return the connection once it is established. Raises `ConnectionLostError` after `timeout_ms`."""
         connection = self.connection
         loop = asyncio.get_running_loop()
         timer = loop.call_later(timeout_ms / 1000.0, connection.close)
--- a/larkcrank/transport/descriptors.py
+++ b/larkcrank/transport/descriptors.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable
 from enum import Enum
 
-# Descriptors for the standard streams, the event loop and a safety margin. About a dozen are really in use,
-# so with a small descriptor limit only a share of it is set aside.
+# Descriptors for the standard streams, the event loop and a safety margin. About a dozen are actually in
+# use, so with a small descriptor limit only a share of it is set aside.
 RESERVED_DESCRIPTORS = 32
 MAX_RESERVED_SHARE = 0.4
 # Descriptors that only operators can use, so that a flood of clients does not lock operators out. With a
@@ -84,7 +84,7 @@
 
     @property
     def has_waiters(self) -> bool:
-        """Whether someone waits for a descriptor, so that dispensable connections should be closed."""
+        """Whether a caller waits for a descriptor, so that connections that can be spared should close."""
         return bool(self._release_callbacks)
 
     def register_evictor(
@@ -119,7 +119,9 @@
         while not self.has_free(use):
             if not self._close_longest_idle(use):
                 if self._used[use] < self._guaranteed.get(use, 0):
-                    break  # exceeds the total only while another process has begun to share the limit
+                    # A guaranteed descriptor may exceed the total, which happens only after another process
+                    # has begun to share the limit.
+                    break
                 return False
         self._used[use] += 1
         return True
@@ -127,7 +129,7 @@
     def _close_longest_idle(self, use: SocketUse) -> bool:
         """Close the connection that has been idle longest, whatever its use.
 
-        Another use that has no more than its guaranteed descriptors is left alone.
+        Connections of another use that has no more than its guaranteed descriptors are not closed.
         """
         evictors = [
             evictor
@@ -138,6 +140,7 @@
         return any(close_idle() for close_idle, _ in sorted(evictors, key=lambda evictor: evictor[1]()))
 
     def release(self, use: SocketUse) -> None:
+        """Return a descriptor and call the callbacks that wait for one."""
         self._used[use] -= 1
         callbacks, self._release_callbacks = self._release_callbacks, set()
         for callback in callbacks:
--- a/larkcrank/transport/listener.py
+++ b/larkcrank/transport/listener.py
@@ -1,4 +1,4 @@
-"""A listening socket. Every connection that the kernel has accepted is accepted from it in the end."""
+"""A listening socket. Connections that the kernel has queued in its backlog are accepted before it closes."""
 
 import asyncio
 import math
@@ -9,7 +9,8 @@
 from larkcrank.transport.connection import Connection, wrap_socket
 from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
-LISTEN_BACKLOG = 4096  # a connection in the backlog may already hold a request that counts as accepted
+# Large, because a client may already have sent a request on a connection in the backlog.
+LISTEN_BACKLOG = 4096
 
 
 ACCEPT_RETRY_S = 0.05
@@ -48,7 +49,7 @@
         self._on_accept = on_accept
         self._use = use
         self._loop = asyncio.get_running_loop()
-        # Other processes hold a passed socket too, and may accept the connections in its backlog.
+        # Other processes have a passed socket open too, and may accept the connections in its backlog.
         self.uses_passed_socket = passed_socket is not None
         self._socket = passed_socket or socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         self._socket.setblocking(False)
@@ -60,6 +61,7 @@
         self._closed = False
 
     def start(self) -> None:
+        """Listen, unless the socket was passed and already listens, and accept connections."""
         if not self.uses_passed_socket:
             self._socket.listen(LISTEN_BACKLOG)
         self._resume_accepting()
@@ -106,14 +108,16 @@
         return bool(poll.poll(0))
 
     def _pause_accepting(self) -> None:
-        """Stop watching the socket for a while, since one that can't be served keeps waking the loop."""
+        """Stop watching the socket for a while, since a connection that can't be accepted keeps waking the
+        event loop.
+        """
         self._loop.remove_reader(self._socket.fileno())
         self._loop.call_later(ACCEPT_RETRY_S, self._resume_accepting)
 
     def accept_remaining_and_close(self) -> bool:
         """Accept the whole backlog, then close. Returns False, still open, if descriptors ran out first.
 
-        The backlog of a passed socket is left to the other processes that hold it.
+        The backlog of a passed socket is left to the other processes that have it open.
         """
         if self._closed:
             return True
--- a/larkcrank/transport/pool.py
+++ b/larkcrank/transport/pool.py
@@ -18,7 +18,7 @@
 
     def __init__(self, descriptors: DescriptorBudget, keepalive_ms: float) -> None:
         self._loop = asyncio.get_running_loop()
-        # In the order in which the connections became idle.
+        # Address and idle timer of each connection, in the order in which the connections became idle.
         self._idle: OrderedDict[Connection, tuple[Address, asyncio.TimerHandle]] = OrderedDict()
         self._max_idle_s = keepalive_ms * MAX_IDLE_SHARE / 1000.0
         descriptors.register_evictor(SocketUse.ATTEMPT, self._close_longest_idle, self._longest_idle_since)
@@ -27,17 +27,20 @@
         return len(self._idle)
 
     def put(self, address: Address, connection: Connection) -> None:
+        """Add an idle connection, which is closed when its idle time limit passes."""
         if connection.closed:
             connection.close()
             return
         timer = self._loop.call_later(self._max_idle_s, self._remove_and_close, connection)
         self._idle[connection] = (address, timer)
-        # The pending read completes if the endpoint closes the connection or sends bytes unasked. In both
+        # The pending read completes if the endpoint closes the connection or sends unexpected bytes. In both
         # cases the connection can't be reused.
         connection.start_read().add_done_callback(lambda _: self._remove_and_close(connection))
 
     def take(self, address: Address, host_port: tuple[str, int]) -> Connection | None:
-        """Return the most recently used connection, so that the others can reach their idle time limit."""
+        """Return the most recently used idle connection to an endpoint, or None. The others can then reach
+        their idle time limit.
+        """
         for connection in reversed(self._idle):
             if self._idle[connection][0] == address:
                 self._idle.pop(connection)[1].cancel()
