--- a/larkcrank/protocol/http1.py
+++ b/larkcrank/protocol/http1.py
@@ -258,6 +258,7 @@
 def _take_head_lines(buffer: bytearray) -> list[bytes] | None:
     """Remove the head from the buffer and return its lines, or None as long as it is incomplete."""
     end = buffer.find(b"\r\n\r\n")
+    # Of the 4 bytes that end the head, 3 may have arrived.
     if end > MAX_HEAD_BYTES or (end < 0 and len(buffer) > MAX_HEAD_BYTES + 3):
         raise MessageError(431, "head too large")
     if end < 0:
--- a/larkcrank/routing/clients.py
+++ b/larkcrank/routing/clients.py
@@ -24,7 +24,8 @@
 REQUEST_PROGRESS_BYTES = 16 * 1024
 # A client that has read nothing of a long response for this time is disconnected.
 CLIENT_WRITE_TIMEOUT_S = 20.0
-# How long a body that is no longer needed is read and dropped, so that the client sees the early response.
+# How long the rest of a body is read and dropped after an early response. A client may read the response only
+# after it has written the whole body.
 DISCARD_BODY_TIMEOUT_S = 10.0
 MIN_IDLE_BEFORE_EVICTION_S = 0.2  # Idle time after which a connection may be closed to free its descriptor.
 # Idle time for which a connection that has had a response stays open, unless descriptors run out.
@@ -169,8 +170,8 @@
         """
         now = asyncio.get_running_loop().time()
         for session in list(self._sessions.values()):
-            # No more data is due from the client of a request that is complete or answered, nor while reading
-            # from it is paused.
+            # A client must send more of its body only while the request is incomplete and unanswered and
+            # reading from the client is not paused.
             body_due = (
                 session.uploading_exchange is not None
                 and not session.uploading_exchange.closed
@@ -229,6 +230,7 @@
             self._sessions.pop(connection, None)
 
     async def _read_request(self, session: "_ClientSession") -> http1.Request:
+        """Read the next request, marking the session as idle until its first byte arrives."""
         parser, connection = session.parser, session.connection
         has_head = False
         while (request := parser.next()) is None:
@@ -292,7 +294,7 @@
             return await self._await_response(session, request, exchange)
         finally:
             self._active_request_ids.discard(exchange.call_info.id)
-            # Covers every way of ending without a response.
+            # Ends the exchange if there is no response yet; has no effect after a response.
             self._request_handler.handle_client_gone(exchange)
 
     async def _handle_upload(
@@ -321,8 +323,8 @@
             # rest of the body.
             session.answered_early = True
             await self._write_response(session, request, exchange, _completed_response(response_future))
-            # A client may look for the response only once it has finished writing. Closing now would discard
-            # the response.
+            # Some clients read the response only after they have written the whole body. Closing now would
+            # discard the response before such a client reads it.
             await asyncio.wait((upload_task,), timeout=DISCARD_BODY_TIMEOUT_S)
             return False
         finally:
@@ -377,6 +379,9 @@
     async def _await_response(
         self, session: "_ClientSession", request: http1.Request, exchange: Exchange
     ) -> bool:
+        """Wait for the response and write it. Meanwhile, read from the client to notice a disconnect. Returns
+        whether the connection stays open.
+        """
         connection, response_future = session.connection, exchange.response_future()
         while not response_future.done():
             # The client has pipelined its next request. Nothing more is read until this one is answered.
@@ -384,10 +389,10 @@
                 with self._watch_for_close(session, exchange):
                     await asyncio.wait((response_future,))
                 break
-            pending = connection.start_read()
-            awaited: set[asyncio.Future[Any]] = {response_future, pending}
+            pending_read = connection.start_read()
+            awaited: set[asyncio.Future[Any]] = {response_future, pending_read}
             await asyncio.wait(awaited, return_when=asyncio.FIRST_COMPLETED)
-            if pending.done() and not response_future.done():
+            if pending_read.done() and not response_future.done():
                 await self._read_some(session)
         return await self._write_response(session, request, exchange, _completed_response(response_future))
 
@@ -476,7 +481,7 @@
     def _create_exchange(self, request: http1.Request, session: "_ClientSession") -> Exchange:
         call_info = platform.read_call_info(request)
         class_index, request_class = self._find_class(request, call_info)
-        # Responses to two requests with one id could not be told apart.
+        # Responses to two requests with the same id could not be distinguished.
         if call_info.id in self._active_request_ids:
             raise http1.MessageError(409, "a request with this Req-Id is in hand")
         _validate_request(request_class.effect, call_info, request)
@@ -567,6 +572,7 @@
 
 
 def _consume_exception(task: "asyncio.Task[None]") -> None:
+    """Mark a task's exception as retrieved, so that asyncio does not log it."""
     if not task.cancelled():
         task.exception()
 
--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -106,7 +106,7 @@
         # was allowed; cleared when any call succeeds.
         self._availability_unknown = False
         self._watch_answer_count = 0  # Number of watch calls answered.
-        self._moved = False  # Whether the address is another one than configured at startup.
+        self._address_changed = False  # Whether the address is another one than configured at startup.
         self._fetch_task: asyncio.Task[None] | None = None
         self._closed = False
         self.on_list: Callable[[ListUpdate], None] = lambda _: None
@@ -133,7 +133,7 @@
         """Continue from a list obtained elsewhere. Ignored after a change of address, since each discovery
         counts generations on its own.
         """
-        if not self._moved:
+        if not self._address_changed:
             self._generation = generation
 
     def mark_availability_unknown(self) -> None:
@@ -183,7 +183,7 @@
         if (host_port, tuple(fallbacks)) == (primary, self._fallbacks):
             return
         self._cancel_calls()  # A late response of the old address must not overwrite the new list.
-        self._host_port, self._generation, self._moved = host_port, None, True
+        self._host_port, self._generation, self._address_changed = host_port, None, True
         self._fallbacks = tuple(fallbacks)
         self._failover = self._create_failover()
         self._watch_task = self._fetch_task = None
@@ -349,10 +349,10 @@
             elif watch_answers_before != self._watch_answer_count:
                 # A watch has succeeded since this call started, so it is alive and its data is newer.
                 return None
-            watch_is_dead = call_kind is CallKind.FULL_LIST and list_update.generation != self._generation
+            watch_stalled = call_kind is CallKind.FULL_LIST and list_update.generation != self._generation
             self._generation = list_update.generation
-            if watch_is_dead and self._watch_task is not None and not self._watch_task.done():
-                # A working watch would have reported this change. The connection to a machine that vanished
+            if watch_stalled and self._watch_task is not None and not self._watch_task.done():
+                # A working watch would have reported the change. The connection to a machine that vanished
                 # shows no error, so the watch is started again.
                 self._watch_task.cancel()
                 self._watch_task = None
@@ -464,9 +464,9 @@
                 self.close()
                 raise _StaleConnectionError(str(error)) from None
         self.close()
-        connecting = PendingConnection(self.host_port, self._descriptors, SocketUse.DISCOVERY)
-        self._connection = connecting.connection
-        return await self._get(await connecting.wait(self._connect_timeout_ms), target)
+        pending_connection = PendingConnection(self.host_port, self._descriptors, SocketUse.DISCOVERY)
+        self._connection = pending_connection.connection
+        return await self._get(await pending_connection.wait(self._connect_timeout_ms), target)
 
     async def _get(self, connection: Connection, target: bytes) -> http1.Response:
         host = b"Host: %s:%d" % (self.host_port[0].encode(), self.host_port[1])
--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -103,7 +103,7 @@
         self._overdue_timers: dict[int, asyncio.TimerHandle] = {}
         self._balancer_timer: asyncio.TimerHandle | None = None
         self._last_request_id = 0
-        self._discovery_down = False
+        self._discovery_down = False  # Whether the last call to discovery failed.
         attempt_executor.on_outcome = self._attempt_ended
         attempt_executor.on_stream_started = self._stream_started
         attempt_executor.on_client_gone = self.handle_client_gone
@@ -276,6 +276,7 @@
                     self._finish_with_error(exchange, 503, header_lines, "refused")
             case Fail():
                 if (exchange := self._open_exchanges.get(action.id)) is not None:
+                    # 504 if at most the grace period, twice the overdue delay, is left until the deadline.
                     at_deadline = self._clock() + 2 * self._overdue_delay_ms >= exchange.deadline
                     self._finish_with_error(exchange, 504 if at_deadline else 502, (), "failed")
             case Cancel():
@@ -308,12 +309,14 @@
     def _finish_with_error(
         self, exchange: Exchange, status: int, header_lines: tuple[bytes, ...], outcome_text: str
     ) -> None:
+        """Respond with an error status and `outcome_text` ("refused" or "failed") as the body."""
         self._remove_exchange(exchange)
         if outcome_text == "refused":
             self._counters.refused += 1
         else:
             self._counters.failed += 1
         elapsed_ms = self._clock() - exchange.arrived_at
+        # Counts requests that were never fully sent although more than half of their time had passed.
         if not exchange.written_attempts and elapsed_ms > (exchange.deadline - exchange.arrived_at) / 2:
             self._counters.unsent_late += 1
         exchange.respond(status, header_lines, outcome_text.encode())
--- a/larkcrank/routing/servers.py
+++ b/larkcrank/routing/servers.py
@@ -277,6 +277,7 @@
             attempt.end(Result.ERROR if attempt.fully_written else Result.NOT_SENT)
 
     async def _perform_attempt(self, attempt: Attempt, stop_at_ms: float) -> None:
+        """Connect, send the request and handle the response. Raises an error if the attempt fails."""
         if not self._may_start_writing(attempt):
             return  # Checked before taking a pooled connection, which other attempts may need.
         connection = self._take_pooled(attempt)
@@ -305,7 +306,7 @@
 
     def _may_start_writing(self, attempt: Attempt) -> bool:
         """Check again whether the request may be sent, and end the attempt if not. Since the balancer decided
-        to send, event loop iterations have passed, possibly the whole time of connecting.
+        to send, event loop iterations have passed, possibly as long as connecting took.
         """
         exchange = attempt.exchange
         if not (attempt.ended or exchange.closed) and exchange.has_client_ended():
@@ -351,6 +352,9 @@
     async def _read_response(
         self, attempt: Attempt, connection: Connection, send_task: "asyncio.Task[None] | None" = None
     ) -> None:
+        """Read the response, pass it to the client side and end the attempt. A successful response that is
+        long, or of a streaming class, is passed on in parts.
+        """
         exchange, address = attempt.exchange, attempt.address
         parser = http1.ResponseParser(math.inf if exchange.streaming else self._max_body)
         while parser.head is None:
@@ -394,11 +398,11 @@
 
     async def _open_connection(self, attempt: Attempt) -> Connection:
         self._counters.connects += 1
-        connecting = PendingConnection(
+        pending_connection = PendingConnection(
             self._host_ports[attempt.address], self._descriptors, SocketUse.ATTEMPT
         )
-        attempt.connection = connecting.connection
-        return await connecting.wait(self._connect_timeout_ms)
+        attempt.connection = pending_connection.connection
+        return await pending_connection.wait(self._connect_timeout_ms)
 
     async def _relay_stream(
         self, attempt: Attempt, connection: Connection, parser: http1.ResponseParser
@@ -456,6 +460,7 @@
             self._budget.release(len(data))
 
     async def _run_probe(self, address: Address) -> None:
+        """Call a server's load or liveness path on a new connection and report the result."""
         started_at, result = self._clock(), Result.NOT_SENT
         load: tuple[float, ...] = ()
         target = platform.LOAD_PATH if self._load_fields else platform.LIVE_PATH
@@ -465,9 +470,9 @@
             if host_port is not None:
                 async with asyncio.timeout(PROBE_TIMEOUT_FACTOR * self._connect_timeout_ms / 1000.0):
                     result = Result.CONNECT_FAILED
-                    connecting = PendingConnection(host_port, self._descriptors, SocketUse.ATTEMPT)
-                    connection = connecting.connection
-                    await connecting.wait(self._connect_timeout_ms)
+                    pending_connection = PendingConnection(host_port, self._descriptors, SocketUse.ATTEMPT)
+                    connection = pending_connection.connection
+                    await pending_connection.wait(self._connect_timeout_ms)
                     await connection.write(http1.encode_request(b"GET", target, (b"Host: " + address,)))
                     result = Result.RESET
                     parser = http1.ResponseParser(http1.MAX_BUFFERED_BODY_BYTES)
--- a/larkcrank/transport/closewatch.py
+++ b/larkcrank/transport/closewatch.py
@@ -53,7 +53,7 @@
         The descriptors are looked up again in every poll, because the kernel may have reused the descriptor
         of a closed connection for another one.
         """
-        found = [connection for connection in self._watched if connection.closed]
+        closed_connections = [connection for connection in self._watched if connection.closed]
         by_descriptor = {
             connection.stream.socket.fileno(): connection
             for connection in self._watched
@@ -63,6 +63,6 @@
             poll = select.poll()
             for descriptor in by_descriptor:
                 poll.register(descriptor, select.POLLIN | POLLRDHUP)
-            return found + [by_descriptor[descriptor] for descriptor, _ in poll.poll(0)]
+            return closed_connections + [by_descriptor[descriptor] for descriptor, _ in poll.poll(0)]
         except (AttributeError, OSError):  # without poll() the caller checks every connection by itself
             return list(self._watched)
--- a/larkcrank/transport/descriptors.py
+++ b/larkcrank/transport/descriptors.py
@@ -11,8 +11,8 @@
 # small descriptor limit they are at most a share of it.
 OPERATOR_DESCRIPTORS = 12
 MAX_OPERATOR_SHARE = 0.1
-# Descriptors guaranteed to one use, as (count, divisor): with a small descriptor limit the guarantee is one
-# in `divisor` of the available descriptors. Discovery needs one for its watch and one for a full list.
+# Descriptors guaranteed to one use, as (count, divisor): `count`, or the available descriptors divided by
+# `divisor` if that is less. Discovery needs one for its watch and one for fetching a full list.
 DISCOVERY_GUARANTEE = (2, 4)
 ATTEMPT_GUARANTEE = (3, 5)
 
@@ -44,6 +44,8 @@
         self._guaranteed: dict[SocketUse, int] = {}
         self.set_other_processes(0)
         self._used = dict.fromkeys(SocketUse, 0)
+        # For each use: (function that closes an idle connection, function that returns since when the longest
+        # idle one is idle). See `register_evictor`.
         self._evictors: dict[SocketUse, tuple[Callable[[], bool], Callable[[], float]]] = {}
         self._release_callbacks: set[Callable[[], None]] = set()
 
@@ -104,12 +106,12 @@
         """Return whether a descriptor can be acquired without closing a connection."""
         if self._used[use] >= self._limit_of(use):
             return False
-        kept_for_others = sum(
+        reserved_for_others = sum(
             max(guaranteed - self._used[other], 0)
             for other, guaranteed in self._guaranteed.items()
             if other is not use
         )
-        return use is SocketUse.OPERATOR or self.used + kept_for_others < self._available
+        return use is SocketUse.OPERATOR or self.used + reserved_for_others < self._available
 
     def acquire(self, use: SocketUse) -> bool:
         """Acquire a descriptor for one socket, closing idle connections if necessary."""
