--- a/larkcrank/routing/discovery.py
+++ b/larkcrank/routing/discovery.py
@@ -21,7 +21,7 @@
 
 # The longest wait that discovery allows. It is used in full because each call costs discovery work. The
 # contract assumes that the sidecar knows a change soon after the wait of a call ends, whether or not the
-# response arrives. So a sidecar that cannot reach discovery must still obey drains that it cannot learn of.
+# response arrives. So a drain binds even a sidecar that cannot learn of it because discovery is unreachable.
 MAX_WATCH_WAIT_MS = 60000
 # A call times out this long after the end of its wait. The contract assumes that the sidecar knows the
 # changes 2 s after that end.
@@ -102,8 +102,8 @@
         self._generation: int | None = None
         self._watch_task: asyncio.Task[None] | None = None
         self._watch_wanted = False  # Whether to watch, even if no watch is running at the moment.
-        # Whether it is unknown that discovery responds. Set when a watch call fails or had to wait until it
-        # was allowed; cleared when any call succeeds.
+        # Whether it is unknown if discovery responds. Set when a watch call fails or had to wait until it was
+        # allowed, and by `mark_availability_unknown`; cleared when any call succeeds.
         self._availability_unknown = False
         self._watch_answer_count = 0  # Number of watch calls answered.
         self._address_changed = False  # Whether the address is another one than configured at startup.
--- a/larkcrank/routing/exchange.py
+++ b/larkcrank/routing/exchange.py
@@ -159,8 +159,8 @@
     upload: Upload | None = None  # The body, if it is forwarded while it is still being received.
     client_timeout_ms: float = 0.0  # How long the client waits, counted from the last byte of the request.
     key: int = 0  # The request's subject key, where requests are ordered or routed by it; 0 if there is none.
-    attempt_count: int = 0
-    written_attempts: int = 0  # Attempts whose last byte was passed to the kernel for sending.
+    attempt_count: int = 0  # Number of attempts that the balancer has ordered.
+    written_attempts: int = 0  # Number of attempts whose last byte was passed to the kernel.
     closed: bool = False  # Whether the final response was set or the client has disconnected.
     abandoned: bool = False  # Whether the client disconnected before the final response.
     _response: asyncio.Future[BufferedResponse | StreamedResponse] = field(
--- a/larkcrank/routing/life.py
+++ b/larkcrank/routing/life.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self._started = self._draining = self._ending = False
-        self.latest_deadline = math.inf  # Every request must have ended by this time.
+        self.latest_deadline = math.inf  # Time by which every request must end; infinite until a shutdown.
         self.on_change: Callable[[], None] = lambda: None
 
     @property
--- a/larkcrank/routing/servers.py
+++ b/larkcrank/routing/servers.py
@@ -71,8 +71,10 @@
         self.connection: Connection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.begin_by_ms = begin_by_ms
-        self.writing_started = False  # Whether the first byte of the request was passed to the kernel.
-        self.fully_written = False  # Whether the last byte of the request was passed to the kernel.
+        # Whether the first and the last byte of the request were passed to the kernel. Each is set just
+        # before that byte is written.
+        self.writing_started = False
+        self.fully_written = False
         self.response_started = False  # Whether a streamed response has started.
         self.ended = False
         self._on_end = on_end
@@ -249,8 +251,8 @@
         )
         if unanswered or result in (Result.RESET, Result.CONNECT_FAILED):
             # What broke one connection has probably broken all connections to this server, and a machine that
-            # does not respond may be gone. With these closed, the next attempt opens a new connection.
-            # If that fails, the request certainly did not run; on a broken reused connection it might have.
+            # does not respond may be gone. Once the idle ones are closed, the next attempt opens a new one.
+            # If that fails, its request certainly did not run; on a broken reused connection it might have.
             self._pool.close_address(attempt.address)
         self.on_outcome(attempt, result, load)
 
