--- a/larkcrank/routing/driver.py
+++ b/larkcrank/routing/driver.py
@@ -72,7 +72,7 @@
 
 
 class Driver:
-    """The event loop around the balancer; a sidecar has one.
+    """Connects the balancer to the client side, the server side and discovery.
 
     The balancer's `handle` is never re-entered: events that arise while it runs are queued.
     """
@@ -103,7 +103,7 @@
         self._overdue_timers: dict[int, asyncio.TimerHandle] = {}
         self._balancer_timer: asyncio.TimerHandle | None = None
         self._last_request_id = 0
-        self._discovery_down = False
+        self._discovery_down = False  # Whether the last call to discovery failed.
         attempt_executor.on_outcome = self._attempt_ended
         attempt_executor.on_stream_started = self._stream_started
         attempt_executor.on_client_gone = self.handle_client_gone
@@ -114,13 +114,16 @@
     # Interface of the client side
 
     def next_request_id(self) -> int:
+        """Return a request id that this process has not used yet."""
         self._last_request_id += 1
         return self._last_request_id
 
     def is_full(self) -> bool:
+        """Return whether the limit on open requests is reached."""
         return len(self._open_exchanges) >= self._max_open
 
     def start_request(self, exchange: Exchange) -> None:
+        """Pass a new request to the balancer."""
         self._counters.taken += 1
         self._open_exchanges[exchange.id] = exchange
         uploading = exchange.upload is not None
@@ -138,7 +141,7 @@
         )
 
     def complete_upload(self, exchange: Exchange) -> None:
-        """Record that the last byte of an uploaded body has arrived, which starts the request's time."""
+        """Record that the last byte of an uploaded body has arrived. The deadline counts from then."""
         if self._open_exchanges.get(exchange.id) is exchange:
             time_left_ms = self._start_overdue_timer(exchange)
             self._attempt_executor.complete_upload(exchange)
@@ -152,8 +155,8 @@
         return time_left_ms
 
     def limit_deadlines(self, latest_deadline: float) -> None:
-        """Move the deadlines of open requests to `latest_deadline` at the latest, since the process exits
-        after that.
+        """Move later deadlines of open requests to `latest_deadline`, since the process exits after that.
+        Requests whose upload is incomplete have no deadline yet.
         """
         for exchange in self._open_exchanges.values():
             if exchange.id in self._overdue_timers and latest_deadline < exchange.deadline:
@@ -177,7 +180,9 @@
     # Callbacks of the server side and of discovery
 
     def receive_list(self, server_list: ListUpdate, cached: bool = False) -> None:
-        """Apply a server list. `cached` marks one that this process did not just receive from discovery."""
+        """Apply a server list. `cached` is true if this process did not just receive the list from
+        discovery.
+        """
         self._attempt_executor.apply_list(server_list)
         if self._discovery_down and not cached:
             self._discovery_down = False
@@ -224,6 +229,7 @@
     # Event dispatch and execution of actions
 
     def dispatch(self, event: Event) -> None:
+        """Pass an event to the balancer and execute its actions, or queue it if the balancer is running."""
         self._pending_events.append(event)
         if self._is_handling:
             return
@@ -270,6 +276,7 @@
                     self._finish_with_error(exchange, 503, header_lines, "refused")
             case Fail():
                 if (exchange := self._open_exchanges.get(action.id)) is not None:
+                    # 504 if at most the grace period, twice the overdue delay, is left until the deadline.
                     at_deadline = self._clock() + 2 * self._overdue_delay_ms >= exchange.deadline
                     self._finish_with_error(exchange, 504 if at_deadline else 502, (), "failed")
             case Cancel():
@@ -302,12 +309,14 @@
     def _finish_with_error(
         self, exchange: Exchange, status: int, header_lines: tuple[bytes, ...], outcome_text: str
     ) -> None:
+        """Respond with an error status and `outcome_text` ("refused" or "failed") as the body."""
         self._remove_exchange(exchange)
         if outcome_text == "refused":
             self._counters.refused += 1
         else:
             self._counters.failed += 1
         elapsed_ms = self._clock() - exchange.arrived_at
+        # Counts requests that were never fully sent although more than half of their time had passed.
         if not exchange.written_attempts and elapsed_ms > (exchange.deadline - exchange.arrived_at) / 2:
             self._counters.unsent_late += 1
         exchange.respond(status, header_lines, outcome_text.encode())
--- a/larkcrank/transport/descriptors.py
+++ b/larkcrank/transport/descriptors.py
@@ -3,16 +3,16 @@
 from collections.abc import Callable
 from enum import Enum
 
-# Descriptors for the standard streams, the event loop and a safety margin. About a dozen are really in use,
-# so with a small descriptor limit only a share of it is set aside.
+# Descriptors for the standard streams, the event loop and a safety margin. About a dozen are actually in
+# use, so with a small descriptor limit only a share of it is set aside.
 RESERVED_DESCRIPTORS = 32
 MAX_RESERVED_SHARE = 0.4
 # Descriptors that only operators can use, so that a flood of clients does not lock operators out. With a
 # small descriptor limit they are at most a share of it.
 OPERATOR_DESCRIPTORS = 12
 MAX_OPERATOR_SHARE = 0.1
-# Descriptors guaranteed to one use, as (count, divisor): with a small descriptor limit the guarantee is one
-# in `divisor` of the available descriptors. Discovery needs one for its watch and one for a full list.
+# Descriptors guaranteed to one use, as (count, divisor): `count`, or the available descriptors divided by
+# `divisor` if that is less. Discovery needs one for its watch and one for fetching a full list.
 DISCOVERY_GUARANTEE = (2, 4)
 ATTEMPT_GUARANTEE = (3, 5)
 
@@ -44,6 +44,8 @@
         self._guaranteed: dict[SocketUse, int] = {}
         self.set_other_processes(0)
         self._used = dict.fromkeys(SocketUse, 0)
+        # For each use: (function that closes an idle connection, function that returns since when the longest
+        # idle one is idle). See `register_evictor`.
         self._evictors: dict[SocketUse, tuple[Callable[[], bool], Callable[[], float]]] = {}
         self._release_callbacks: set[Callable[[], None]] = set()
 
@@ -84,7 +86,7 @@
 
     @property
     def has_waiters(self) -> bool:
-        """Whether someone waits for a descriptor, so that dispensable connections should be closed."""
+        """Whether a caller waits for a descriptor, so that connections that can be spared should close."""
         return bool(self._release_callbacks)
 
     def register_evictor(
@@ -104,12 +106,12 @@
         """Return whether a descriptor can be acquired without closing a connection."""
         if self._used[use] >= self._limit_of(use):
             return False
-        kept_for_others = sum(
+        reserved_for_others = sum(
             max(guaranteed - self._used[other], 0)
             for other, guaranteed in self._guaranteed.items()
             if other is not use
         )
-        return use is SocketUse.OPERATOR or self.used + kept_for_others < self._available
+        return use is SocketUse.OPERATOR or self.used + reserved_for_others < self._available
 
     def acquire(self, use: SocketUse) -> bool:
         """Acquire a descriptor for one socket, closing idle connections if necessary."""
@@ -119,7 +121,9 @@
         while not self.has_free(use):
             if not self._close_longest_idle(use):
                 if self._used[use] < self._guaranteed.get(use, 0):
-                    break  # exceeds the total only while another process has begun to share the limit
+                    # A guaranteed descriptor may exceed the total, which happens only after another process
+                    # has begun to share the limit.
+                    break
                 return False
         self._used[use] += 1
         return True
@@ -127,7 +131,7 @@
     def _close_longest_idle(self, use: SocketUse) -> bool:
         """Close the connection that has been idle longest, whatever its use.
 
-        Another use that has no more than its guaranteed descriptors is left alone.
+        Connections of another use that has no more than its guaranteed descriptors are not closed.
         """
         evictors = [
             evictor
@@ -138,6 +142,7 @@
         return any(close_idle() for close_idle, _ in sorted(evictors, key=lambda evictor: evictor[1]()))
 
     def release(self, use: SocketUse) -> None:
+        """Return a descriptor and call the callbacks that wait for one."""
         self._used[use] -= 1
         callbacks, self._release_callbacks = self._release_callbacks, set()
         for callback in callbacks:
