--- a/larkcrank/__main__.py
+++ b/larkcrank/__main__.py
@@ -18,7 +18,7 @@
 
         run_command(prog_name="larkcrank")
     # By default SIGHUP ends a process, and the import below takes time, as it loads most of the program.
-    # While blocked, a SIGHUP stays pending, and the configuration is reloaded once the handler is installed.
+    # A SIGHUP that arrives while blocked causes a reload as soon as `Sidecar.run` has installed its handler.
     signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))
     from larkcrank.program.start import serve
 
--- a/larkcrank/command/__init__.py
+++ b/larkcrank/command/__init__.py
@@ -1,1 +1,1 @@
-"""The command line. The sidecar itself needs none of it: `python -m larkcrank` alone serves."""
+"""The `larkcrank` command line. `python -m larkcrank` without arguments does not import it."""
--- a/larkcrank/command/main.py
+++ b/larkcrank/command/main.py
@@ -17,7 +17,7 @@
 from larkcrank.config import sidecar
 
 EXIT_BAD_INPUT = 2
-PROGRESS_INTERVAL_WORLDS = 500
+PROGRESS_INTERVAL_WORLDS = 500  # simulated fleets between two progress messages
 VIEW_TIMEOUT_S = 5.0
 
 
@@ -221,7 +221,7 @@
 
 
 class _LazyGroup(click.Group):
-    """A group whose listed commands are defined in modules of the lab, and imported only when used."""
+    """Imports each command in `lazy_commands` from `larkcrank.lab.scale` only when it is used."""
 
     lazy_commands = ("path", "plan", "view")
 
--- a/larkcrank/config/__init__.py
+++ b/larkcrank/config/__init__.py
@@ -1,1 +1,1 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and checks all configuration, and sets the defaults of missing keys."""
--- a/larkcrank/config/settings.py
+++ b/larkcrank/config/settings.py
@@ -11,7 +11,7 @@
 from larkcrank.core.interface import Effect, Group, RequestClass, Settings, Tenant
 
 _EFFECTS = {"retryable": Effect.SAFE, "dedup": Effect.KEYED, "fragile": Effect.UNSAFE}
-_CAPACITY_WEIGHTS = ("nominal", "rough")  # with other values, weights in the list are not capacities
+_CAPACITY_WEIGHTS = ("nominal", "rough")  # values of `weights` for which a server's weight is its capacity
 _GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
 
 
@@ -34,8 +34,8 @@
     group: str = "all"  # which servers share the deduplication of a keyed request: a key of `_GROUPS`
     window_ms: float = 0.0  # how long the servers deduplicate a keyed request
     late_value: float = 0.0  # fraction of `points` for an answer after the target, but before the deadline
-    streaming: bool = False
-    in_turn: bool = False  # requests with the same key run one at a time, in order of arrival
+    streaming: bool = False  # whether the response is a stream, read at the client's pace
+    in_turn: bool = False  # whether requests with the same key run one at a time, in order of arrival
 
 
 class _Customer(_KebabCaseStruct):
@@ -46,51 +46,63 @@
 
 
 class _Bounds(_KebabCaseStruct):
+    """What the platform allows a sidecar to do, and its limits."""
+
     send_cap: int  # limit on the attempts of one request
     connect_timeout_ms: float = 250.0
-    keepalive_ms: float = 15000.0
-    max_open: int = 20000
-    peers: bool = False  # sidecars may send each other messages
-    may_cancel: bool = False
-    probes: bool = False  # the sidecar may probe servers
-    second_copies: bool = False  # hedging: a second attempt while the first is in flight
-    retry_after: bool = False  # refusals carry a Retry-After hint
-    max_retry_after_ms: float = 0.0
+    keepalive_ms: float = 15000.0  # a server closes connections that have been idle for this long
+    max_open: int = 20000  # limit on concurrent requests
+    peers: bool = False  # whether sidecars may send each other messages
+    may_cancel: bool = False  # whether the sidecar may cancel an attempt in flight
+    probes: bool = False  # whether the sidecar may probe servers
+    second_copies: bool = False  # whether a second attempt may start while the first is in flight (hedging)
+    retry_after: bool = False  # whether refusals carry a Retry-After hint
+    max_retry_after_ms: float = 0.0  # upper limit of that hint
 
 
 class _Contract(_KebabCaseStruct):
+    """How servers behave, and which rules apply to requests sent to them."""
+
     cold_from: float  # share of its capacity that a server has at its start
     warm_after_ms: float  # time from a server's start to its full capacity
-    # A cold server fails if its load exceeds this multiple of its present capacity ...
+    # A cold server fails once its load has exceeded `fall_multiple` times its present capacity for `fall_ms`.
     fall_multiple: float
-    fall_ms: float  # ... for this long.
+    fall_ms: float
     grace_to_answer_ms: float = 20.0  # how long after the client's deadline an answer still counts
     key_quiet_ms: float = 0.0  # how long a key is blocked after a timeout, a reset or a cancellation
-    # Only draining servers must be avoided; gone or unlisted ones need not be.
+    # If true, only draining servers must get no new requests; if false, also gone and unlisted ones.
     only_draining_binds: bool = False
 
 
 class _Mix(_KebabCaseStruct):
-    nines_part: float = 0.0  # weight of availability, as a number of nines, in the users' objective
+    """The weight of availability in the users' objective."""
+
+    nines_part: float = 0.0  # weight of availability, measured in nines (3 for 99.9 %), in the objective
     nines_full: float = 3.0  # number of nines that earns this weight in full
 
 
 class _Family(_KebabCaseStruct):
-    warm_keys: bool = False  # a server does less work for a key that it has served recently
+    """Properties of the kind of service behind the sidecar."""
+
+    warm_keys: bool = False  # whether a server does less work for a key that it has served recently
 
 
 class _Report(_KebabCaseStruct):
-    how: str = "silent"  # how servers report their load; silent: they do not
+    """The load values that servers report with their answers."""
+
+    how: str = "silent"  # how servers report their load; "silent": not at all
     fields: list[str] = []  # names of the load values in an answer
 
 
 class _Config(_KebabCaseStruct):
+    """The settings object, with its keys as the platform writes them."""
+
     grades: list[_Grade]
     bounds: _Bounds
     contract: _Contract
     customers: list[_Customer] = []
-    registry_mode: str = "subscribe"  # automatic: discovery reports changes without being asked
-    weights: str = "silent"  # what the weights in the server list mean
+    registry_mode: str = "subscribe"  # "automatic": discovery sends changes without a subscription
+    weights: str = "silent"  # meaning of the weights in the server list; see `_CAPACITY_WEIGHTS`
     resolution_ms: float = 1.0  # clock resolution
     az: int = 0  # zone of this instance: index in `zones`
     ordinal: int = 0  # position of this instance among all instances, from 0
@@ -152,7 +164,7 @@
 
 
 def _check_numbers(config: _Config) -> None:
-    """Reject impossible numbers here: used in a decision, they would cause an error far from its origin."""
+    """Reject numbers outside their range, which would otherwise cause errors only later, in a decision."""
     bounds, contract = config.bounds, config.contract
     non_negative = {
         "n-instances": config.n_instances,
@@ -178,7 +190,7 @@
             raise SettingsError(f"settings: {value} is not a fraction from 0 to 1 - at `$.{key}`")
     for index, grade in enumerate(config.grades):
         if grade.in_turn and grade.streaming:
-            # The reader of a stream decides when it ends, and would block the key until then.
+            # A stream lasts as long as its client reads, and would block later requests with its key.
             path = f"$.grades[{index}].in-turn"
             raise SettingsError(f"settings: a streaming class cannot run in turn - at `{path}`")
 
--- a/larkcrank/config/sidecar.py
+++ b/larkcrank/config/sidecar.py
@@ -1,4 +1,4 @@
-"""The sidecar's configuration: a JSON file of the platform, and the environment. The file can be reloaded."""
+"""The sidecar's configuration, from a JSON file and environment variables. The file can be reloaded."""
 
 import math
 from collections.abc import Mapping
@@ -14,7 +14,7 @@
 from larkcrank.protocol.http1 import MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES
 
 MIN_SOCKETS = 32
-MIN_WATCH_MS, MAX_WATCH_MS = 100, 60_000  # the discovery protocol allows no longer wait
+MIN_WATCH_MS, MAX_WATCH_MS = 100, 60_000  # the discovery protocol limits a wait to the maximum
 
 
 class ConfigError(Exception):
@@ -22,10 +22,12 @@
 
 
 class _Limits(msgspec.Struct):
+    """Limits on the resources of the sidecar."""
+
     cores: float = 1.0  # accepted, but not used
-    memory_mb: float = 192.0
-    sockets: int = 1024
-    body_mb: float = MAX_BODY_BYTES / (1 << 20)
+    memory_mb: float = 192.0  # for buffers
+    sockets: int = 1024  # descriptors
+    body_mb: float = MAX_BODY_BYTES / (1 << 20)  # largest body of a request or a response
 
 
 class _Recovery(msgspec.Struct):
@@ -52,8 +54,8 @@
     settings: dict[str, Any]
     name: str = ""
     listen: str = ""
-    discovery: list[str] | str = ""  # several: the others are used where the first does not answer
-    watch_ms: int | None = None
+    discovery: list[str] | str = ""  # addresses; those after the first are used while it does not answer
+    watch_ms: int | None = None  # wait of a watch call
     seed: str = ""  # hexadecimal; empty: random
     limits: _Limits = msgspec.field(default_factory=_Limits)
     known: msgspec.Raw = msgspec.Raw(b"")  # the last known server list
@@ -66,7 +68,7 @@
 class RecoveryConfig:
     """How a member recovers its server list from other members and from a snapshot."""
 
-    same_places: bool  # all members reach a server at the same host:port
+    same_places: bool  # whether all members reach a server at the same host:port
     snapshot: str  # path of the snapshot, on a persistent disk; empty: no snapshot
 
 
@@ -76,26 +78,28 @@
 
     name: str
     listen: tuple[str, int]  # for UDP datagrams
-    secret: str
-    public: str  # host:port at which other members reach it; empty: the listen address
+    secret: str  # authenticates the messages between members; empty: none
+    public: str  # host:port at which other members reach this one; empty: the listen address
     seeds: tuple[str, ...]  # host:port of the members to contact first
     recovery: RecoveryConfig | None  # None: server lists are not shared
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The checked configuration of a sidecar."""
+
     name: str
     listen: tuple[str, int]  # port 0: any free port, which is then logged
     discovery: tuple[str, int]
-    fallback_discovery: tuple[tuple[str, int], ...]  # used where `discovery` does not answer
-    watch_ms: int | None  # wait of a watch call; None: the longest allowed
+    fallback_discovery: tuple[tuple[str, int], ...]  # used while `discovery` does not answer
+    watch_ms: int | None  # how long discovery may delay the answer to a watch call; None: as long as allowed
     seed: int
     sockets: int
     memory_mb: float
     max_body_bytes: int  # of a request or a response
     initial_list: bytes  # the last known server list, in discovery's format; empty: none
-    ops: tuple[str, int] | None  # where operators' calls are accepted; None: nowhere
-    passed_descriptor: int | None  # of the clients' listening socket, where the platform opens it
+    ops: tuple[str, int] | None  # address for operators' calls; None: they are not accepted
+    passed_descriptor: int | None  # of a listening socket for clients that the platform opened; None: none
     fleet: FleetConfig | None  # None: not a member of a fleet
     learned_state_path: str  # file that is written at a graceful shutdown; empty: none
     site: Site
@@ -120,8 +124,9 @@
 
 
 def load(environment: Mapping[str, str], is_reload: bool = False) -> Config:
-    """Read the file that PROXY_CONFIG names. PROXY_NAME, _LISTEN, _DISCOVERY and _OPS override its keys.
+    """Read the file that PROXY_CONFIG names. The other variables override its keys.
 
+    PROXY_NAME, PROXY_LISTEN, PROXY_DISCOVERY and PROXY_OPS override `name`, `listen`, `discovery` and `ops`.
     On a reload the file's `discovery` overrides the environment, which can't change while a process runs.
     """
     path = environment.get("PROXY_CONFIG")
@@ -135,6 +140,7 @@
 
 
 def parse(text: bytes, environment: Mapping[str, str], is_reload: bool = False) -> Config:
+    """Check the text of a configuration file, combined with the environment. Raises ConfigError."""
     try:
         file = msgspec.json.decode(text, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -161,7 +167,7 @@
     if len({discovery, *fallback_discovery}) <= len(fallback_discovery):
         raise ConfigError("discovery: an address occurs twice")
     if fallback_discovery and file.fleet is not None and file.fleet.recovery is not None:
-        # Members compare shared lists by generation, and several discovery services do not share one counter.
+        # Members compare shared lists by generation, which each discovery service counts on its own.
         raise ConfigError("discovery: several addresses can't be combined with fleet.recovery")
     if file.watch_ms is not None and not MIN_WATCH_MS <= file.watch_ms <= MAX_WATCH_MS:
         raise ConfigError(f"watch_ms: {file.watch_ms} is not from {MIN_WATCH_MS} to {MAX_WATCH_MS}")
@@ -186,6 +192,7 @@
 
 
 def _parse_address(key: str, text: str, lowest: int = 1) -> tuple[str, int]:
+    """Parse host:port with a port of at least `lowest`. An error names `key`."""
     try:
         return parse_host_port(text, lowest)
     except ValueError as error:
--- a/larkcrank/program/__init__.py
+++ b/larkcrank/program/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar as a program: wiring, signals, counters and the log."""
+"""The sidecar process: its components, signals, operators' calls, counters and log."""
--- a/larkcrank/program/clock.py
+++ b/larkcrank/program/clock.py
@@ -1,9 +1,9 @@
-"""The clock for all times that are passed to decisions."""
+"""The clock of a sidecar, for all times that its balancer receives."""
 
 import asyncio
 import time
 
-HEARTBEAT_MS = 20.0
+HEARTBEAT_MS = 20.0  # between two heartbeats
 
 
 class Clock:
@@ -20,12 +20,12 @@
         return self._offset_ms + time.monotonic() * 1000.0
 
     def start_heartbeat(self) -> None:
-        """Record that the process is running now, and repeat this every HEARTBEAT_MS."""
+        """Record the present time as a heartbeat, and repeat this every HEARTBEAT_MS."""
         self._heartbeat_at = self()
         asyncio.get_running_loop().call_later(HEARTBEAT_MS / 1000.0, self.start_heartbeat)
 
     def earliest_arrival(self) -> float:
-        """The earliest time at which data that is read now can have arrived.
+        """Return the earliest time at which data that is read now can have arrived.
 
         While the process gets no CPU time, requests wait unread, but their deadlines run on. After such a
         stall this is the last heartbeat before it.
--- a/larkcrank/program/counters.py
+++ b/larkcrank/program/counters.py
@@ -12,15 +12,15 @@
     connections: int = 0  # accepted from clients
     taken: int = 0  # valid requests that were accepted
     bad_requests: int = 0  # invalid or incomplete requests
-    turned_away_full: int = 0  # requests answered 503 because too many were open
+    turned_away_full: int = 0  # requests answered 503 because too many were in progress
     served: int = 0  # requests answered by a server
     refused: int = 0  # requests that the balancer refused
-    failed: int = 0  # requests that the sidecar answered with an error after trying
+    failed: int = 0  # requests answered with an error by the sidecar, after one or more attempts
     clients_gone: int = 0  # requests whose client disconnected before the answer
-    gone_before_send: int = 0  # of these, requests that were not sent to any server
-    overdue: int = 0  # requests still undecided at their deadline, answered 504
-    unsent_late: int = 0  # refused or failed after half of their time, without having been sent
-    sends: int = 0  # attempts
+    gone_before_send: int = 0  # requests in `clients_gone` that were not sent to any server
+    overdue: int = 0  # requests answered 504 at their deadline, as the balancer had not decided on them
+    unsent_late: int = 0  # requests refused or failed unsent, after half of the time to their deadline
+    sends: int = 0  # attempts started
     connects: int = 0  # connections opened for attempts
     reuses: int = 0  # attempts on a pooled connection
     lists: int = 0  # server lists received from discovery
@@ -35,4 +35,5 @@
         self.outcomes[result.value] += 1
 
     def as_dict(self) -> dict[str, object]:
+        """Return the counters by name, as fields of a log event."""
         return asdict(self)
--- a/larkcrank/program/handover.py
+++ b/larkcrank/program/handover.py
@@ -3,7 +3,7 @@
 The serving process listens on a Unix socket in a directory that both processes share. Its successor connects,
 receives one message (a header with a version and a length, then the body) and keeps the connection open. The
 end of the connection, which the kernel signals also after SIGKILL, tells each process that the other has
-exited. A file in place of the socket would not tell whether its writer still lives, and could be of any age.
+exited. A file instead of the socket would not show whether its writer is alive, and could be outdated.
 """
 
 import asyncio
@@ -30,7 +30,7 @@
     """The state of the process that serves now."""
 
     sidecar: str
-    settings: str  # must equal the receiver's, or the learned state means something else there
+    settings: str  # must equal the receiver's: with other settings the learned state does not apply
     generation: int | None  # of discovery's server list
     zones: list[str]
     kinds: list[str]
@@ -46,12 +46,13 @@
 
 
 def encode(message: HandoverMessage) -> bytes:
+    """Return the header and the body."""
     body = msgspec.msgpack.encode(message)
     return _HEADER.pack(_MAGIC, VERSION, len(body)) + body
 
 
 def decode(body: bytes, sidecar: str, settings: str) -> HandoverMessage:
-    """Raise `HandoverError` if the body is damaged, or comes from another sidecar or other settings."""
+    """Decode the body. Raises `HandoverError` if it is damaged, or of another sidecar or other settings."""
     try:
         message = _decoder.decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -102,13 +103,14 @@
         on_exit()
 
     def close(self) -> None:
+        """Close the connection. `on_exit` is not called any more."""
         if self._watch_task is not None:
             self._watch_task.cancel()
         self._writer.close()
 
 
 async def connect_to_predecessor(path: Path) -> Predecessor | None:
-    """Connect to the process that serves now. None if there is none."""
+    """Connect to the process that serves now. Returns None if there is none. Raises `HandoverError`."""
     try:
         async with asyncio.timeout(PREDECESSOR_TIMEOUT_S):
             return Predecessor(*await asyncio.open_unix_connection(str(path)))
@@ -123,7 +125,7 @@
 class HandoverServer:
     """Sends the handover message to successors and counts those that are connected.
 
-    It takes over the socket path atomically, also from a process that has died.
+    At its start it atomically replaces the socket of an earlier process, even one that was killed.
     """
 
     def __init__(
@@ -137,7 +139,7 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._socket_file_id: tuple[int, int] = (0, 0)  # device and inode
+        self._socket_file_id: tuple[int, int] = (0, 0)  # device, inode
 
     async def start(self) -> None:
         """Listen on the path. Raises OSError."""
@@ -157,7 +159,7 @@
             raise
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve in a task of its own: asyncio would log the cancellation of its own task as a crash."""
+        """Serve the successor in a task made here: asyncio logs the cancellation of its own as an error."""
         task = asyncio.get_running_loop().create_task(self._serve_successor(reader, writer))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/larkcrank/program/kept.py
+++ b/larkcrank/program/kept.py
@@ -1,8 +1,8 @@
-"""Learned state in a file that outlives the process: replaced atomically, read once at a start.
+"""Saves learned state in a file at a shutdown, and reads it at the next start.
 
-Only the usual answer time of each request class is kept, and it is used only if the class still has the same
-settings. Rate limits, outstanding attempts, backoffs, unused quota and the retry budget describe one moment
-of one fleet, so they start afresh.
+Only the usual answer time of each request class is saved, and it is used only if the class still has the same
+settings. Rate limits, outstanding attempts, backoffs, unused quota and the retry budget are soon
+outdated, so they start with their initial values.
 """
 
 import math
@@ -16,7 +16,7 @@
 
 VERSION = 1
 MAX_FILE_BYTES = 64 * 1024
-MAX_AGE_MS = 24 * 3600 * 1000.0  # a day later the servers may be different ones
+MAX_AGE_MS = 24 * 3600 * 1000.0  # after a day the servers and their answer times may have changed
 
 
 class LearnedStateError(Exception):
@@ -24,18 +24,22 @@
 
 
 class _SavedClass(msgspec.Struct):
-    settings: str  # of the request class, when the file was written
+    """The learned state of one request class."""
+
+    settings: str  # `repr` of the `RequestClass` when the file was written
     usual_ms: float  # usual answer time
 
 
 class _File(msgspec.Struct):
+    """The content of the file."""
+
     version: int
     saved_at_ms: float
-    classes: dict[str, _SavedClass]
+    classes: dict[str, _SavedClass]  # by name of the class
 
 
 def write(path: Path, now: float, classes: Sequence[RequestClass], answer_times: Sequence[float]) -> None:
-    """Replace the file atomically. Raises OSError."""
+    """Replace the file atomically. `answer_times` are in ms, one for each class. Raises OSError."""
     saved_classes = {
         request_class.name: _SavedClass(repr(request_class), answer_ms)
         for request_class, answer_ms in zip(classes, answer_times, strict=True)
--- a/larkcrank/program/log.py
+++ b/larkcrank/program/log.py
@@ -7,10 +7,12 @@
 
 import orjson
 
-MAX_LINES_PER_SECOND = 50  # lines above this are dropped, and their number is logged
+MAX_LINES_PER_SECOND = 50  # further lines of a second are dropped, and their number is logged later
 
 
 class Log:
+    """Writes events, and limits their number per second."""
+
     def __init__(self, name: str, out: BinaryIO | None = None) -> None:
         self._name = name
         self._out = out or sys.stderr.buffer
@@ -19,6 +21,7 @@
         self._dropped_lines = 0
 
     def event(self, name: str, **fields: object) -> None:
+        """Write an event with its fields, unless the limit for this second has been reached."""
         second = int(time.monotonic())
         if second != self._current_second:
             self._current_second, self._lines_this_second = second, 0
@@ -32,7 +35,7 @@
         self._write(name, fields)
 
     def log_exception(self, where: str, error: BaseException) -> None:
-        """Log an unexpected exception that ended one operation but not the process."""
+        """Log an unexpected exception that ended an operation, named by `where`, but not the process."""
         frames = []
         traceback = error.__traceback__
         while traceback is not None:
@@ -50,7 +53,7 @@
             self._out.write(orjson.dumps(line, default=repr, option=orjson.OPT_APPEND_NEWLINE))
             self._out.flush()
         except OSError:
-            return  # the reader of the log is gone; serving continues
+            return  # nobody reads standard error any more; serving continues
 
 
 class _EventHandler(logging.Handler):
--- a/larkcrank/program/ops.py
+++ b/larkcrank/program/ops.py
@@ -1,8 +1,8 @@
 """The server for operators' calls, on an address of its own.
 
-It runs on the event loop that also serves requests: each turn of the loop is bounded, and a thread would
-compete for the same core and the same lock. Operators have descriptors of their own, so that many clients
-cannot lock an operator out. If these run out, the oldest connection is closed in favour of a new one.
+It runs on the event loop that also serves requests: no iteration of the loop takes long, and a
+thread would compete for the same core and the interpreter lock. Some descriptors are reserved for operators,
+so that clients cannot use up all of them. If these run out, the oldest connection is closed for a new one.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from larkcrank.transport.descriptors import DescriptorBudget, SocketUse
 
 CALL_TIMEOUT_S = 2.0  # for receiving the complete call
-LINGER_S = 0.2  # further input is read before the close, which could otherwise discard the answer
+LINGER_S = 0.2  # further input is read for this long: closing with unread input can discard the answer
 
 
 class OperatorServer:
@@ -42,19 +42,22 @@
         descriptors.register_evictor(SocketUse.OPERATOR, self._close_oldest)
 
     def accept(self, connection: Connection) -> None:
+        """Answer the call on this connection in a task, then close the connection."""
         self._open_connections[connection] = None
         task = asyncio.get_running_loop().create_task(self._serve(connection))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def close(self) -> None:
+        """Cancel all calls in progress and close their connections."""
         for task in self._tasks:
             task.cancel()
 
     def _close_oldest(self) -> bool:
         """Close the oldest connection, if there is one, and return whether there was.
 
-        Each call is answered as soon as it is complete, so the oldest is silent or already answered.
+        Each call is answered as soon as it is complete, so the oldest connection has either sent no complete
+        call yet or been answered.
         """
         if not self._open_connections:
             return False
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -1,4 +1,4 @@
-"""Assembles the parts of a sidecar, and controls its start and its shutdown."""
+"""Assembles the components of a sidecar, and controls its start and its shutdown."""
 
 import asyncio
 import gc
@@ -34,19 +34,19 @@
 
 SHUTDOWN_ACCEPT_S = 0.55  # new connections keep arriving for up to 0.4 s after SIGTERM
 IDLE_CLOSE_DELAY_S = 0.4  # clients keep using their open connections for this long after SIGTERM
-MIN_IDLE_S = 0.2  # a client that was just answered may send its next request at any moment
-# With a passed socket, idle connections are kept for this long after SIGTERM. Most clients leave earlier, as
-# their next answer carries `Connection: close`, and reconnect to the successor.
+MIN_IDLE_S = 0.2  # connections idle for less stay open: a client often sends its next request soon
+# With a listening socket passed by the platform, idle connections stay open for this long after SIGTERM. Most
+# clients reconnect to the successor earlier, as their next answer carries `Connection: close`.
 HANDOVER_CLOSE_DELAY_S = 1.0
-DISCOVERY_WAIT_S = 2.5  # limit on the wait for discovery where the predecessor's message is unusable
+DISCOVERY_WAIT_S = 2.5  # limit on the wait for discovery if the predecessor's message is unusable
 MAX_DEADLINE_WAIT_MS = 3000.0  # at shutdown the platform waits for the longest deadline, up to this limit
-ANSWER_MARGIN_MS = 500.0  # after that wait; no request may be open then, 0.7 s before the platform kills
-ABORT_MARGIN_MS = 650.0  # after that wait; connections that are still reading or writing are aborted
+ANSWER_MARGIN_MS = 500.0  # added to the deadline wait; all requests end by then, 0.7 s before SIGKILL
+ABORT_MARGIN_MS = 650.0  # added to the deadline wait; connections still open then are aborted
 POLL_INTERVAL_S = 0.05
 
 
 class Sidecar:
-    """One sidecar process: connects its parts, and runs its start, reloads and shutdown."""
+    """One sidecar process: creates its components, and runs its start, reloads and shutdown."""
 
     def __init__(
         self,
@@ -121,7 +121,7 @@
         self._listener = Listener(
             config.listen, self.descriptors, self.clients.accept, passed_socket=passed_socket
         )
-        # Numbers of other live processes of this sidecar: predecessors, successors.
+        # Numbers of other live processes of this sidecar: [predecessors, successors].
         self._other_processes = [0, 0]
         self._predecessor: handover.Predecessor | None = None
         self._handover_server: handover.HandoverServer | None = None
@@ -144,10 +144,12 @@
 
     @property
     def listen_address(self) -> tuple[str, int]:
+        """Host and port for clients."""
         return self._listener.host_port
 
     @property
     def ops_address(self) -> tuple[str, int]:
+        """Host and port for operators' calls."""
         assert self._ops_listener is not None
         return self._ops_listener.host_port
 
@@ -162,7 +164,7 @@
             self.start_without_handover()
             return
         if self._ops_listener is not None:
-            self._ops_listener.start()  # operators can already ask, and learn that it is not ready yet
+            self._ops_listener.start()  # operators' calls are answered already, with "starting"
         path = handover.socket_path(tempfile.gettempdir(), self._config.name)
         message, must_wait = None, False
         try:
@@ -191,7 +193,7 @@
         )
         try:
             await self._handover_server.start()
-        except OSError as error:  # the next process has to start cold; this one can still serve
+        except OSError as error:  # the next process starts without a handover; this one can still serve
             self.log.event("handover_unavailable", message=str(error))
 
     def _handover_message(self) -> bytes:
@@ -208,7 +210,7 @@
         return handover.encode(message)
 
     def _settings_key(self) -> str:
-        """The settings as text. Two processes can share learned state only if theirs are equal."""
+        """Return the settings as text. Two processes may share learned state only if theirs are equal."""
         return repr(self._config.site)
 
     def _set_other_processes(self, position: int, count: int) -> None:
@@ -227,7 +229,7 @@
             self._join_fleet()
 
     def _make_fleet_member(self) -> "FleetMember | None":
-        """The fleet member, where a fleet is configured and the platform lets sidecars send messages."""
+        """Create the fleet member, if a fleet is configured and sidecars may send each other messages."""
         config = self._config
         if config.fleet is None:
             return None
@@ -241,7 +243,7 @@
         return FleetMember(config, self._names, self._clock, self.log, self._driver, rng)
 
     def _join_fleet(self) -> None:
-        """Join the fleet, unless a predecessor lives: the processes of a sidecar are one member."""
+        """Join the fleet, unless a predecessor is alive: only one process of a sidecar may be a member."""
         if self._fleet_member is not None and not self._other_processes[0]:
             self._fleet_member.attach(self._discovery)
             self._fleet_member.start()
@@ -258,7 +260,7 @@
 
     def _load_initial_servers(self, message: handover.HandoverMessage | None) -> None:
         server_list: ListUpdate | None = None
-        # Beside a predecessor, this process calls discovery without coordinating with the fleet.
+        # While a predecessor is the member, this process calls discovery without coordinating with the fleet.
         if self._fleet_member is not None and self._predecessor is None:
             self._fleet_member.attach(self._discovery)
         if message is not None:
@@ -267,7 +269,7 @@
             endpoints = tuple(server.endpoint for server in message.learnt.servers)
             server_list = ListUpdate(message.generation or 0, True, endpoints, message.places)
             self._discovery.set_generation(message.generation)
-            # The predecessor may have lost contact with discovery recently.
+            # The predecessor's last calls to discovery may have failed.
             self._discovery.mark_availability_unknown()
             self.log.event("taken_over", known=len(endpoints), taken=message.learnt.known[1])
         else:
@@ -278,7 +280,7 @@
                 self._discovery.set_generation(server_list.generation if server_list is not None else None)
         if server_list is None:
             server_list = ListUpdate(0, True, ())
-        # An empty list is passed on too: on its first event the balancer sets its timer for discovery calls.
+        # Even an empty list is passed on: at its first event the balancer sets its timer for discovery calls.
         self._driver.receive_list(server_list, cached=True)
         if self._always_watch:
             self._discovery.watch()
@@ -295,7 +297,7 @@
 
     def _on_operator_call(self, call: Call, succeeded: bool) -> None:
         self.counters.operators_calls += 1
-        if call not in (Call.PING, Call.VIEW):  # these two are polled and would flood the log
+        if call not in (Call.PING, Call.VIEW):  # these two are called often and would fill the log
             self.log.event("operators_call", call=call.name, done=succeeded, now=self.lifecycle.phase.value)
 
     def _on_phase_change(self) -> None:
@@ -345,7 +347,7 @@
         self.log.log_exception("loop", error)
 
     def reload(self) -> None:
-        """Apply the current configuration: the discovery addresses. All other keys need a restart."""
+        """Read the configuration again, and apply its discovery addresses. Other keys need a restart."""
         try:
             new_config = self._load_config()
         except ConfigError as error:
@@ -360,10 +362,12 @@
         self._discovery.move_to(new_config.discovery, new_config.fallback_discovery)
 
     def log_counters(self) -> None:
+        """Log all counters in one event."""
         fleet_counters = {} if self._fleet_member is None else self._fleet_member.counters()
         self.log.event("counters", **self.counters.as_dict(), **fleet_counters)
 
     async def run(self) -> None:
+        """Serve until SIGTERM or SIGINT, then shut down gracefully. Raises OSError if listening fails."""
         loop = asyncio.get_running_loop()
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             loop.add_signal_handler(signal_number, self.request_shutdown)
@@ -382,7 +386,7 @@
             gc.freeze()  # objects that live as long as the process need no further garbage collection
         await shutdown_wait
         start_task.cancel()  # has an effect only if shutdown was requested before the start completed
-        # Wait until the cancelled start has released or completed what it was setting up; then close.
+        # A cancelled start may still release resources; they are closed only after it has ended.
         await asyncio.wait((start_task,))
         await self.shut_down()
         self.save_learned_state()
@@ -392,14 +396,14 @@
     async def stop_listening(self) -> None:
         """Accept the connections that wait in the kernel's queue, then stop.
 
-        Where descriptors run out, each answered request releases one for the next connection.
+        If descriptors run out, idle connections are closed to release descriptors for the queued ones.
         """
         while not self._listener.accept_remaining_and_close():
             await asyncio.sleep(POLL_INTERVAL_S)
             self.clients.close_idle()
 
     def close(self) -> None:
-        """Release all resources except the clients' connections."""
+        """Release all resources except the clients' connections, at the end of a shutdown."""
         for listener in (self._listener, self._ops_listener, self._fleet_member):
             if listener is not None:
                 listener.close()
@@ -412,9 +416,9 @@
         self.pool.close()
 
     async def shut_down(self) -> None:
-        """Serve while clients still connect, then finish the accepted requests, then close."""
+        """Accept requests until clients have switched to other sidecars, answer them, then close."""
         self.log.event("winding_down", connections=self.clients.open_count)
-        # With a successor, this member of the fleet lives on in that process.
+        # If there is a successor, it continues this membership of the fleet.
         if self._fleet_member is not None and not self._other_processes[1]:
             self._fleet_member.leave()
         loop = asyncio.get_running_loop()
@@ -426,20 +430,20 @@
         self.lifecycle.begin_shutdown(self._clock() + answer_limit_ms)
         self._driver.limit_deadlines(self.lifecycle.latest_deadline)
         if self._listener.uses_passed_socket:
-            await (
-                self.stop_listening()
-            )  # connections that arrive later on the passed socket go to the successor
+            # Connections that arrive later on the passed socket go to the successor.
+            await self.stop_listening()
         while (elapsed := loop.time() - started_at) < (
             HANDOVER_CLOSE_DELAY_S if self._listener.uses_passed_socket else SHUTDOWN_ACCEPT_S
         ):
             await asyncio.sleep(POLL_INTERVAL_S)
             if elapsed >= IDLE_CLOSE_DELAY_S and not self._listener.uses_passed_socket:
-                # A client whose request crosses the close can reconnect: the listener is still open.
+                # A client that sends a request before it notices the close can reconnect.
                 self.clients.close_idle(MIN_IDLE_S)
         await self.stop_listening()
         min_idle_s = MIN_IDLE_S if self._listener.uses_passed_socket else 0.0
         while self.clients.open_count:
-            await asyncio.sleep(POLL_INTERVAL_S)  # first read the requests on the connections accepted last
+            # The sleep comes first, so that requests on the connections accepted last are read.
+            await asyncio.sleep(POLL_INTERVAL_S)
             self.clients.close_idle(min_idle_s)
             if loop.time() - started_at > (answer_limit_ms + ABORT_MARGIN_MS - ANSWER_MARGIN_MS) / 1000.0:
                 self.clients.abort_all()
--- a/larkcrank/program/start.py
+++ b/larkcrank/program/start.py
@@ -17,7 +17,7 @@
 
 def serve() -> int:
     """Run until a graceful shutdown. Returns 2 if the configuration is invalid, 1 if listening fails."""
-    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))  # until its handler is installed
+    signal.pthread_sigmask(signal.SIG_BLOCK, (signal.SIGHUP,))  # `Sidecar.run` unblocks it
     try:
         config = load(os.environ)
         passed_socket = None if config.passed_descriptor is None else adopt_socket(config.passed_descriptor)
--- a/larkcrank/program/together.py
+++ b/larkcrank/program/together.py
@@ -1,6 +1,7 @@
-"""The sidecar's part in its fleet: a view of the members and, where configured, a shared server list.
+"""The sidecar's membership of a fleet: a view of the members and, where configured, a shared server list.
 
-Loaded only where `fleet` is configured. The sidecar owns one `FleetMember`, which starts and stops its parts.
+Imported only if the configuration has a `fleet`. The sidecar owns one `FleetMember`, which starts and stops
+the fleet protocol and the recovery.
 """
 
 import asyncio
@@ -30,7 +31,7 @@
 
 
 class FleetMember:
-    """One sidecar as a member of its fleet."""
+    """Runs the fleet protocol and, where configured, the recovery of one sidecar."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         self._zone = zones[zone_number] if zone_number < len(zones) else str(zone_number)
         self._config, self._clock, self._log, self._driver = config, clock, log, driver
         configured_size = FleetSize(decisions.instances, decisions.ordinal, decisions.instances)
-        self._speaker = FleetProtocol(
+        self._protocol = FleetProtocol(
             config.fleet,
             config.name,
             self._zone,
@@ -75,14 +76,15 @@
         return configured if self._recovery is None else self._recovery.initial_list(configured)
 
     def start(self) -> None:
+        """Start the fleet protocol in a task. Further calls have no effect."""
         if self._start_task is None:
             self._start_task = asyncio.get_running_loop().create_task(self._start())
 
     async def _start(self) -> None:
         if self._recovery is not None:
-            self._speaker.set_extra_seeds(self._recovery.previous_members)
+            self._protocol.set_extra_seeds(self._recovery.previous_members)
         try:
-            await self._speaker.start()
+            await self._protocol.start()
         except OSError as error:  # the sidecar serves without a fleet
             self._log.event("fleet_off", reason=str(error))
             if self._recovery is not None:
@@ -90,25 +92,28 @@
 
     def leave(self) -> None:
         """Tell other members that this one shuts down."""
-        self._speaker.leave()
+        self._protocol.leave()
 
     def close(self) -> None:
+        """Stop the fleet protocol and the recovery without a message to other members."""
         if self._start_task is not None:
             self._start_task.cancel()
         if self._recovery is not None:
             self._recovery.close()
-        self._speaker.close()
+        self._protocol.close()
 
     def view(self) -> str:
-        return self._speaker.view()
+        """Return the members as this one sees them, as one line of text for operators."""
+        return self._protocol.view()
 
     def counters(self) -> dict[str, Any]:
+        """Return the counters of the fleet protocol and of the recovery, as fields of a log event."""
         recovery_counters = {} if self._recovery is None else {"recovery": self._recovery.counters()}
-        return {"fleet": asdict(self._speaker.counters)} | recovery_counters
+        return {"fleet": asdict(self._protocol.counters)} | recovery_counters
 
     def _on_joined(self, membership: Membership, now: float) -> None:
         if self._recovery is not None:
-            self._recovery.on_joined(membership, self._speaker, self._zone, now)
+            self._recovery.on_joined(membership, self._protocol, self._zone, now)
 
     def _step_recovery(self, now: float) -> list[OutgoingMessage]:
         return [] if self._recovery is None else self._recovery.step(now)
@@ -134,34 +139,38 @@
         decisions = config.site.decisions
         self.previous_members: list[str] = []  # host:port of members in the snapshot
         self._config, self._fleet_name, self._recovery_config = config, config.fleet.name, recovery
-        self._names, self._clock, self._log, self._driver, self._rng = names, clock, log, driver, rng
+        self._name_table, self._clock, self._log, self._driver, self._rng = names, clock, log, driver, rng
         self._started_at = clock()
-        self._asking = DiscoveryCallGate(
+        self._call_gate = DiscoveryCallGate(
             config.name, decisions.instances, decisions.ordinal, self._started_at, rng.random()
         )
-        self._lists: SharedServerList | None = None  # None until the fleet is joined
+        self._server_list: SharedServerList | None = None  # None until the fleet is joined
         self._membership: Membership | None = None
-        self._speaker: FleetProtocol | None = None
+        self._protocol: FleetProtocol | None = None
         self._zone = ""
-        self._restart = RestartKind.UNKNOWN
-        # Lists that discovery sent before the fleet was joined: received at, entries, generation, complete.
+        self._restart_kind = RestartKind.UNKNOWN
+        # Lists that discovery sent before the fleet was joined. Each: time of receipt (clock, ms), entries,
+        # generation, whether the list is complete (not only the changes).
         self._early_lists: list[tuple[float, list[ServerEntry], int, bool]] = []
-        # Entries and generation of the list at the start (-1: none), and its age in ms (-1: unknown).
+        # The list at the start: entries, generation (-1: there is no list), age in ms (-1: unknown).
         self._initial_list: tuple[list[ServerEntry], int, float] = [], -1, -1.0
-        # Draining and removed servers of the snapshot, by name: start time, state, since when this was known.
-        self._gone: dict[str, tuple[float, State, float]] = {}
+        # Draining and removed servers of the snapshot, by name. Each: the server's start time (Unix, ms), its
+        # state, and the time at which the fleet learned of this state (clock, ms).
+        self._departed_servers: dict[str, tuple[float, State, float]] = {}
         self._forward_list: Callable[[ListUpdate], None] = driver.receive_list
         self._forward_failure: Callable[[str], None] = lambda reason: None
         self._is_disabled = False
-        self._saved_content: object = None  # identifies the content of the last snapshot written
+        # The second value of `_encode_snapshot` at the last successful write.
+        self._saved_content: object = None
         self._next_save_at = self._started_at + MIN_SAVE_INTERVAL_MS
         self._save_future: asyncio.Future[None] | None = None
-        self._saves = self._save_failures = 0
+        self._save_count = self._save_failure_count = 0
         self._last_save_failed = False
 
     def attach(self, discovery: DiscoveryClient) -> None:
-        """Intercept discovery's callbacks; the previous ones are called afterwards. Discovery is then called
-        only when the fleet permits it.
+        """Replace the callbacks of the discovery client, and call the previous ones from the new ones.
+
+        From then on, the client calls discovery only when `_may_call_discovery` permits it.
         """
         self._forward_list, self._forward_failure = discovery.on_list, discovery.on_failure
         discovery.on_list, discovery.on_failure, discovery.may_call = (
@@ -174,14 +183,15 @@
         """Behave as without a fleet: forward discovery's lists unchanged and allow every call."""
         self._is_disabled = True
 
-    def on_joined(self, membership: Membership, speaker: FleetProtocol, zone: str, now: float) -> None:
-        self._membership, self._speaker, self._zone = membership, speaker, zone
+    def on_joined(self, membership: Membership, protocol: FleetProtocol, zone: str, now: float) -> None:
+        """Start sharing server lists, with the list at the start and those received before the joining."""
+        self._membership, self._protocol, self._zone = membership, protocol, zone
         rng = Random(self._rng.getrandbits(64))
-        lists = self._lists = SharedServerList(membership, self._recovery_config.same_places, rng, now)
-        lists.load_departed(self._gone)
-        initial_lines, initial_generation, age_ms = self._initial_list
+        lists = self._server_list = SharedServerList(membership, self._recovery_config.same_places, rng, now)
+        lists.load_departed(self._departed_servers)
+        initial_entries, initial_generation, age_ms = self._initial_list
         if initial_generation >= 0:
-            lists.load_saved(initial_lines, initial_generation, age_ms if age_ms >= 0.0 else float("inf"))
+            lists.load_saved(initial_entries, initial_generation, age_ms if age_ms >= 0.0 else float("inf"))
         for received_at, entries, generation, is_complete in self._early_lists:
             lists.on_discovery_list(received_at, entries, generation, is_complete)
         self._early_lists.clear()
@@ -190,9 +200,9 @@
 
     def _on_list(self, list_update: ListUpdate) -> None:
         now = self._clock()
-        self._asking.on_success()
+        self._call_gate.on_success()
         entries = self._entries_of(list_update)
-        if self._lists is None:
+        if self._server_list is None:
             if not self._is_disabled:
                 self._early_lists = [
                     *self._early_lists,
@@ -200,7 +210,9 @@
                 ][-MAX_EARLY_LISTS:]
             self._forward_list(list_update)
             return
-        accepted = self._lists.on_discovery_list(now, entries, list_update.generation, list_update.is_full)
+        accepted = self._server_list.on_discovery_list(
+            now, entries, list_update.generation, list_update.is_full
+        )
         self._forward_list(
             list_update
             if accepted == entries
@@ -208,63 +220,68 @@
         )
 
     def _on_failure(self, reason: str) -> None:
-        self._asking.on_failure(self._clock())
+        self._call_gate.on_failure(self._clock())
         self._forward_failure(reason)
 
     def _may_call_discovery(self) -> bool:
         if self._is_disabled or (self._membership is not None and self._membership.is_duplicate):
             return True
         live_members = [] if self._membership is None else list(self._membership.live_members)
-        reported_at = -float("inf") if self._lists is None else self._lists.reported_at
-        # While members do not answer, they may be unreachable: their turns must not be waited for.
+        reported_at = -float("inf") if self._server_list is None else self._server_list.reported_at
+        # A score above 0 means that members recently failed to answer this one. They may be unreachable, so
+        # this member must not wait while it is their turn to call.
         is_isolated = self._membership is not None and self._membership.local_health_score > 0
-        return self._asking.may_call(self._clock(), live_members, reported_at, is_isolated)
+        return self._call_gate.may_call(self._clock(), live_members, reported_at, is_isolated)
 
     # Lists from other members
 
     def step(self, now: float) -> list[OutgoingMessage]:
-        """Run periodic work. Return the messages to send."""
-        assert self._lists is not None
-        messages = self._lists.tick(now)
-        shared_list = self._lists.take_update(now)
-        if shared_list is not None:
-            self._apply_shared_list(shared_list)
-        if self._restart is RestartKind.UNKNOWN and now < self._started_at + RESTART_DETECTION_MS:
+        """Apply a newer shared list, detect the kind of restart, save the snapshot.
+
+        Return the messages to send.
+        """
+        assert self._server_list is not None
+        messages = self._server_list.tick(now)
+        shared_update = self._server_list.take_update(now)
+        if shared_update is not None:
+            self._apply_shared_list(shared_update)
+        if self._restart_kind is RestartKind.UNKNOWN and now < self._started_at + RESTART_DETECTION_MS:
             self._detect_restart(now)
         if now >= self._next_save_at:
             self._save(now)
         return messages
 
-    def _apply_shared_list(self, shared_list: SharedListUpdate) -> None:
-        list_update = self._make_list_update(shared_list.generation, True, shared_list.entries)
+    def _apply_shared_list(self, shared_update: SharedListUpdate) -> None:
+        list_update = self._make_list_update(shared_update.generation, True, shared_update.entries)
         self._log.event(
             "list_from_fellow",
-            generation=shared_list.generation,
-            by=shared_list.source,
-            servers=len(shared_list.entries),
+            generation=shared_update.generation,
+            by=shared_update.source,
+            servers=len(shared_update.entries),
         )
         self._driver.receive_list(list_update, cached=True)
 
     def _detect_restart(self, now: float) -> None:
-        """Infer from the ages of the other processes whether one member, a zone or the fleet restarted."""
-        assert self._lists is not None and self._membership is not None and self._speaker is not None
-        ranks = self._speaker.size_tracker
-        if ranks is None or ranks.distrust_reason is DistrustReason.JUST_STARTED:
+        """Infer whether this member, its zone or the fleet restarted, from how long other members run."""
+        assert self._server_list is not None and self._membership is not None and self._protocol is not None
+        size_tracker = self._protocol.size_tracker
+        if size_tracker is None or size_tracker.distrust_reason is DistrustReason.JUST_STARTED:
             return
-        ages_ms = {name: now - started_at for name, started_at in self._lists.peer_started_at.items()}
+        ages_ms = {name: now - started_at for name, started_at in self._server_list.peer_started_at.items()}
         zones = {name: record.zone for name, record in self._membership.live_members.items()}
-        self._restart = classify_restart(now - self._started_at, ages_ms, zones, self._zone)
-        if self._restart is not RestartKind.UNKNOWN:
-            self._log.event("fleet_restart", restart=self._restart.value, asked=len(ages_ms))
+        self._restart_kind = classify_restart(now - self._started_at, ages_ms, zones, self._zone)
+        if self._restart_kind is not RestartKind.UNKNOWN:
+            self._log.event("fleet_restart", restart=self._restart_kind.value, asked=len(ages_ms))
 
     def counters(self) -> dict[str, Any]:
-        lists = self._lists
+        """Return the counters of the recovery, as fields of a log event."""
+        lists = self._server_list
         return {
             "lists_taken": 0 if lists is None else lists.adopted_count,
             "refused": {} if lists is None else dict(lists.rejected_counts),
-            "restart": self._restart.value,
-            "saves": self._saves,
-            "save_failures": self._save_failures,
+            "restart": self._restart_kind.value,
+            "saves": self._save_count,
+            "save_failures": self._save_failure_count,
         }
 
     # The snapshot
@@ -272,25 +289,25 @@
     def initial_list(self, list_update: ListUpdate | None) -> ListUpdate | None:
         """Read the snapshot, and return the newer of its list and the configured `list_update`.
 
-        Also keeps the snapshot's member addresses and removed servers.
+        Also store the snapshot's member addresses, and its draining and removed servers.
         """
-        loaded = self._read_snapshot()
-        if loaded is not None:
-            since_save_ms = max(self._clock() - loaded.saved_at_ms, 0.0)
-            self.previous_members = loaded.places[: snapshot.MAX_PEER_ADDRESSES]
+        saved = self._read_snapshot()
+        if saved is not None:
+            since_save_ms = max(self._clock() - saved.saved_at_ms, 0.0)
+            self.previous_members = saved.places[: snapshot.MAX_PEER_ADDRESSES]
             now = self._clock()
-            self._gone = {
+            self._departed_servers = {
                 server.name: (
                     server.started_at_ms,
                     State(server.state),
                     now - server.age_ms - since_save_ms,
                 )
-                for server in loaded.gone
+                for server in saved.gone
             }
-            if loaded.generation >= 0 and (list_update is None or loaded.generation > list_update.generation):
-                age_ms = loaded.list_age_ms + since_save_ms if loaded.list_age_ms >= 0.0 else -1.0
-                list_update = self._make_list_update(loaded.generation, True, loaded.lines)
-                self._initial_list = loaded.lines, loaded.generation, age_ms
+            if saved.generation >= 0 and (list_update is None or saved.generation > list_update.generation):
+                age_ms = saved.list_age_ms + since_save_ms if saved.list_age_ms >= 0.0 else -1.0
+                list_update = self._make_list_update(saved.generation, True, saved.lines)
+                self._initial_list = saved.lines, saved.generation, age_ms
                 return list_update
         if list_update is not None:
             self._initial_list = self._entries_of(list_update), list_update.generation, -1.0
@@ -301,12 +318,12 @@
             return None
         path = Path(self._recovery_config.snapshot)
         try:
-            loaded = snapshot.read(path, self._fleet_name, self._config.name, self._clock())
+            saved = snapshot.read(path, self._fleet_name, self._config.name, self._clock())
         except snapshot.SnapshotError as error:
             self._log.event("snapshot_unusable", why=error.reason, message=str(error))
             return None
-        self._log.event("snapshot_taken", generation=loaded.generation, servers=len(loaded.lines))
-        return loaded
+        self._log.event("snapshot_taken", generation=saved.generation, servers=len(saved.lines))
+        return saved
 
     def _save(self, now: float) -> None:
         """Write a snapshot if its content has changed, in a thread: a slow disk must not block the loop."""
@@ -331,34 +348,40 @@
         error = future.exception()
         if error is None:
             self._saved_content, self._last_save_failed = content, False
-            self._saves += 1
+            self._save_count += 1
             return
-        self._save_failures += 1
+        self._save_failure_count += 1
         if not self._last_save_failed:  # log only the first of several failures in a row
             self._last_save_failed = True
             self._log.event("snapshot_not_written", message=str(error))
 
     def _encode_snapshot(self, now: float) -> tuple[bytes | None, object]:
-        """The encoded snapshot (None: not available or too large), and a value that changes with its content.
+        """Return the encoded snapshot (None: not available or too large) and a value that equals the value of
+        another snapshot if their content is the same.
 
-        The value leaves out ages, which change all the time and need no new write.
+        The value leaves out the ages of list and servers: they change all the time, and need no new write.
         """
-        lists, membership = self._lists, self._membership
-        if lists is None or membership is None or self._speaker is None or self._speaker.size_tracker is None:
+        lists, membership = self._server_list, self._membership
+        if (
+            lists is None
+            or membership is None
+            or self._protocol is None
+            or self._protocol.size_tracker is None
+        ):
             return None, None
         other_members = (
             record.address
             for record in membership.live_members.values()
             if record.name != membership.local_record.name
         )
-        places = sorted(other_members)[: snapshot.MAX_PEER_ADDRESSES]
-        gone = [
+        peer_addresses = sorted(other_members)[: snapshot.MAX_PEER_ADDRESSES]
+        departed_servers = [
             snapshot.DepartedServer(name, started_ms, int(state), now - known_since)
             for name, (started_ms, state, known_since) in lists.departed().items()
         ]
         entries = [lists.entries[name] for name in sorted(lists.entries)]
         list_age_ms = now - lists.reported_at if lists.is_reported else -1.0
-        size = self._speaker.size_tracker.current.count
+        size = self._protocol.size_tracker.current.count
         snapshot_now = snapshot.Snapshot(
             self._fleet_name,
             self._config.name,
@@ -366,19 +389,26 @@
             lists.generation,
             list_age_ms,
             entries,
-            gone,
-            places,
+            departed_servers,
+            peer_addresses,
             size,
         )
         data = snapshot.encode(snapshot_now)
-        content = lists.generation, tuple(entries), tuple(server.name for server in gone), tuple(places), size
+        content = (
+            lists.generation,
+            tuple(entries),
+            tuple(server.name for server in departed_servers),
+            tuple(peer_addresses),
+            size,
+        )
         return (data if len(data) <= snapshot.MAX_FILE_BYTES else None), content
 
     def close(self) -> None:
+        """Cancel a write of the snapshot that has not begun."""
         if self._save_future is not None:
             self._save_future.cancel()
 
-    # Conversion between the list updates of discovery and the entries of the fleet
+    # Conversion between discovery's `ListUpdate` and the `ServerEntry` of messages between members
 
     def _entries_of(self, list_update: ListUpdate) -> list[ServerEntry]:
         return [self._entry_of(endpoint, list_update) for endpoint in list_update.endpoints]
@@ -388,8 +418,8 @@
         return ServerEntry(
             endpoint.address.decode(),
             int(endpoint.state),
-            self._names.zones[endpoint.zone],
-            self._names.kinds[endpoint.kind],
+            self._name_table.zones[endpoint.zone],
+            self._name_table.kinds[endpoint.kind],
             endpoint.cell,
             endpoint.size,
             endpoint.started_at,
@@ -404,10 +434,11 @@
             state, address = State(entry.state), entry.name.encode()
             try:
                 host_ports[address] = parse_host_port(entry.host_port)
-            except ValueError:  # as for such an entry of discovery: the server gets no new requests
+            except ValueError:
+                # Without a valid host:port the server gets no new requests, as in discovery's lists.
                 state = State.GONE if state is State.GONE else State.DRAINING
-            zone = NameTable.number_of(self._names.zones, entry.zone)
-            kind = NameTable.number_of(self._names.kinds, entry.kind)
+            zone = NameTable.number_of(self._name_table.zones, entry.zone)
+            kind = NameTable.number_of(self._name_table.kinds, entry.kind)
             endpoints.append(
                 Endpoint(address, state, zone, entry.cell, kind, entry.size, entry.started_at_ms)
             )
