--- a/larkcrank/config/settings.py
+++ b/larkcrank/config/settings.py
@@ -34,7 +34,7 @@
     group: str = "all"  # which servers share the deduplication of a keyed request: a key of `_GROUPS`
     window_ms: float = 0.0  # how long the servers deduplicate a keyed request
     late_value: float = 0.0  # fraction of `points` for an answer after the target, but before the deadline
-    streaming: bool = False  # whether the response is a stream, read at the client's pace
+    streaming: bool = False  # whether responses are streamed to the client
     in_turn: bool = False  # whether requests with the same key run one at a time, in order of arrival
 
 
--- a/larkcrank/program/counters.py
+++ b/larkcrank/program/counters.py
@@ -15,12 +15,12 @@
     turned_away_full: int = 0  # requests answered 503 because too many were in progress
     served: int = 0  # requests answered by a server
     refused: int = 0  # requests that the balancer refused
-    failed: int = 0  # requests answered with an error by the sidecar, after one or more attempts
+    failed: int = 0  # requests that the sidecar answered with an error other than a refusal
     clients_gone: int = 0  # requests whose client disconnected before the answer
     gone_before_send: int = 0  # requests in `clients_gone` that were not sent to any server
     overdue: int = 0  # requests answered 504 at their deadline, as the balancer had not decided on them
     unsent_late: int = 0  # requests refused or failed unsent, after half of the time to their deadline
-    sends: int = 0  # attempts started
+    sends: int = 0  # attempts that began to write the request to a server
     connects: int = 0  # connections opened for attempts
     reuses: int = 0  # attempts on a pooled connection
     lists: int = 0  # server lists received from discovery
--- a/larkcrank/program/sidecar.py
+++ b/larkcrank/program/sidecar.py
@@ -269,7 +269,7 @@
             endpoints = tuple(server.endpoint for server in message.learnt.servers)
             server_list = ListUpdate(message.generation or 0, True, endpoints, message.places)
             self._discovery.set_generation(message.generation)
-            # The predecessor's last calls to discovery may have failed.
+            # Discovery may no longer respond, so the first call must be one that does not wait.
             self._discovery.mark_availability_unknown()
             self.log.event("taken_over", known=len(endpoints), taken=message.learnt.known[1])
         else:
@@ -394,7 +394,7 @@
         self.log.event("ended")
 
     async def stop_listening(self) -> None:
-        """Accept the connections that wait in the kernel's queue, then stop.
+        """Accept the connections that wait in the kernel's queue, then stop. A passed socket's stay queued.
 
         If descriptors run out, idle connections are closed to release descriptors for the queued ones.
         """
