--- a/larkcrank/fleet/__init__.py
+++ b/larkcrank/fleet/__init__.py
@@ -1,1 +1,4 @@
-"""What the sidecars do together. Nothing here does I/O but the modules that say so; off unless configured."""
+"""Fleet of sidecars: membership, ordinals and shared server lists. It is optional and off by default.
+
+Only `speaker` (datagrams) and `snapshot` (files) do I/O.
+"""
--- a/larkcrank/fleet/asking.py
+++ b/larkcrank/fleet/asking.py
@@ -1,7 +1,7 @@
-"""Limits the calls to discovery after a failure: a few members call it in turns, and share the list. No I/O.
+"""Limits the calls to discovery after a failure: members call it in turns and share the list. No I/O.
 
-Times are milliseconds of Unix time on the caller's clock. The turns are derived from it, so members agree on
-them as far as their clocks do.
+Times are milliseconds of Unix time on the caller's clock. A turn is a time slot of TURN_MS, numbered from the
+Unix epoch, in which one member may call. Members with synchronized clocks agree on the current turn.
 """
 
 import math
@@ -9,22 +9,28 @@
 from functools import lru_cache
 from hashlib import blake2b
 
-# One member may call per turn; a member that is dead, partitioned or failing loses only its turn. With turns
-# of 2 s, the first member had the list 1.5 to 2 s after discovery was back, and the fleet used the old list
-# for as long.
+# Duration of a turn, in which one member may call. A member that is dead, partitioned or failing wastes only
+# its own turn. With turns of 2 s, no member received the list until 1.5 to 2 s after discovery had recovered,
+# and the fleet used the old list until then.
 TURN_MS = 1000.0
-MIN_EARLY_WATCHERS = 2  # members that watch discovery as soon as a list is known ...
-EARLY_WATCHER_SHARE = 0.1  # ... or this share of the fleet, if that is more
-WATCH_DELAY_MS = 30_000.0  # the other members watch again after this delay ...
-WATCH_SPREAD_PER_MEMBER_MS = 150.0  # ... plus a random delay of up to this value times the fleet's size
-FIRST_CONTACT_WAIT_MS = 1000.0  # until then only ordinal 0 calls without peers, since turns need live members
-ALONE_MS = 5000.0  # a member without contact for this long calls as if it were the only one
-ALONE_RETRY_TURNS = 2  # turns between calls of a member that is alone; many may be alone at once
-REPORT_MAX_AGE_MS = 20_000.0  # a list that discovery reported to a peer this recently makes a call needless
+# Once a member has received a list after a failure, the early watchers may call discovery at once. They are
+# this many members, or this share of the fleet if that is more.
+MIN_EARLY_WATCHERS = 2
+EARLY_WATCHER_SHARE = 0.1
+# Every other member may call after a fixed delay plus a random one of up to the spread times the fleet size.
+WATCH_DELAY_MS = 30_000.0
+WATCH_SPREAD_PER_MEMBER_MS = 150.0
+# For this long after its start or the first failure, a member without peers calls only if its configured
+# ordinal is 0, since turns are taken among live members and none are known yet.
+FIRST_CONTACT_WAIT_MS = 1000.0
+ALONE_MS = 5000.0  # after this time from its start, a member without peers calls as if it were the only one
+ALONE_RETRY_TURNS = 2  # turns between calls of a member without peers; there may be many such members
+REPORT_MAX_AGE_MS = 20_000.0  # a list that discovery reported to a peer this recently shows that it is up
 
 
 @lru_cache(maxsize=4096)
 def turn_order_key(name: str) -> bytes:
+    """Return a hash of a member's name; members take turns in the order of these hashes."""
     return blake2b(name.encode(), digest_size=8, person=b"asking").digest()
 
 
@@ -32,14 +38,18 @@
     """Decides whether one member may call discovery. In normal operation, every member may."""
 
     def __init__(self, name: str, count: int, ordinal: int, now: float, random_share: float) -> None:
-        """`count` and `ordinal` are configured and apply until peers are met; `random_share` is in [0, 1]."""
+        """Start with calls limited to turns, as after a failure.
+
+        `count` and `ordinal` are the configured fleet size and ordinal; they apply until a peer is met.
+        `random_share`, in [0, 1], is this member's share of the maximum random delay.
+        """
         self.is_unrestricted = False
         self._name, self._configured_count, self._configured_ordinal = name, max(count, 1), ordinal
         self._started_at, self._random_share = now, random_share
-        self._alone_at = now + ALONE_MS  # counted from the start only, not again after a failure
-        self._list_known_at = math.inf
-        self._failing_since = -math.inf
-        self._last_failed_turn = -ALONE_RETRY_TURNS  # at most one call per turn
+        self._alone_at = now + ALONE_MS  # not reset after a failure
+        self._list_known_at = math.inf  # when a list was first known after the failure
+        self._failing_since = -math.inf  # time of the first of consecutive failures; -inf: no failure
+        self._last_failed_turn = -ALONE_RETRY_TURNS  # no second call is made in the same turn
 
     def on_failure(self, now: float) -> None:
         """Handle a failed call: discovery is down or unreachable, so the next calls are made in turns."""
@@ -50,7 +60,7 @@
         self._last_failed_turn = self._turn_at(now)
 
     def on_success(self) -> None:
-        """Handle an answer of discovery to this member."""
+        """Handle an answer of discovery to this member: it may call at any time again."""
         self.is_unrestricted, self._failing_since = True, -math.inf
 
     def may_call(
@@ -59,8 +69,8 @@
         """Return whether to call discovery now.
 
         `list_reported_at`: when discovery reported the list in use to the first member that received it.
-        `is_isolated`: members that count as live do not answer. Then most turns may belong to dead members,
-        and no list arrives from peers.
+        `is_isolated`: whether members that count as live fail to answer. If so, turns are not used, since
+        most of them may belong to dead members, and no list arrives from peers.
         """
         if self.is_unrestricted:
             return True
@@ -77,7 +87,7 @@
             if has_peers
             else (self._configured_ordinal % self._configured_count, self._configured_count)
         )
-        # A report from before the failure does not show that discovery is up again.
+        # Only a report from after the failure shows that discovery is up again.
         if self._failing_since < list_reported_at and now < list_reported_at + REPORT_MAX_AGE_MS:
             self._list_known_at = min(self._list_known_at, now)
         if self._list_known_at < math.inf:
@@ -95,10 +105,11 @@
     def _turn_at(now: float) -> int:
         """Return the number of the current turn, which is the same for all members.
 
-        Turns counted from each member's own failure left gaps of many turns.
+        If each member counted turns from its own failure, there could be many turns in which no member calls.
         """
         return int(now / TURN_MS)
 
     def _turn_position(self, live_names: Collection[str]) -> tuple[int, int]:
+        """Return this member's position in the order of turns, and the number of live members."""
         own_key = turn_order_key(self._name)
         return sum(turn_order_key(other) < own_key for other in live_names), len(live_names)
--- a/larkcrank/fleet/lists.py
+++ b/larkcrank/fleet/lists.py
@@ -1,21 +1,27 @@
-"""The server list as shared between the sidecars: a member with a newer list passes it on. No I/O.
-
-Lists are ordered as follows: a list that discovery reported to some member is newer than one from before a
-restart; then a higher epoch is newer (discovery restarted its generation count); then a higher generation.
-A list that this member receives from discovery itself replaces what it got from peers.
-
-What peers send is trusted within limits, so that a peer that is wrong or lags does little harm:
-- A server that is known to drain or to be gone stays so until it is started again with a later start time.
+"""Shares the server list between sidecars: a member with a newer list sends it to its peers. No I/O.
+
+The newer of two lists is determined by the first of these criteria in which they differ:
+1. A list that discovery reported at most MAX_PEER_LIST_AGE_MS ago is newer than one whose report is older, or
+   is from before a restart and has no known time.
+2. The list with the higher epoch is newer. The epoch is the number of times that discovery restarted its
+   generation count.
+3. The list with the higher generation is newer.
+A list that this member receives from discovery itself replaces the lists that it received from peers.
+
+Lists from peers are trusted within limits, so that a peer whose list is wrong or outdated does little harm:
+- A server that is known to drain or to be gone keeps that state until an entry with a later start time shows
+  that it was restarted.
 - A list that removes more than half of the ready servers must be confirmed by two peers that received it from
-  discovery itself. Until then the servers of both lists are used; failing ones are detected by their answers.
-- A list that is older than MAX_PEER_LIST_AGE_MS is not adopted, and is offered only as one from before a
-  restart.
+  discovery itself. Until then the servers of both lists are used; the balancer detects those that fail.
+- A list that is older than MAX_PEER_LIST_AGE_MS is not adopted. It is offered to peers only as a list from
+  before a restart.
 - An empty list is never adopted from peers.
-- Discovery is considered to have restarted its generation count once two members received the lower count
-  from it and no member recently received another.
-- Server addresses (host:port) are each member's own, unless the operator declares them the same for all. If
-  they are not, a server whose address is unknown here, or that was restarted at another address, gets no
-  requests.
+- Discovery is considered to have restarted its generation count once two members received a lower generation
+  from it and no member recently received the former one or a higher one. If only one member received it, this
+  takes COUNT_RESTART_CONFIRM_MS.
+- Each member may reach a server at a different address (host:port), unless the operator declares that the
+  addresses are the same for all members. If they may differ, an entry from a peer is used only if this member
+  knows an address of the same server with the same start time.
 
 Times are milliseconds on the caller's clock. Messages contain ages only, so the clocks need not agree.
 """
@@ -43,25 +49,27 @@
 )
 
 STATUS_INTERVAL_MS = 1000.0  # between status messages, each to one member
-NEW_LIST_FANOUT = 3  # members that are told at once of a newer list
+NEW_LIST_FANOUT = 3  # members to which a newer list is announced at once
 MAX_PEER_LIST_AGE_MS = trust.SERVER_LIST.peer_max_age_ms  # since discovery reported the list
-DISCOVERY_REPORT_MAX_AGE_MS = 20_000.0  # an older answer of discovery says nothing about its present count
+DISCOVERY_REPORT_MAX_AGE_MS = 20_000.0  # older reports say nothing about its current generation
 # If a single member receives lower generations from discovery for this long, the count was restarted.
 COUNT_RESTART_CONFIRM_MS = 30_000.0
 DEPARTED_RETENTION_MS = trust.DEPARTED_SERVERS.restart_max_age_ms  # how long departed servers are remembered
 MAX_DEPARTED_SERVERS = 1024
-MAX_CONFIRMED_LISTS = 16  # lists for which it is remembered which peers hold them
+MAX_CONFIRMED_LISTS = 16  # lists whose confirmations by peers are stored
 REQUEST_TIMEOUT_MS = 200.0
-MAX_REQUEST_ATTEMPTS = 8  # then the next peer that offers the list is asked
+MAX_REQUEST_ATTEMPTS = 8  # then the transfer is dropped, and another peer may offer the list
 CONFIRMATION_INTERVAL_MS = 300.0  # between status messages while a list needs confirmation by a second peer
 CONFIRMATION_TIMEOUT_MS = 3000.0  # after this, the search for a second peer stops
 MAX_LIST_ENTRIES = 4096  # of a list from peers
 MAX_CHUNK_BYTES = MAX_DATAGRAM_BYTES - MAC_BYTES - 1 - 60
 MAX_UNCONFIRMED_REMOVAL_SHARE = 0.5  # of the ready servers, that one peer's list may remove
-REQUIRED_CONFIRMATIONS = 2  # peers that must hold the same list where one is not enough
-CHUNK_OVERHEAD_BYTES = 8
+REQUIRED_CONFIRMATIONS = 2  # reports from different members, where a single one is not trusted
+CHUNK_OVERHEAD_BYTES = 8  # reserved for the length prefixes of a chunk's last name and entries
 STATUS_PADDING_BYTES = 24  # reserves room for an answer whose values take more bytes
 
+# Whether discovery reported the list within MAX_PEER_LIST_AGE_MS, its epoch, its generation. Compared to
+# determine the newer of two lists, which ranks higher.
 ListRank = tuple[bool, int, int]
 
 
@@ -76,9 +84,13 @@
 
 @dataclass(slots=True)
 class _ListVersion:
+    """Identifies a list, with the time at which discovery reported it."""
+
     epoch: int = 0
     generation: int = -1
-    reported_at: float = -math.inf  # when discovery reported it to any member; -inf: from before a restart
+    reported_at: float = (
+        -math.inf
+    )  # when discovery first reported it to a member; -inf: from before a restart
 
 
 @dataclass(slots=True)
@@ -106,16 +118,21 @@
 
 
 class SharedServerList:
-    """One member's server list, and what it knows about the lists of its peers."""
+    """One member's server list, and the versions of the lists that its peers reported."""
 
     def __init__(self, membership: Membership, same_addresses: bool, rng: Random, now: float) -> None:
-        """`same_addresses`: all members reach a server at the same host:port."""
+        """`same_addresses`: whether all members reach a server at the same host:port."""
         self.entries: dict[str, ServerEntry] = {}  # the servers in use, by name
         self.adopted_count = 0  # lists adopted from peers
-        # What was not accepted from peers, by reason: an "empty" list; an unconfirmed "epoch"; an "old" list;
-        # removals by one peer "alone"; a "gone" server that is listed as ready; an unknown server address
-        # ("place"); a wrong list hash ("mark"); a request that fails, since an entry does not fit
-        # into a datagram ("untellable").
+        # Counts of rejections, by reason:
+        #   "empty": a list without entries
+        #   "epoch": a list with a higher epoch that is not confirmed
+        #   "old": a list older than MAX_PEER_LIST_AGE_MS
+        #   "alone": removal of many servers that is not confirmed by a second peer
+        #   "gone": an entry that lists a departed server as ready
+        #   "place": an entry of a server whose address is not known here
+        #   "mark": a received list whose hash differs from the announced one
+        #   "untellable": a request for an entry that does not fit into a datagram
         self.rejected_counts: dict[str, int] = {}
         self.peer_started_at: dict[str, float] = {}  # when each peer's process started
         self._membership, self._same_addresses, self._rng = membership, same_addresses, rng
@@ -124,22 +141,25 @@
         # The list as discovery reported it, with the addresses of the member that received it, and its hash.
         self._shared_entries: dict[str, ServerEntry] = {}
         self._list_hash = 0
-        self._direct_generation = -1  # last generation that discovery itself reported here, ...
-        self._direct_report_at = -math.inf  # ... and when
-        self._lower_generation_since: float | None = (
-            None  # since when discovery reports lower generations here
-        )
-        # The list that discovery last reported with a lower generation: this generation and the entries.
+        # The last generation that discovery itself reported to this member, and when it did.
+        self._direct_generation = -1
+        self._direct_report_at = -math.inf
+        # Since when discovery has reported generations to this member that are lower than that of the list in
+        # use; None: it does not.
+        self._lower_generation_since: float | None = None
+        # Generation and entries (by server name) of the last such report.
         self._lower_generation_list: tuple[int, dict[str, ServerEntry]] | None = None
-        # Servers that drain or are gone, by name: start time, state, and when this became known.
+        # Servers that drain or are gone, by name: start time, state, and when the state became known.
         self._departed: dict[str, tuple[float, State, float]] = {}
-        # By list ID (epoch, generation, hash): the peers that got it from discovery, and when they said so.
+        # By list ID (epoch, generation, hash): names of the peers that received the list from discovery
+        # itself, with the time at which they last reported this.
         self._confirmations: dict[tuple[int, int, int], dict[str, float]] = {}
         # For each peer: the generation that discovery last reported to it, and when.
         self._peer_reports: dict[str, tuple[int, float]] = {}
-        # The ID and content of a list that was adopted without its removals, which need confirmation.
+        # ID (epoch, generation, hash) and content of a list that was adopted except for its removals, which
+        # are applied once a second peer confirms them.
         self._unconfirmed: tuple[tuple[int, int, int], SharedListUpdate] | None = None
-        # Version and hash of the list before it, which is offered to peers meanwhile.
+        # Version and hash of the previous list, which is offered to peers until the new one is confirmed.
         self._confirmed_version = self._version, self._list_hash
         self._pending_update: SharedListUpdate | None = None
         self._announcement_due = False
@@ -152,16 +172,17 @@
 
     @property
     def generation(self) -> int:
+        """Generation of the list in use; -1: no list."""
         return self._version.generation
 
     @property
     def is_reported(self) -> bool:
-        """Whether discovery reported the list to this member or a peer, after this process started."""
+        """Whether it is known when discovery reported the list to this member or a peer."""
         return self._version.reported_at > -math.inf
 
     @property
     def reported_at(self) -> float:
-        """When discovery reported the list to the first member that received it; -inf: before a restart."""
+        """When discovery reported the list to the first member that received it; -inf: unknown."""
         return self._version.reported_at
 
     # Events
@@ -169,34 +190,41 @@
     def load_saved(self, entries: Iterable[ServerEntry], generation: int, age_ms: float = math.inf) -> None:
         """Start with a list from before a restart.
 
-        One that is older than MAX_PEER_LIST_AGE_MS counts as not reported by discovery.
+        `age_ms`: time since discovery reported it. If that exceeds MAX_PEER_LIST_AGE_MS, `is_reported` is
+        false.
         """
         by_name = {entry.name: entry for entry in entries}
         reported_at = self._now - age_ms if age_ms <= MAX_PEER_LIST_AGE_MS else -math.inf
         self._replace_list(by_name, by_name, _ListVersion(0, generation, reported_at))
 
     def load_departed(self, departed: dict[str, tuple[float, State, float]]) -> None:
-        """Add servers that drained or were gone before a restart."""
+        """Add servers that drained or were gone before a restart, in the form that `departed` returns."""
         self._departed |= departed
 
     def departed(self) -> dict[str, tuple[float, State, float]]:
+        """Return servers that drain or are gone, by name: start time, state, and when it became known."""
         return dict(self._departed)
 
     def on_discovery_list(
         self, now: float, entries: Iterable[ServerEntry], generation: int, complete: bool
     ) -> list[ServerEntry]:
-        """Handle an answer of discovery. Return the entries to use, with departed servers kept as such."""
+        """Handle an answer of discovery and return the entries to use.
+
+        `complete`: whether the answer lists all servers, rather than changes only. If its generation is lower
+        than that of the list in use, servers that are known as departed stay so.
+        """
         self._now, self._direct_generation, self._direct_report_at = now, generation, now
         is_lower = generation < self._version.generation and self.is_reported
         accepted = [self._keep_departed(entry) if is_lower else entry for entry in entries]
         by_name = {entry.name: entry for entry in accepted}
-        if is_lower and not complete:  # older than the list from peers: only removals are applied
+        if is_lower and not complete:  # changes older than the list from peers: only departures are applied
             accepted = [entry for entry in accepted if entry.state != State.READY]
             by_name = {entry.name: entry for entry in accepted}
             self._record_departed(by_name)
             self._set_entries(self.entries | by_name)
             return accepted
-        # Discovery lags or restarted its generation count. Both lists are used until it is clear which.
+        # Either discovery lags or it restarted its generation count. Until that is known, the servers of
+        # both lists are used.
         if is_lower and self._has_peers():
             self._lower_generation_list = generation, by_name
             self._lower_generation_since = (
@@ -216,6 +244,7 @@
         return accepted
 
     def receive(self, now: float, address: str, message: ListMessage) -> list[OutgoingMessage]:
+        """Handle a message from a peer at this address and return the messages to send."""
         self._now = now
         name = message.sender.name
         match message:
@@ -227,6 +256,7 @@
                 return self._handle_chunk(name, address, message)
 
     def tick(self, now: float) -> list[OutgoingMessage]:
+        """Handle everything that is due and return the messages to send."""
         self._now = now
         outgoing: list[OutgoingMessage] = []
         if self._transfer is not None and now >= self._transfer.requested_at + REQUEST_TIMEOUT_MS:
@@ -250,7 +280,7 @@
         return outgoing
 
     def take_update(self, now: float) -> SharedListUpdate | None:
-        """Return a new list to use, if there is one."""
+        """Return the list that replaces the one in use, if there is a new one."""
         self._now = now
         update, self._pending_update = self._pending_update, None
         if update is not None:
@@ -293,8 +323,8 @@
             return []
         if peer_rank < own_rank:
             status = self._make_status(peer_name)
-            # While this list is unconfirmed, the status offers the one before it, which may be no newer than
-            # the peer's. Answering all the same would let two such members answer each other without end.
+            # While this list is unconfirmed, the status offers the previous one, which may be no newer than
+            # the peer's list. If it were sent anyway, two such members would answer each other endlessly.
             if self._rank(status.age_ms, status.epoch, status.generation) <= peer_rank:
                 return []
             # The answer must not be longer than the message, so that forged messages cannot amplify traffic.
@@ -329,7 +359,11 @@
         return [self._make_request("")]
 
     def _may_have_restarted_count(self, list_id: tuple[int, int, int]) -> bool:
-        """Accept a higher epoch from two peers, or if discovery itself reports a lower generation here."""
+        """Return whether to accept a list with a higher epoch.
+
+        It is accepted if two peers received it from discovery, if discovery itself reports a lower generation
+        to this member, or if the list in use is from before a restart.
+        """
         discovery_reports_lower = (
             self._now - self._direct_report_at < DISCOVERY_REPORT_MAX_AGE_MS
             and self._direct_generation < self._version.generation
@@ -407,7 +441,10 @@
         return []
 
     def _adopt(self, transfer: _Transfer) -> None:
-        """Use a completely received list, as far as a single peer is trusted."""
+        """Use a completely received list.
+
+        If it removes more servers than one peer may, these are kept until a second peer confirms the list.
+        """
         if self._rank(self._now - transfer.reported_at, *transfer.list_id[:2]) <= self._own_rank():
             return
         epoch, generation, _ = transfer.list_id
@@ -446,16 +483,18 @@
     def _replace_list(
         self, used: dict[str, ServerEntry], shared: dict[str, ServerEntry], version: _ListVersion
     ) -> None:
+        """Replace the servers in use, and the list to offer to peers, which has their addresses unchanged."""
         self._version = version
         self._shared_entries = {name: entry for name, entry in shared.items() if entry.state != State.GONE}
         self._list_hash = list_hash(self._shared_entries.values(), self._same_addresses)
         self._set_entries(used)
 
     def _set_entries(self, entries: dict[str, ServerEntry]) -> None:
+        """Set the servers in use, without those that are gone."""
         self.entries = {name: entry for name, entry in entries.items() if entry.state != State.GONE}
 
     def _keep_departed(self, entry: ServerEntry) -> ServerEntry:
-        """Return the entry as draining or gone if that is known and the server was not restarted since."""
+        """Return the entry, marked as draining or gone if that is known for its start time or a later one."""
         departed = self._departed.get(entry.name)
         if departed is None or entry.state != State.READY or entry.started_at_ms > departed[0]:
             return entry
@@ -473,7 +512,7 @@
         return msgspec.structs.replace(entry, host_port=own_entry.host_port)
 
     def _record_departed(self, entries: dict[str, ServerEntry], complete: bool = False) -> None:
-        """Remember servers that are draining or gone in these entries, or missing from a complete list."""
+        """Record servers that are draining or gone in these entries, or missing if the list is complete."""
         for name, entry in entries.items():
             if entry.state != State.READY:
                 known = self.entries.get(name)
@@ -489,7 +528,7 @@
             del self._departed[next(iter(self._departed))]
 
     def _has_count_restarted(self) -> bool:
-        """Return whether discovery restarted its generation count, rather than that it lags here."""
+        """Return whether discovery restarted its generation count. If not, its answers here are outdated."""
         assert self._lower_generation_since is not None
         reports = [(self._direct_generation, self._direct_report_at), *self._peer_reports.values()]
         recent = [
@@ -506,6 +545,7 @@
         )
 
     def _remove_expired(self) -> None:
+        """Remove outdated records of departed servers, peers and confirmations."""
         for name in [
             name
             for name, (_, _, known_since) in self._departed.items()
@@ -543,7 +583,8 @@
 
     def _make_status(self, name: str) -> ListStatus:
         direct_age = self._now - self._direct_report_at if self._direct_generation >= 0 else 0.0
-        # An unconfirmed list is not offered. Peers that hold it or a newer one answer, which settles it.
+        # An unconfirmed list is not offered. Peers with that list or a newer one answer the status, and the
+        # answer confirms or replaces the list.
         version, current_hash = (
             (self._version, self._list_hash) if self._unconfirmed is None else self._confirmed_version
         )
@@ -564,7 +605,7 @@
         )
 
     def _offered_age(self) -> float:
-        """Return the age of the list; negative if it counts as one from before a restart."""
+        """Return the age of the list to send to peers; negative: offered as a list from before a restart."""
         age = self._now - self._version.reported_at
         return age if age <= MAX_PEER_LIST_AGE_MS else -1.0
 
--- a/larkcrank/fleet/membership.py
+++ b/larkcrank/fleet/membership.py
@@ -2,13 +2,14 @@
 
 The protocol follows SWIM (Das, Gupta, Motivala, DSN 2002): random probes, indirect probes, suspicion,
 incarnations, and updates piggybacked on probes. It adds three rules of Lifeguard (Dadgar, Phillips, Currey,
-DSN-W 2018): a member that misses answers first lowers the trust in itself and waits longer, confirmations by
-other members shorten a suspicion, and a suspected member is told first. As in Serf, dead members are
-contacted again at a bounded rate. Two members whose digests differ compare their views bucket by bucket and
-exchange the records that differ (anti-entropy).
-
-Times are milliseconds on the caller's clock. `tick` must be called every TICK_INTERVAL_MS; a late call means
-that this process was stalled.
+DSN-W 2018): a member that misses answers lengthens its own probe period, since the cause may be local;
+confirmations by other members shorten a suspicion; and each datagram to a suspected member contains the
+suspicion as its first update, so that the member can refute it. As in Serf, dead members are contacted again
+at a bounded rate. Two members whose digests differ compare their views bucket by bucket and exchange the records that
+differ (anti-entropy). A bucket is the set of members whose names have the same `bucket_index`.
+
+Times are milliseconds on the caller's clock. `tick` must be called every TICK_INTERVAL_MS. If a call is more
+than STALL_MS after the previous one, this process is taken to have been stalled.
 """
 
 import math
@@ -44,31 +45,38 @@
 TICK_INTERVAL_MS = 100.0
 MIN_PROBE_PERIOD_MS = 1000.0  # one probe per period; the period grows with the round-trip time
 MAX_PROBE_PERIOD_MS = 4000.0
-MAX_RTT_SAMPLE_MS = 2000.0  # slower answers come from stalled processes and say nothing about the network
+MAX_RTT_SAMPLE_MS = (
+    2000.0  # slower answers are ignored, since they indicate a stalled process rather than a slow network
+)
 RTT_GAIN, RTT_DEVIATION_GAIN = 0.125, 0.25  # smoothing factors of RFC 6298
-RTT_DEVIATIONS = 4.0  # an answer is expected within the mean plus this many deviations
-MAX_TIMED_PROBES = 16  # recent probes whose answers are timed, even if late
-DIRECT_PROBE_SHARE = 0.5  # share of a period after which other members are asked to probe the target
-NACK_SHARE = 0.8  # share of the direct probe time after which a member that was asked sends a Nack
-MAX_FIRST_PROBE_DELAY_MS = 300.0  # short, to meet others soon; random, to spread members that start together
-INDIRECT_PROBE_COUNT = 3  # members that are asked to probe the target
+RTT_DEVIATIONS = 4.0  # an answer is expected within the smoothed RTT plus this many deviations
+MAX_TIMED_PROBES = 16  # latest probes whose answers are used to measure the RTT, even if late
+DIRECT_PROBE_SHARE = 0.5  # share of a period after which the target is probed through other members
+NACK_SHARE = (
+    0.8  # share of the time for a direct probe after which a member that probes for another sends a Nack
+)
+# The delay is random, to spread the probes of members that start together; it is short, to make contact soon.
+MAX_FIRST_PROBE_DELAY_MS = 300.0
+INDIRECT_PROBE_COUNT = 3  # members through which a target that did not answer is probed
 MIN_SUSPICION_PERIODS = 5.0  # minimum suspicion time in periods, multiplied by log10 of the fleet's size
 SUSPICION_TIME_FACTOR = 4.0  # maximum suspicion time, without confirmations, as a multiple of the minimum
 FULL_CONFIRMATIONS = 3  # confirmations by other members that shorten a suspicion to the minimum
 MAX_LOCAL_HEALTH_SCORE = 4  # 0 is healthy; the probe period is multiplied by 1 plus the score
 UPDATE_SENDS_FACTOR = 3.0  # sends of each update, multiplied by log2 of the fleet's size
 MAX_UPDATE_BYTES = 700  # per datagram
-STALL_MS = 1000.0  # a tick that is later than this means that this process was stalled
-FORGET_DEAD_MS = 24 * 3600 * 1000.0  # dead members are contacted again until then
-MAX_REPLAY_FILTERS = 4  # processes of one name for which replayed datagrams are detected
-MAX_DUPLICATE_BOOT_IDS = 64  # other processes with this member's name that are remembered
-DUPLICATE_RAISES = 4  # another process that has raised its incarnation above ours this often is alive
-MAX_PAGES_IN_FLIGHT = 4
+STALL_MS = 1000.0  # a longer time between two ticks means that this process was stalled
+FORGET_DEAD_MS = 24 * 3600 * 1000.0  # dead members are contacted and their records kept for this long
+MAX_REPLAY_FILTERS = 4  # latest processes of one member name whose replayed datagrams are detected
+MAX_DUPLICATE_BOOT_IDS = 64  # records of other processes with this member's name
+# Another process with this member's name is known to be running once it has raised its incarnation above
+# that of this process this many times.
+DUPLICATE_RAISES = 4
+MAX_PAGES_IN_FLIGHT = 4  # pages of records sent in a comparison of views and not answered yet
 MAX_PAGE_BYTES = 1000  # of records in a page
-LEAVE_PING_COUNT = 4
+LEAVE_PING_COUNT = 4  # members that are notified by a ping when this one leaves
 HEADER_BYTES = 40  # size of a datagram without its records
 REPLY_OVERHEAD_BYTES = 64  # size of a reply without its records, its sender and the last name
-MAX_RELAYED_PROBES = 64
+MAX_RELAYED_PROBES = 64  # concurrent probes on behalf of other members
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,25 +93,29 @@
 
     name: str
     standing: Standing
-    reason: str  # the member that reported it, or a message
+    reason: str  # name of the member that reported it, or an explanation
 
 
 @dataclass(slots=True)
 class _Probe:
+    """The probe of the current period."""
+
     target: str
     probe_id: int
-    requests_sent: int = 0  # members that were asked to probe the target
+    requests_sent: int = 0  # indirect probes requested from other members
     nacks_received: int = 0
-    answered: bool = False
+    answered: bool = False  # whether an Ack arrived, directly or through another member
 
 
 @dataclass(slots=True)
 class _Suspicion:
+    """A suspicion of a member, which is declared dead when it expires."""
+
     started_at: float
     incarnation: int
     min_duration: float
     max_duration: float
-    confirmed_by: set[str] = field(default_factory=set)
+    confirmed_by: set[str] = field(default_factory=set)  # names of other members that suspect it too
 
     def is_new_confirmation(self, reporter: str) -> bool:
         return (
@@ -113,6 +125,7 @@
         )
 
     def expires_at(self) -> float:
+        """Return the expiry time, which moves from the maximum to the minimum as confirmations arrive."""
         confirmed_share = min(math.log(len(self.confirmed_by) + 1) / math.log(FULL_CONFIRMATIONS + 1), 1.0)
         return self.started_at + max(
             self.min_duration, self.max_duration - (self.max_duration - self.min_duration) * confirmed_share
@@ -121,7 +134,7 @@
 
 @dataclass(slots=True)
 class _RelayedProbe:
-    """A probe on behalf of another member."""
+    """A probe on behalf of another member, the requester."""
 
     requester_probe_id: int
     requester: str
@@ -131,12 +144,17 @@
 
 
 class Membership:
-    """One member's view. Call `receive` and `tick`, send the messages they return, and read `changes`."""
+    """One member's view of the fleet.
+
+    The caller passes in datagrams with `receive` and the time with `tick`, sends the messages that these
+    return, and reads and clears `changes`.
+    """
 
     def __init__(self, local_record: MemberRecord, seeds: Iterable[str], rng: Random, now: float) -> None:
         """`seeds` are addresses (host:port) of members to contact first."""
         self.local_record = local_record
-        self.is_duplicate = False  # another process has this name and continues to use it; this one is silent
+        # Whether another running process uses this name and takes precedence. If so, this one sends nothing.
+        self.is_duplicate = False
         self.has_left = False
         # Local health of Lifeguard: 0 is healthy; the probe period is multiplied by 1 plus this score.
         self.local_health_score = 0
@@ -144,13 +162,14 @@
         self.members: dict[str, MemberRecord] = {}  # all known members, including dead ones
         self.live_members: dict[str, MemberRecord] = {}
         self.digest = ViewDigest()
-        self.live_set_version = 0  # increases when the set of live members changes
-        self.digest_mismatch_at = -math.inf  # when a digest that differs from ours was last received
+        self.live_set_version = 0  # incremented when the set of live members changes
+        self.digest_mismatch_at = -math.inf  # when a digest other than that of this view was last received
         self.first_contact_at = math.inf  # when the first datagram of another member was received
-        # Members that died or left. They are contacted again, since even one that left may come back.
+        # Members that died or left, by name. They are contacted again, since any of them may come back.
         self._dead_members: dict[str, MemberRecord] = {}
-        self._names_by_bucket: list[set[str]] = [set() for _ in range(BUCKET_COUNT)]  # all known names
-        self._live_addresses: Counter[str] = Counter()
+        # Names of all known members, by bucket index.
+        self._names_by_bucket: list[set[str]] = [set() for _ in range(BUCKET_COUNT)]
+        self._live_addresses: Counter[str] = Counter()  # number of live members by address
         self._store(None, local_record)
         self._seeds = [seed for seed in seeds if seed != local_record.address]
         self._rng, self._now = rng, now
@@ -164,23 +183,24 @@
         self._relayed_probes: dict[int, _RelayedProbe] = {}
         self._suspicions: dict[str, _Suspicion] = {}
         self._updates = UpdateQueue()
-        self._dead_since: dict[str, float] = {}
+        self._dead_since: dict[str, float] = {}  # when members died or left, by name
         self._replay_filters: dict[str, dict[int, ReplayFilter]] = {}  # by name and boot ID
-        # Other processes with our name, by boot ID: how often each raised its incarnation above ours.
+        # For other processes with this member's name, by boot ID: how often each was seen to raise its
+        # incarnation to this process's or above.
         self._incarnation_raise_counts: dict[int, int] = {}
-        # The same processes: the highest incarnation of each above which we raised ours.
+        # For all records of this name that had to be outranked, by boot ID: the highest incarnation.
         self._exceeded_incarnations: dict[int, int] = {}
         # Pages of member records to send when views are compared: the name and address of the recipient, the
         # bucket, and the member name after which the page starts.
         self._pending_pages: deque[tuple[str, str, int, str]] = deque()
         self._pages_in_flight = 0
         self._next_sync_at = now
-        # Name and address of a member whose digest differs.
+        # Name and address of the member from which a differing digest was last received.
         self._sync_candidate: tuple[str, str] | None = None
-        self._sync_peer = ""  # the member that was sent our bucket digests
+        self._sync_peer = ""  # name of the member to which this one last sent its bucket digests
         self._last_probe_id = 0
         self._last_sequence = 0
-        self.replayed_count = 0
+        self.replayed_count = 0  # rejected datagrams that were received before
         # Handles messages about server lists, after the datagram was accepted.
         self.on_list_message: Callable[[float, str, ListMessage], list[OutgoingMessage]] = (
             lambda now, address, message: []
@@ -205,9 +225,10 @@
             self.replayed_count += 1
             return []
         if not self._is_current(sender):
-            # A restart that was not noticed, or a second process with this name. It needs our record of the
-            # name to choose a higher incarnation; without an answer it would stay unknown until the former
-            # process is declared dead.
+            # The sender has a lower incarnation than the known record of its name: it is a restarted process
+            # whose former process still counts as live, or a second process with this name. The answer
+            # contains the known record, so that the sender can choose a higher incarnation. Otherwise it would not be
+            # accepted before the former process is declared dead.
             return [self._make_ack(address, message)] if isinstance(message, Ping) else []
         self._merge(sender)
         outgoing: list[OutgoingMessage] = []
@@ -291,7 +312,7 @@
         return outgoing
 
     def leave(self, now: float) -> list[OutgoingMessage]:
-        """Leave the fleet. Some members are told directly, and spread the news."""
+        """Leave the fleet. Return pings that notify some members, which pass the record on to the others."""
         self._now = now
         left_record = msgspec.structs.replace(
             self.local_record, incarnation=self.local_record.incarnation + 1, standing=Standing.LEFT
@@ -304,7 +325,7 @@
         return outgoing
 
     def _start_sync(self) -> list[OutgoingMessage]:
-        """Once per period, ask a member whose digest differed in which buckets the views differ."""
+        """Send bucket digests to a member whose digest differed, at most once per MIN_PROBE_PERIOD_MS."""
         if self._sync_candidate is None or self._now < self._next_sync_at:
             return []
         (self._sync_peer, address), self._sync_candidate = self._sync_candidate, None
@@ -315,6 +336,7 @@
     # Probes
 
     def _start_probe(self) -> list[OutgoingMessage]:
+        """Ping the next live member; all are probed in random order before any is probed again."""
         while self._probe_queue:
             record = self.members.get(self._probe_queue.pop())
             if record is not None and record.is_live and record.name != self.local_record.name:
@@ -338,7 +360,11 @@
         return [self._make_ping(record.address, record.name, self._last_probe_id)]
 
     def _update_rtt(self, sample: float) -> None:
-        """Update the RTT estimate as TCP does. With a fixed period, links of 300 ms made all suspect all."""
+        """Update the RTT estimate as TCP does (RFC 6298).
+
+        The probe period depends on it, since with a fixed period, all members suspected each other on links
+        with a latency of 300 ms.
+        """
         if self._smoothed_rtt < 0.0:
             self._smoothed_rtt, self._rtt_deviation = sample, sample / 2
             return
@@ -346,17 +372,18 @@
         self._smoothed_rtt += RTT_GAIN * (sample - self._smoothed_rtt)
 
     def _probe_period(self) -> float:
-        """Return a period whose direct probe share is long enough for an answer."""
+        """Return a probe period, within bounds, that allows for a direct answer before indirect probes."""
         expected_max_rtt = self._smoothed_rtt + RTT_DEVIATIONS * self._rtt_deviation
         return min(max(MIN_PROBE_PERIOD_MS, expected_max_rtt / DIRECT_PROBE_SHARE), MAX_PROBE_PERIOD_MS)
 
     def _finish_probe(self) -> None:
+        """Evaluate the probe at the end of its period: suspect its target if no answer arrived."""
         probe, self._probe = self._probe, None
-        # Without a probe, because there is nobody to probe, the local health recovers too.
+        # The local health also recovers if there was no other live member to probe.
         if probe is None or probe.answered:
             self.local_health_score = max(self.local_health_score - 1, 0)
             return
-        # Each member that was asked and sent neither an Ack nor a Nack suggests a local problem.
+        # Each missing Nack to a request for an indirect probe suggests a local problem.
         self.local_health_score = min(
             self.local_health_score + probe.requests_sent - probe.nacks_received, MAX_LOCAL_HEALTH_SCORE
         )
@@ -405,7 +432,8 @@
             self._now + NACK_SHARE * direct_wait,
             self._now + 4 * MIN_PROBE_PERIOD_MS,
         )
-        # The ping must not be longer than the request either, since the requester chooses its destination.
+        # The ping has no padding, so that it is no longer than the request: a forged request could otherwise
+        # amplify traffic to any address.
         return [
             OutgoingMessage(
                 message.target_address,
@@ -447,7 +475,7 @@
         ]
 
     def _ping_lost_member(self) -> list[OutgoingMessage]:
-        """Ping a dead member or a seed that is not live here, so that either side can heal a partition."""
+        """Ping a dead member, or a seed at which no live member is known, to reconnect after a partition."""
         lost = [
             record.address
             for record in self._dead_members.values()
@@ -457,14 +485,17 @@
         return [self._make_ping(self._rng.choice(lost), "")] if lost else []
 
     def _ping_suspect(self) -> list[OutgoingMessage]:
-        """Ping a suspected member, whoever reported it: its answer refutes the suspicion directly."""
+        """Ping a random suspected member, so that its answer can refute the suspicion directly."""
         if not self._suspicions:
             return []
         suspect = self.members[self._rng.choice(sorted(self._suspicions))]
         return [self._make_ping(suspect.address, suspect.name)]
 
     def _recover_from_stall(self, stalled_for: float) -> None:
-        """Discard all waits: answers that were missed while this process stalled say nothing about others."""
+        """Discard pending probes and extend suspicions by the duration of the stall.
+
+        Answers that did not arrive while this process was stalled do not show that other members failed.
+        """
         self.local_health_score = MAX_LOCAL_HEALTH_SCORE // 2
         self._probe, self._indirect_probe_at = None, math.inf
         self._relayed_probes.clear()
@@ -475,9 +506,9 @@
     # Records
 
     def _replay_filter_for(self, sender: MemberRecord) -> ReplayFilter:
-        """Return the filter of the sender's process. Filters of some earlier processes are kept as well.
+        """Return the replay filter of the sender's process.
 
-        Otherwise, recorded datagrams of an earlier process could be replayed.
+        Filters of earlier processes are kept too, so that recorded datagrams of these are rejected.
         """
         filters = self._replay_filters.setdefault(sender.name, {})
         replay_filter = filters.pop(sender.boot_id, None) or ReplayFilter()
@@ -487,6 +518,7 @@
         return replay_filter
 
     def _is_current(self, sender: MemberRecord) -> bool:
+        """Return whether the sender is not outranked by a live record of another process of its name."""
         known = self.members.get(sender.name)
         return (
             known is None
@@ -500,6 +532,7 @@
             self._merge(record)
 
     def _merge(self, record: MemberRecord) -> None:
+        """Apply a received or local record to the view if it is newer or confirms a suspicion."""
         if record.name == self.local_record.name:
             self._handle_own_name(record)
             return
@@ -543,8 +576,8 @@
             and is_raised
             and record.incarnation > self._exceeded_incarnations.get(record.boot_id, -1)
         ):
-            # Outdated updates may mention a former process of this member. A process that raises its
-            # incarnation each time we exceed it is alive.
+            # A single such record may be an outdated update about a former process of this member. A process
+            # that repeatedly raises its incarnation after this one exceeded it is running.
             self._incarnation_raise_counts[record.boot_id] = (
                 self._incarnation_raise_counts.get(record.boot_id, 0) + 1
             )
@@ -575,7 +608,10 @@
         self.local_record = record
 
     def _store(self, known: MemberRecord | None, record: MemberRecord | None) -> None:
-        """Replace the known record of a member and update all indexes; nothing else may change them."""
+        """Replace the known record of a member and update all indexes; no other method may change them.
+
+        `known` is None for a new member; `record` is None to remove the member.
+        """
         self.digest.update(known, record)
         if known is not None and known.is_live:
             self._live_addresses[known.address] -= 1
@@ -608,7 +644,10 @@
     # Datagrams
 
     def message_header(self, recipient: str) -> tuple[MemberRecord, str, int, int]:
-        """Return the fields that every message starts with; uses up one sequence number."""
+        """Return the first fields of every message: sender, recipient, sequence number and digest.
+
+        Each call takes the next sequence number.
+        """
         self._last_sequence += 1
         return self.local_record, recipient, self._last_sequence, self.digest.total
 
--- a/larkcrank/fleet/news.py
+++ b/larkcrank/fleet/news.py
@@ -7,7 +7,7 @@
 
 
 class UpdateQueue:
-    """Names of members whose records are to be sent. Operations take constant time."""
+    """Names of members whose records are to be sent. All operations but iteration take constant time."""
 
     def __init__(self) -> None:
         self._send_counts: dict[str, int] = {}
@@ -49,14 +49,15 @@
     def __iter__(self) -> Iterator[str]:
         """Iterate over the names, those sent least often first.
 
-        `record_send` and `remove` may be called during the iteration. They do not affect the group that is
-        being iterated, but a name that moves into a later group that already exists is yielded again.
+        `record_send` and `remove` may be called during the iteration. Names are grouped by
+        how often they were sent. A call does not affect the group that is being iterated, but a name that it
+        moves into a later group that already exists is yielded again.
         """
         for names in list(self._names_by_send_count):
             yield from list(names) if len(names) <= _MAX_NAMES_PER_GROUP else _first_names(names)
 
 
-_MAX_NAMES_PER_GROUP = 64  # more than fit into one datagram
+_MAX_NAMES_PER_GROUP = 64  # that an iteration yields; the records of so many do not fit into one datagram
 
 
 def _first_names(names: dict[str, None]) -> list[str]:
--- a/larkcrank/fleet/ranks.py
+++ b/larkcrank/fleet/ranks.py
@@ -1,13 +1,14 @@
-"""The fleet's size and this member's ordinal, derived from the membership view alone, and damped.
+"""Determines the fleet's size and this member's ordinal from the membership view, and damps changes.
 
 A member's ordinal is its rank in the order of a hash of the names. All members with the same view compute the
-same ordinals without further messages. The hash order remains evenly covered, members that fail together are
-not neighbours in it, and one member more or less moves each member's part of the servers by less than the
-part of one member. With slots that members keep while others come and go (open addressing in a fixed order of
-insertion), fewer parts would move between the steps of a resize, but several times more at each step; see
-docs/fleet-view.md. The order depends on names rather than processes, so a restarted member keeps its ordinal.
-
-Damping: a member that dies keeps its ordinal for HOLD_MS, and twice as long for each recent death before (as
+same ordinals without further messages. Each member uses the part of the servers that its ordinal selects.
+The hash order spreads members that fail together, and one member more or less moves each member's part by less
+than the size of one part. The alternative is a hash table with open addressing, whose slots members keep while
+others come and go. It would move fewer parts while the number of slots stays the same, but several times more
+whenever that number changes; see docs/fleet-view.md. The order depends on names rather than processes, so a
+restarted member keeps its ordinal.
+
+Damping: a member that dies is still counted for HOLD_MS, a time that doubles with each of its recent deaths (as
 in route flap damping, RFC 2439). While the view is not trusted, no ordinal changes.
 
 Times are milliseconds on the caller's clock. No I/O.
@@ -20,17 +21,19 @@
 
 from larkcrank.core.interface import FleetSize
 
-JOIN_DELAY_MS = 2000.0  # new members are counted after this, so that many that join together cause one change
-HOLD_MS = 10000.0  # a lost member is still counted for this long, since most come back within it ...
-MAX_HOLD_MS = 300000.0  # ... and for at most this long, however often it was lost
-DEATH_WEIGHT_HALF_LIFE_MS = 60000.0
-# If more than this share of the members is lost at once, this member may be partitioned from live ones ...
+# New members are counted after this delay, so that several that join at about the same time cause one change.
+JOIN_DELAY_MS = 2000.0
+HOLD_MS = 10000.0  # a lost member is still counted for this long, since most return sooner
+MAX_HOLD_MS = 300000.0  # upper limit of this time for members that were lost repeatedly
+DEATH_WEIGHT_HALF_LIFE_MS = 60000.0  # in which the effect of an earlier death on this time halves
+# If more than this share of the members is lost within PARTITION_HOLD_MS, this member may be partitioned from
+# members that are still running, so its ordinal is kept for that time.
 PARTITION_LOSS_SHARE = 0.25
-PARTITION_HOLD_MS = 30000.0  # ... so the ordinals are kept for this long.
-QUIET_MS = 3000.0  # the view has settled if no member came or went and no digest differed for this long ...
-MAX_UNSETTLED_MS = 15000.0  # ... and is used as it is after this long
-ALONE_MS = 5000.0  # after a start without contact to any member, this one counts as the only one
-# Lost members count towards `max_instances` for this long, as they may still send to the same servers.
+PARTITION_HOLD_MS = 30000.0
+QUIET_MS = 3000.0  # the view has settled if no member came or went and no digest differed for this long
+MAX_UNSETTLED_MS = 15000.0  # a view that has not settled is used after this time nevertheless
+ALONE_MS = 5000.0  # a member that has met no other this long after its start counts as the only one
+# Lost members are included in `max_instances` for this long, as they may still send to the same servers.
 MAX_INSTANCES_HOLD_MS = 300000.0
 
 
@@ -46,12 +49,14 @@
 
 @dataclass(slots=True)
 class _LostMember:
+    """A member that is no longer live in the view."""
+
     lost_at: float
-    counted_until: float
+    counted_until: float  # until then it is included in the fleet's size
 
 
 def ordinal_of(name: str, names: Iterable[str]) -> int:
-    """Return the ordinal of a name among these names, whatever their order."""
+    """Return the number of names whose hash sorts before that of this name."""
     own_key = _sort_key(name)
     return sum(_sort_key(other) < own_key for other in names)
 
@@ -61,26 +66,31 @@
 
 
 class FleetSizeTracker:
-    """Determines the fleet's size and this member's ordinal. Call `observe` about once a second."""
+    """Determines the fleet's size and this member's ordinal.
+
+    `observe` must be called about once a second.
+    """
 
     def __init__(self, name: str, count: int, ordinal: int, now: float) -> None:
-        """`count` and `ordinal` are configured; they apply until the view is trusted."""
+        """`count` and `ordinal`: configured fleet size and ordinal, used until the view is trusted."""
         self.distrust_reason = DistrustReason.JUST_STARTED
         self.move_count = 0  # how often the ordinal or the count in use changed
         self._name, self._configured_count = name, count
         self._started_at = now
         self._live_since: dict[str, float] = {}  # live members, and since when they count as live
         self._lost_members: dict[str, _LostMember] = {}
-        self._death_weights: dict[
-            str, tuple[float, float]
-        ] = {}  # decaying number of deaths, and when computed
-        self._counted: frozenset[str] = frozenset()  # the names behind the size and ordinal in use
+        # For each member that died: the number of its deaths with exponential decay, and when it was computed.
+        self._death_weights: dict[str, tuple[float, float]] = {}
+        self._counted: frozenset[str] = (
+            frozenset()
+        )  # names of the members that were counted for the current size
         self._live_changed_at = now
-        self._unsettled_since: float | None = None
+        self._unsettled_since: float | None = None  # since when the view has not settled; None: it has
         self._current = FleetSize(count, ordinal, count)
 
     @property
     def current(self) -> FleetSize:
+        """The fleet's size and this member's ordinal, as last determined."""
         return self._current
 
     def observe(
@@ -91,11 +101,12 @@
         digest_mismatch_at: float,
         is_slow: bool,
     ) -> FleetSize | None:
-        """Return the fleet's size if it changed.
+        """Update from the current view. Return the fleet's size and this member's ordinal if they changed.
 
-        `live_names` are the live members in the view; `first_contact_at` is when the first peer was met,
-        `digest_mismatch_at` is when a peer last had another view; `is_slow` means that this process stalled
-        or received few answers.
+        `live_names`: names of the live members in the view.
+        `first_contact_at`: when the first datagram of a peer was received; infinite if none was.
+        `digest_mismatch_at`: when a peer last reported a different view.
+        `is_slow`: whether this process recently stalled or missed many answers.
         """
         self._update_members(now, set(live_names))
         self.distrust_reason = self._check_view(now, first_contact_at, digest_mismatch_at, is_slow)
@@ -129,6 +140,7 @@
         return size
 
     def _update_members(self, now: float, live_names: set[str]) -> None:
+        """Record which members joined, died or returned since the last call."""
         lost_names = [name for name in self._live_since if name not in live_names]
         if lost_names or len(live_names) > len(self._live_since):
             self._live_changed_at = now
@@ -163,12 +175,13 @@
     def _check_view(
         self, now: float, first_contact_at: float, digest_mismatch_at: float, is_slow: bool
     ) -> DistrustReason:
+        """Return why the view is not to be used now, or `NONE`."""
         reason = self._check_other_reasons(now, first_contact_at, is_slow)
         if (
             reason is not DistrustReason.NONE
             or now >= max(digest_mismatch_at, self._live_changed_at) + QUIET_MS
         ):
-            self._unsettled_since = None  # after a partition, the view gets the full time to settle
+            self._unsettled_since = None  # the view gets the full MAX_UNSETTLED_MS the next time
             return reason
         if self._unsettled_since is None:
             self._unsettled_since = now
--- a/larkcrank/fleet/records.py
+++ b/larkcrank/fleet/records.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-BUCKET_COUNT = 64
+BUCKET_COUNT = 64  # groups of members, by hash of their names, that are compared separately
 
 
 class Standing(IntEnum):
@@ -18,7 +18,7 @@
 
 
 class MemberRecord(msgspec.Struct, frozen=True, array_like=True):
-    """What is known about a member. Only the member itself raises its incarnation."""
+    """A member as known to another one. Only the member itself raises its incarnation."""
 
     name: str
     address: str  # host:port for datagrams
@@ -35,20 +35,21 @@
         return self.standing <= Standing.SUSPECT
 
     def supersedes(self, other: "MemberRecord") -> bool:
-        """Return whether this record is newer.
+        """Return whether this record replaces the other one of the same name.
 
-        The boot ID is compared last, so that all members choose the same one of two processes with one name.
+        The boot ID is compared last, so that all members choose the same of two processes with one name.
         """
         own_rank = self.incarnation, self.standing, self.boot_id
         return own_rank > (other.incarnation, other.standing, other.boot_id)
 
 
 def bucket_index(name: str) -> int:
+    """Return the bucket of a member, derived from a hash of its name."""
     return blake2b(name.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
 def record_hash(record: MemberRecord) -> int:
-    """Return what a live member contributes to a digest.
+    """Return the hash of a live member's record for a digest.
 
     The standing is left out: a suspicion is temporary and must not make two views differ.
     """
@@ -59,7 +60,7 @@
 class ViewDigest:
     """XOR of the hashes of all live members, per bucket and in total.
 
-    Equal digests mean equal views, except for hash collisions.
+    Apart from hash collisions, two views with equal digests have the same live processes and incarnations.
     """
 
     def __init__(self) -> None:
@@ -67,6 +68,7 @@
         self.total = 0
 
     def update(self, before: MemberRecord | None, after: MemberRecord | None) -> None:
+        """Replace a member's record. `before` is None for a new member, `after` for a removed one."""
         for record in (before, after):
             if record is not None and record.is_live:
                 hash_value = record_hash(record)  # XOR: applying a hash a second time removes it
--- a/larkcrank/fleet/restart.py
+++ b/larkcrank/fleet/restart.py
@@ -1,4 +1,4 @@
-"""Classifies a restart from the uptimes of the peers: this process alone, a rolling one, a zone or the fleet.
+"""Classifies a restart by the uptimes of the peers: of this process alone, rolling, of a zone or of the fleet.
 
 No I/O. Only ages are compared, so clocks need not agree. docs/fleet-recovery.md describes what depends on the
 result, and why a wrong result does no harm.
@@ -9,14 +9,18 @@
 
 SAME_START_MS = 30_000.0  # processes that started within this time of each other restarted together
 ROLLING_MS = 600_000.0  # maximum duration of a rolling restart
-NEARLY_ALL_SHARE = 0.9  # of the peers whose uptime is known
-HARDLY_ANY_SHARE = 0.2
+NEARLY_ALL_SHARE = 0.9  # minimum share of a group of peers that counts as all of them
+HARDLY_ANY_SHARE = 0.2  # maximum share of a group of peers that counts as none of them
+# Minimum number of peers whose uptime must be known, and minimum share of all peers. The share is not required
+# if ENOUGH_KNOWN_PEERS are known, which is a sufficient sample of a fleet of any size.
 MIN_KNOWN_PEERS = 2
-REQUIRED_PEER_SHARE = 0.5  # share of the peers whose uptime must be known ...
-ENOUGH_KNOWN_PEERS = 12  # ... unless this many are known, which is a sufficient sample of any fleet
+REQUIRED_PEER_SHARE = 0.5
+ENOUGH_KNOWN_PEERS = 12
 
 
 class RestartKind(Enum):
+    """Which processes restarted together with this one. The values appear in logs."""
+
     UNKNOWN = "unknown"
     SINGLE = "this one alone"
     ROLLING = "one after another"
@@ -27,7 +31,11 @@
 def classify_restart(
     own_age_ms: float, peer_ages_ms: Mapping[str, float], zones: Mapping[str, str], own_zone: str
 ) -> RestartKind:
-    """Classify this process's restart. `zones` maps the names of all members to their zones."""
+    """Classify this process's restart.
+
+    `own_age_ms` and `peer_ages_ms` (by member name) are uptimes. `zones` maps the names of all members,
+    including this one, to their zones.
+    """
     known_ages = {name: age for name, age in peer_ages_ms.items() if name in zones}
     required = min(REQUIRED_PEER_SHARE * (len(zones) - 1), ENOUGH_KNOWN_PEERS)
     if len(known_ages) < max(required, MIN_KNOWN_PEERS):
--- a/larkcrank/fleet/snapshot.py
+++ b/larkcrank/fleet/snapshot.py
@@ -1,4 +1,6 @@
-"""A file with a member's state, for installations with a persistent disk. It is valid as a whole or not used.
+"""Reads and writes a file with a member's state. A file that is not valid as a whole is not used.
+
+It is for installations with a persistent disk.
 
 The format is one line of JSON, which names the format and contains a checksum of the rest, followed by
 msgpack. A file that is missing, truncated, of another version, from the future or of another fleet gives a
@@ -18,13 +20,17 @@
 FORMAT = "larkcrank-fleet"
 VERSION = 1
 MAX_FILE_BYTES = 4 << 20
-MAX_CLOCK_SETBACK_MS = 60_000.0  # the clock may have been set back by this much since the file was written
-MAX_AGE_MS = trust.SERVER_LIST.restart_max_age_ms  # most servers of an older list have been replaced
-MAX_PEER_ADDRESSES = 256
+MAX_CLOCK_SETBACK_MS = (
+    60_000.0  # a file from further in the future is rejected; the clock may have been set back
+)
+MAX_AGE_MS = (
+    trust.SERVER_LIST.restart_max_age_ms
+)  # beyond this age, most servers of the list have been replaced
+MAX_PEER_ADDRESSES = 256  # addresses of peers in a snapshot
 
 
 class SnapshotError(Exception):
-    """The file cannot be used. `reason` is a word for logs; the message has details."""
+    """The file cannot be used. `reason` is the name of the cause in logs; the message has details."""
 
     def __init__(self, reason: str, message: str) -> None:
         super().__init__(message)
@@ -32,10 +38,12 @@
 
 
 class _Head(msgspec.Struct, forbid_unknown_fields=True):
+    """First line of the file, in JSON."""
+
     format: str
     version: int
-    length: int
-    crc32: int
+    length: int  # of the rest of the file, in bytes
+    crc32: int  # of the rest of the file
 
 
 class DepartedServer(msgspec.Struct, array_like=True, frozen=True):
@@ -48,20 +56,21 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True):
-    """Times are Unix milliseconds on the writer's clock. Ages remain valid if clocks differ."""
+    """A member's state. Times are Unix milliseconds on the writer's clock; ages do not depend on a clock."""
 
-    fleet: str
-    member: str
+    fleet: str  # name of the fleet
+    member: str  # name of the member that wrote the file
     saved_at_ms: float
-    generation: int
+    generation: int  # of the server list
     list_age_ms: float  # when saved, time since discovery reported the list; negative: unknown
     lines: list[ServerEntry]  # the server list
     gone: list[DepartedServer]  # servers that are draining or gone
     places: list[str]  # addresses of peers, to be contacted if no seed answers after a start
-    size: int  # number of members that were counted
+    size: int  # size of the fleet, as the member determined it
 
 
 def encode(snapshot: Snapshot) -> bytes:
+    """Return the contents of the file for a snapshot."""
     body = msgspec.msgpack.encode(snapshot)
     head = _Head(FORMAT, VERSION, len(body), zlib.crc32(body))
     return msgspec.json.encode(head) + b"\n" + body
@@ -109,9 +118,9 @@
 
 
 def write(path: Path, data: bytes, on_step: Callable[[str], None] = lambda step: None) -> None:
-    """Replace the file atomically. It blocks, so call it in a thread. Raises OSError on failure.
+    """Replace the file atomically. Raises OSError on failure. Blocks, so call it in a thread.
 
-    `on_step` is called after each step, with its name; tests end the process there.
+    `on_step` is called after each step with the step's name, so that tests can end the process there.
     """
     temporary_path = path.with_name(f"{path.name}.part")
     with temporary_path.open("wb") as file:
--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -1,4 +1,4 @@
-"""The fleet's I/O: datagram socket, timer, log lines and counters. `Membership` makes the decisions."""
+"""The fleet's I/O: datagram socket, timer, log events and counters. `Membership` contains the protocol."""
 
 import asyncio
 import secrets
@@ -28,18 +28,18 @@
 
 @dataclass(slots=True)
 class FleetCounters:
-    """Documented in docs/fleet-view.md."""
+    """Counters of one member. docs/fleet-view.md describes them for operators."""
 
     datagrams_in: int = 0
     datagrams_out: int = 0
     bytes_out: int = 0
-    unsendable: int = 0
-    replayed: int = 0
+    unsendable: int = 0  # datagrams that were not sent: too long, an invalid address or a socket error
+    replayed: int = 0  # rejected datagrams that were received before
     refused: dict[str, int] = field(default_factory=dict)  # rejected datagrams by reason
-    deaths: int = 0  # members that this one saw die
-    moves: int = 0  # how often this member's ordinal or the count changed
-    size: int = 0  # number of members counted
-    place: int = 0  # this member's ordinal among them
+    deaths: int = 0  # changes of a member to dead in this member's view
+    moves: int = 0  # changes of the fleet's size or this member's ordinal
+    size: int = 0  # size of the fleet
+    place: int = 0  # this member's ordinal
 
 
 class FleetProtocol(asyncio.DatagramProtocol):
@@ -57,9 +57,11 @@
         on_started: Callable[[Membership, float], None],
         on_step: Callable[[float], list[OutgoingMessage]],
     ) -> None:
-        """`on_started` gets the membership before its first tick.
+        """`configured_size` applies until the membership view is trusted. `clock` returns milliseconds.
 
-        `on_step` is called after each tick and datagram, and returns further messages to send.
+        `on_fleet_size` is called with each new size and ordinal.
+        `on_started` is called with the membership and the time before the first tick.
+        `on_step` is called with the time after each tick and datagram; it returns further messages to send.
         """
         self.counters = FleetCounters()
         self._config, self._name, self._zone = config, name, zone
@@ -75,7 +77,7 @@
         self.membership: Membership | None = None
 
     def set_extra_seeds(self, addresses: list[str]) -> None:
-        """Set earlier addresses of peers, which are contacted too in case no configured seed answers."""
+        """Set addresses of peers from before a restart, which are contacted in addition to configured seeds."""
         self._extra_seeds = addresses
 
     async def start(self) -> None:
@@ -102,12 +104,13 @@
         self._tick()
 
     def leave(self) -> None:
-        """Leave the fleet in a planned shutdown: tell some members, then close."""
+        """Leave the fleet in a planned shutdown: notify some members, then close the socket."""
         if self.membership is not None and self._transport is not None:
             self._send(self.membership.leave(self._clock()))
         self.close()
 
     def close(self) -> None:
+        """Stop the timer and close the socket without notifying other members."""
         if self._timer is not None:
             self._timer.cancel()
         if self._transport is not None:
@@ -205,13 +208,14 @@
             try:
                 data = self._codec.encode(datagram.message)
                 self._transport.sendto(data, (host, int(port)))
-            except (ValueError, OSError):  # a record of another member contained an invalid address
+            except (ValueError, OSError):  # e.g. an invalid address in a record of another member
                 self.counters.unsendable += 1
                 continue
             self.counters.datagrams_out += 1
             self.counters.bytes_out += len(data)
 
     def _log_changes(self) -> None:
+        """Log and count changes of members' standings since the last call."""
         assert self.membership is not None
         for change in self.membership.changes:
             self.counters.deaths += change.standing is Standing.DEAD
--- a/larkcrank/fleet/trust.py
+++ b/larkcrank/fleet/trust.py
@@ -1,7 +1,7 @@
-"""For how long a member uses state that it did not just receive from discovery: one rule per kind of state.
+"""Age limits for state from before a restart and for state from peers, with one rule per kind of state.
 
-docs/fleet-recovery.md contains these rules as a table; a test compares the two. Ages are in milliseconds, for
-state from before a restart and for state from peers. 0: not used at all; infinite: no limit.
+docs/fleet-recovery.md contains these rules as a table; a test compares the two. Ages are in milliseconds.
+0: such state is not used; infinite: there is no limit.
 """
 
 import math
@@ -14,12 +14,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TrustRule:
-    """The texts appear in docs/fleet-recovery.md word for word."""
+    """A row of the table in docs/fleet-recovery.md, which contains the texts word for word."""
 
-    state: str
+    state: str  # kind of state
     restart_max_age_ms: float  # limit for state from before a restart
     peer_max_age_ms: float  # limit for state from peers
-    reason: str
+    reason: str  # why the limits are as they are
     cost_of_error: str  # what happens if the state is wrong
 
 
@@ -109,7 +109,7 @@
 
 
 def format_age(age_ms: float) -> str:
-    """Return an age as written in the table of docs/fleet-recovery.md."""
+    """Return an age limit as the table of docs/fleet-recovery.md has it; "no": not used, "yes": no limit."""
     if age_ms in (0.0, math.inf):
         return "no" if not age_ms else "yes"
     return f"{age_ms / DAY_MS:g} d" if age_ms >= DAY_MS else f"{age_ms / MINUTE_MS:g} min"
--- a/larkcrank/fleet/wire.py
+++ b/larkcrank/fleet/wire.py
@@ -1,4 +1,4 @@
-"""Encoding of datagrams between members: versioned, bounded, authenticated, protected from replay.
+"""Encodes datagrams between members, with a version, a MAC, a size limit and replay protection.
 
 Format: one version byte, a 16-byte keyed BLAKE2b MAC of the version and the body, then the body in msgpack.
 The key is derived from the fleet's name and a secret, which may be empty. The MAC rejects datagrams of
@@ -15,17 +15,21 @@
 PROTOCOL_VERSION = 2
 MAX_DATAGRAM_BYTES = 1200
 MAC_BYTES = 16
-REPLAY_WINDOW = 64  # datagrams of one sender that may arrive out of order
+REPLAY_WINDOW = 64  # a datagram is rejected if its sequence number is this far below the newest one
 
 
 class _Message(msgspec.Struct, tag_field="t", array_like=True, frozen=True):
+    """Fields that every message starts with."""
+
     sender: MemberRecord
     recipient: str  # name of the member addressed; empty: any member at the address
-    sequence: int  # number of the datagram among those of the sender's process
+    sequence: int  # increases with each message of the sender's process
     digest: int  # total of the sender's view digest
 
 
 class Ping(_Message, tag=1, frozen=True):
+    """Probes the recipient, which answers with an Ack."""
+
     probe_id: int
     updates: list[MemberRecord]
     # An answer is never longer than its request, so that forged requests cannot amplify traffic. The padding
@@ -34,6 +38,8 @@
 
 
 class Ack(_Message, tag=2, frozen=True):
+    """Answers a Ping, or a PingRequest whose target answered."""
+
     probe_id: int
     updates: list[MemberRecord]
 
@@ -48,39 +54,41 @@
 
 
 class Nack(_Message, tag=4, frozen=True):
-    """The sender of a PingRequest learns that the recipient is alive, but has no answer from the target."""
+    """Answers a PingRequest whose target has not answered yet, and so shows that the helper itself is alive."""
 
     probe_id: int
 
 
 class BucketDigests(_Message, tag=5, frozen=True):
+    """Starts a comparison of views. Members are divided into buckets by a hash of their names."""
+
     buckets: list[int]  # low 32 bits of each bucket's digest
 
 
 class DifferingBuckets(_Message, tag=6, frozen=True):
-    """The buckets in which the sender's view differs from the digests that it received."""
+    """Answers BucketDigests with the buckets in which the sender's view differs."""
 
-    buckets: list[int]
+    buckets: list[int]  # indexes
 
 
 class BucketPage(_Message, tag=7, frozen=True):
-    """All records of the sender in one bucket whose names lie in a range.
+    """All records that the sender has in one bucket for names after `after_name`, up to `last_name`.
 
-    It is padded, since the answer must not be longer.
+    Padded, since the answer must not be longer.
     """
 
-    bucket: int
-    after_name: str
+    bucket: int  # index
+    after_name: str  # empty: from the start of the bucket
     last_name: str  # empty: to the end of the bucket
     records: list[MemberRecord]
     padding: bytes
 
 
 class BucketReply(_Message, tag=8, frozen=True):
-    """Records in the range of a `BucketPage` that the page lacks or that supersede the page's."""
+    """Answers a `BucketPage` with records in its range that it lacks or that supersede its own."""
 
     bucket: int
-    last_name: str  # last name covered, if the records did not fit; empty: the whole range is covered
+    last_name: str  # last name included, if not all records fit; empty: the whole range is covered
     records: list[MemberRecord]
 
 
@@ -98,21 +106,21 @@
 
 
 class ListStatus(_Message, tag=9, frozen=True):
-    """Which server list the sender holds, and how recently discovery reported it."""
+    """Announces the sender's server list, and when discovery reported it."""
 
     epoch: int  # number of times that discovery restarted its generation count
     generation: int
     # Since discovery first reported this list to a member; negative: the list is from before a restart.
     age_ms: float
-    list_hash: int
+    list_hash: int  # result of `lists.list_hash`
     direct_generation: int  # last generation that the sender received from discovery itself; -1: none
-    direct_age_ms: float  # since then
+    direct_age_ms: float  # since the sender received that generation
     uptime_ms: float  # since the sender's process started
     padding: bytes  # the answer is another ListStatus, and must not be longer
 
 
 class ListRequest(_Message, tag=10, frozen=True):
-    """Requests the entries of a list that follow a name. Padded, since the answer must not be longer."""
+    """Requests the entries of a list after a server name. Padded, since the answer must not be longer."""
 
     epoch: int
     generation: int
@@ -121,7 +129,7 @@
 
 
 class ListChunk(_Message, tag=11, frozen=True):
-    """Consecutive entries of a list, sorted by name."""
+    """Answers a ListRequest with the next entries of the list, sorted by server name."""
 
     epoch: int
     generation: int
@@ -149,7 +157,7 @@
 
 
 class DatagramError(Exception):
-    """A datagram was rejected. `reason` is the name of a counter.
+    """A datagram was rejected. `reason` is the key under which it is counted.
 
     "damaged": invalid size or contents; "other_version": unknown protocol version; "strange": wrong MAC.
     """
@@ -203,13 +211,17 @@
 
 
 class ReplayFilter:
-    """Remembers which datagrams of one sender process were received: the newest and the window before it."""
+    """Rejects datagrams of one sender process that were received before.
+
+    Stores the newest sequence number, and a bit for each of the REPLAY_WINDOW latest numbers that is set if it was
+    received; bit 0 is the newest.
+    """
 
     def __init__(self) -> None:
         self._newest, self._seen_bits = -1, 0
 
     def accept(self, sequence: int) -> bool:
-        """Return whether a datagram is new, and mark it as received."""
+        """Return whether the datagram with this sequence number is new, and mark it as received."""
         if sequence > self._newest:
             self._seen_bits = ((self._seen_bits << (sequence - self._newest)) | 1) & (
                 (1 << REPLAY_WINDOW) - 1
