--- a/larkcrank/fleet/lists.py
+++ b/larkcrank/fleet/lists.py
@@ -110,10 +110,10 @@
     """Return a hash of a list that does not depend on the order of its entries."""
     combined = 0
     for entry in entries:
-        text = msgspec.msgpack.encode(
+        encoded_entry = msgspec.msgpack.encode(
             entry if with_addresses else msgspec.structs.replace(entry, host_port="")
         )
-        combined ^= int.from_bytes(blake2b(text, digest_size=8).digest(), "big")
+        combined ^= int.from_bytes(blake2b(encoded_entry, digest_size=8).digest(), "big")
     return combined
 
 
@@ -246,14 +246,14 @@
     def receive(self, now: float, address: str, message: ListMessage) -> list[OutgoingMessage]:
         """Handle a message from a peer at this address and return the messages to send."""
         self._now = now
-        name = message.sender.name
+        peer_name = message.sender.name
         match message:
             case ListStatus():
-                return self._handle_status(name, address, message)
+                return self._handle_status(peer_name, address, message)
             case ListRequest():
-                return self._handle_request(name, address, message)
+                return self._handle_request(peer_name, address, message)
             case ListChunk():
-                return self._handle_chunk(name, address, message)
+                return self._handle_chunk(peer_name, address, message)
 
     def tick(self, now: float) -> list[OutgoingMessage]:
         """Handle everything that is due and return the messages to send."""
@@ -386,14 +386,14 @@
             msgspec.structs.replace(request, padding=bytes(MAX_CHUNK_BYTES - encoded_size(request))),
         )
 
-    def _handle_request(self, name: str, address: str, message: ListRequest) -> list[OutgoingMessage]:
+    def _handle_request(self, peer_name: str, address: str, message: ListRequest) -> list[OutgoingMessage]:
         version = self._version
         if (message.epoch, message.generation) != (version.epoch, version.generation):
             return []
         entries: list[ServerEntry] = []
         last_name = ""
         header = (
-            *self._membership.message_header(name),
+            *self._membership.message_header(peer_name),
             version.epoch,
             version.generation,
             self._list_hash,
@@ -415,10 +415,10 @@
             entries.append(entry)
         return [OutgoingMessage(address, ListChunk(*header, last_name, entries))]
 
-    def _handle_chunk(self, name: str, address: str, message: ListChunk) -> list[OutgoingMessage]:
+    def _handle_chunk(self, peer_name: str, address: str, message: ListChunk) -> list[OutgoingMessage]:
         transfer = self._transfer
         list_id = message.epoch, message.generation, message.list_hash
-        if transfer is None or transfer.peer != name or transfer.list_id != list_id:
+        if transfer is None or transfer.peer != peer_name or transfer.list_id != list_id:
             return []
         after_name = transfer.entries[-1].name if transfer.entries else ""
         if (
@@ -450,17 +450,17 @@
         epoch, generation, _ = transfer.list_id
         received: dict[str, ServerEntry] = {}
         for entry in transfer.entries:
-            localized = self._with_own_address(self._keep_departed(entry))
-            if localized is not None:
-                received[entry.name] = localized
-        ready = {entry.name for entry in self.entries.values() if entry.state == State.READY}
-        remaining = {entry.name for entry in received.values() if entry.state == State.READY}
+            usable_entry = self._with_own_address(self._keep_departed(entry))
+            if usable_entry is not None:
+                received[entry.name] = usable_entry
+        ready_names = {entry.name for entry in self.entries.values() if entry.state == State.READY}
+        remaining_names = {entry.name for entry in received.values() if entry.state == State.READY}
         update = SharedListUpdate(generation, tuple(received.values()), transfer.peer)
         self.adopted_count += 1
         self._unconfirmed = None
-        if len(ready - remaining) > MAX_UNCONFIRMED_REMOVAL_SHARE * len(ready) and not self._is_confirmed(
-            transfer.list_id
-        ):
+        if len(ready_names - remaining_names) > MAX_UNCONFIRMED_REMOVAL_SHARE * len(
+            ready_names
+        ) and not self._is_confirmed(transfer.list_id):
             self._reject("alone")
             self._confirmed_version = self._version, self._list_hash
             self._unconfirmed = transfer.list_id, update
@@ -468,8 +468,10 @@
                 self._now + CONFIRMATION_TIMEOUT_MS,
                 self._now,
             )
-            kept = {name: entry for name, entry in self.entries.items() if name in ready - remaining}
-            update = SharedListUpdate(generation, tuple({**received, **kept}.values()), transfer.peer)
+            kept_entries = {
+                name: entry for name, entry in self.entries.items() if name in ready_names - remaining_names
+            }
+            update = SharedListUpdate(generation, tuple({**received, **kept_entries}.values()), transfer.peer)
         else:
             self._record_departed(received, True)
         used = {entry.name: entry for entry in update.entries}
@@ -573,28 +575,28 @@
     def _send_status(self, count: int) -> list[OutgoingMessage]:
         if self._version.generation < 0 and not self._has_peers():
             return []
-        others = [
+        other_members = [
             record
             for record in self._membership.live_members.values()
             if record.name != self._membership.local_record.name
         ]
-        recipients = self._rng.sample(others, min(count, len(others)))
+        recipients = self._rng.sample(other_members, min(count, len(other_members)))
         return [OutgoingMessage(record.address, self._make_status(record.name)) for record in recipients]
 
-    def _make_status(self, name: str) -> ListStatus:
+    def _make_status(self, peer_name: str) -> ListStatus:
         direct_age = self._now - self._direct_report_at if self._direct_generation >= 0 else 0.0
         # An unconfirmed list is not offered. Peers with that list or a newer one answer the status, and the
         # answer confirms or replaces the list.
-        version, current_hash = (
+        offered_version, offered_hash = (
             (self._version, self._list_hash) if self._unconfirmed is None else self._confirmed_version
         )
-        age = self._now - version.reported_at
+        age = self._now - offered_version.reported_at
         header = (
-            *self._membership.message_header(name),
-            version.epoch,
-            version.generation,
+            *self._membership.message_header(peer_name),
+            offered_version.epoch,
+            offered_version.generation,
             age if age <= MAX_PEER_LIST_AGE_MS else -1.0,
-            current_hash,
+            offered_hash,
         )
         return ListStatus(
             *header,
--- a/larkcrank/fleet/membership.py
+++ b/larkcrank/fleet/membership.py
@@ -5,8 +5,8 @@
 DSN-W 2018): a member that misses answers lengthens its own probe period, since the cause may be local;
 confirmations by other members shorten a suspicion; and each datagram to a suspected member contains the
 suspicion as its first update, so that the member can refute it. As in Serf, dead members are contacted again
-at a bounded rate. Two members whose digests differ compare their views bucket by bucket and exchange the records that
-differ (anti-entropy). A bucket is the set of members whose names have the same `bucket_index`.
+at a bounded rate. Two members whose digests differ compare their views bucket by bucket and exchange the
+records that differ (anti-entropy). A bucket is the set of members whose names have the same `bucket_index`.
 
 Times are milliseconds on the caller's clock. `tick` must be called every TICK_INTERVAL_MS. If a call is more
 than STALL_MS after the previous one, this process is taken to have been stalled.
@@ -227,8 +227,8 @@
         if not self._is_current(sender):
             # The sender has a lower incarnation than the known record of its name: it is a restarted process
             # whose former process still counts as live, or a second process with this name. The answer
-            # contains the known record, so that the sender can choose a higher incarnation. Otherwise it would not be
-            # accepted before the former process is declared dead.
+            # contains the known record, so that the sender can choose a higher incarnation. Otherwise it
+            # would not be accepted before the former process is declared dead.
             return [self._make_ack(address, message)] if isinstance(message, Ping) else []
         self._merge(sender)
         outgoing: list[OutgoingMessage] = []
@@ -318,8 +318,8 @@
             self.local_record, incarnation=self.local_record.incarnation + 1, standing=Standing.LEFT
         )
         self._set_local_record(left_record)
-        others = [record for record in self.live_records() if record.name != self.local_record.name]
-        recipients = self._rng.sample(others, min(LEAVE_PING_COUNT, len(others)))
+        other_members = [record for record in self.live_records() if record.name != self.local_record.name]
+        recipients = self._rng.sample(other_members, min(LEAVE_PING_COUNT, len(other_members)))
         outgoing = [self._make_ping(record.address, record.name) for record in recipients]
         self.has_left = True
         return outgoing
@@ -397,14 +397,14 @@
 
     def _probe_indirectly(self, probe: _Probe) -> list[OutgoingMessage]:
         target = self.members.get(probe.target)
-        others = [
+        other_members = [
             record
             for record in self.live_records()
             if record.name not in (self.local_record.name, probe.target)
         ]
-        if target is None or not others:
+        if target is None or not other_members:
             return []
-        helpers = self._rng.sample(others, min(INDIRECT_PROBE_COUNT, len(others)))
+        helpers = self._rng.sample(other_members, min(INDIRECT_PROBE_COUNT, len(other_members)))
         probe.requests_sent = len(helpers)
         return [
             OutgoingMessage(
@@ -476,13 +476,13 @@
 
     def _ping_lost_member(self) -> list[OutgoingMessage]:
         """Ping a dead member, or a seed at which no live member is known, to reconnect after a partition."""
-        lost = [
+        lost_addresses = [
             record.address
             for record in self._dead_members.values()
             if not self._live_addresses[record.address]
         ]
-        lost += [seed for seed in self._seeds if not self._live_addresses[seed]]
-        return [self._make_ping(self._rng.choice(lost), "")] if lost else []
+        lost_addresses += [seed for seed in self._seeds if not self._live_addresses[seed]]
+        return [self._make_ping(self._rng.choice(lost_addresses), "")] if lost_addresses else []
 
     def _ping_suspect(self) -> list[OutgoingMessage]:
         """Ping a random suspected member, so that its answer can refute the suspicion directly."""
@@ -651,22 +651,24 @@
         self._last_sequence += 1
         return self.local_record, recipient, self._last_sequence, self.digest.total
 
-    def _make_ping(self, address: str, name: str, probe_id: int = 0) -> OutgoingMessage:
+    def _make_ping(self, address: str, recipient: str, probe_id: int = 0) -> OutgoingMessage:
         if not probe_id:
             self._last_probe_id += 1
             probe_id = self._last_probe_id
         padding = bytes(encoded_size(self.local_record) + HEADER_BYTES)
         return OutgoingMessage(
-            address, Ping(*self.message_header(name), probe_id, self._select_updates(name), padding)
+            address, Ping(*self.message_header(recipient), probe_id, self._select_updates(recipient), padding)
         )
 
     def _make_ack(self, address: str, ping: Ping) -> OutgoingMessage:
-        name = ping.sender.name
+        recipient = ping.sender.name
         max_bytes = encoded_size(ping) - encoded_size(self.local_record) - HEADER_BYTES
         return OutgoingMessage(
             address,
             Ack(
-                *self.message_header(name), ping.probe_id, self._select_updates(name, ping.sender, max_bytes)
+                *self.message_header(recipient),
+                ping.probe_id,
+                self._select_updates(recipient, ping.sender, max_bytes),
             ),
         )
 
--- a/larkcrank/fleet/news.py
+++ b/larkcrank/fleet/news.py
@@ -57,7 +57,7 @@
             yield from list(names) if len(names) <= _MAX_NAMES_PER_GROUP else _first_names(names)
 
 
-_MAX_NAMES_PER_GROUP = 64  # that an iteration yields; the records of so many do not fit into one datagram
+_MAX_NAMES_PER_GROUP = 64  # yielded by an iteration; the records of so many do not fit into one datagram
 
 
 def _first_names(names: dict[str, None]) -> list[str]:
--- a/larkcrank/fleet/ranks.py
+++ b/larkcrank/fleet/ranks.py
@@ -2,14 +2,14 @@
 
 A member's ordinal is its rank in the order of a hash of the names. All members with the same view compute the
 same ordinals without further messages. Each member uses the part of the servers that its ordinal selects.
-The hash order spreads members that fail together, and one member more or less moves each member's part by less
-than the size of one part. The alternative is a hash table with open addressing, whose slots members keep while
-others come and go. It would move fewer parts while the number of slots stays the same, but several times more
-whenever that number changes; see docs/fleet-view.md. The order depends on names rather than processes, so a
-restarted member keeps its ordinal.
+The hash order remains evenly covered, members that fail together are not neighbours in it, and one member
+more or less moves each member's part by less than the size of one part. The alternative is a hash table with
+open addressing, in which members keep their slots while others come and go. It would move fewer parts while
+the number of slots stays the same, but several times more whenever that number changes; see
+docs/fleet-view.md. The order depends on names rather than processes, so a restarted member keeps its ordinal.
 
-Damping: a member that dies is still counted for HOLD_MS, a time that doubles with each of its recent deaths (as
-in route flap damping, RFC 2439). While the view is not trusted, no ordinal changes.
+Damping: a member that dies is still counted for HOLD_MS, a time that doubles with each of its recent deaths
+(as in route flap damping, RFC 2439). While the view is not trusted, no ordinal changes.
 
 Times are milliseconds on the caller's clock. No I/O.
 """
@@ -79,7 +79,7 @@
         self._started_at = now
         self._live_since: dict[str, float] = {}  # live members, and since when they count as live
         self._lost_members: dict[str, _LostMember] = {}
-        # For each member that died: the number of its deaths with exponential decay, and when it was computed.
+        # For each member that died: its number of deaths with exponential decay, and when it was computed.
         self._death_weights: dict[str, tuple[float, float]] = {}
         self._counted: frozenset[str] = (
             frozenset()
--- a/larkcrank/fleet/restart.py
+++ b/larkcrank/fleet/restart.py
@@ -1,4 +1,4 @@
-"""Classifies a restart by the uptimes of the peers: of this process alone, rolling, of a zone or of the fleet.
+"""Classifies a restart by the uptimes of the peers: single process, rolling, zone or whole fleet.
 
 No I/O. Only ages are compared, so clocks need not agree. docs/fleet-recovery.md describes what depends on the
 result, and why a wrong result does no harm.
@@ -11,7 +11,7 @@
 ROLLING_MS = 600_000.0  # maximum duration of a rolling restart
 NEARLY_ALL_SHARE = 0.9  # minimum share of a group of peers that counts as all of them
 HARDLY_ANY_SHARE = 0.2  # maximum share of a group of peers that counts as none of them
-# Minimum number of peers whose uptime must be known, and minimum share of all peers. The share is not required
+# Minimum number of peers whose uptime must be known, and minimum share of all peers. The share is not needed
 # if ENOUGH_KNOWN_PEERS are known, which is a sufficient sample of a fleet of any size.
 MIN_KNOWN_PEERS = 2
 REQUIRED_PEER_SHARE = 0.5
@@ -19,7 +19,7 @@
 
 
 class RestartKind(Enum):
-    """Which processes restarted together with this one. The values appear in logs."""
+    """Which processes restarted besides this one."""
 
     UNKNOWN = "unknown"
     SINGLE = "this one alone"
@@ -40,15 +40,16 @@
     required = min(REQUIRED_PEER_SHARE * (len(zones) - 1), ENOUGH_KNOWN_PEERS)
     if len(known_ages) < max(required, MIN_KNOWN_PEERS):
         return RestartKind.UNKNOWN
-    together = {name for name, age in known_ages.items() if abs(age - own_age_ms) <= SAME_START_MS}
-    together_share = len(together) / len(known_ages)
-    if together_share >= NEARLY_ALL_SHARE:
+    restarted_together = {name for name, age in known_ages.items() if abs(age - own_age_ms) <= SAME_START_MS}
+    restarted_share = len(restarted_together) / len(known_ages)
+    if restarted_share >= NEARLY_ALL_SHARE:
         return RestartKind.FLEET
-    same_zone = {name for name in known_ages if zones[name] == own_zone}
+    peers_in_zone = {name for name in known_ages if zones[name] == own_zone}
     if (
-        same_zone
-        and len(same_zone & together) >= NEARLY_ALL_SHARE * len(same_zone)
-        and len(together - same_zone) <= HARDLY_ANY_SHARE * (len(known_ages) - len(same_zone))
+        peers_in_zone
+        and len(peers_in_zone & restarted_together) >= NEARLY_ALL_SHARE * len(peers_in_zone)
+        and len(restarted_together - peers_in_zone)
+        <= HARDLY_ANY_SHARE * (len(known_ages) - len(peers_in_zone))
     ):
         return RestartKind.ZONE
     if sum(age < ROLLING_MS for age in known_ages.values()) > HARDLY_ANY_SHARE * len(known_ages):
--- a/larkcrank/fleet/speaker.py
+++ b/larkcrank/fleet/speaker.py
@@ -77,7 +77,7 @@
         self.membership: Membership | None = None
 
     def set_extra_seeds(self, addresses: list[str]) -> None:
-        """Set addresses of peers from before a restart, which are contacted in addition to configured seeds."""
+        """Set addresses of peers from before a restart, to be contacted in addition to the seeds."""
         self._extra_seeds = addresses
 
     async def start(self) -> None:
--- a/larkcrank/fleet/wire.py
+++ b/larkcrank/fleet/wire.py
@@ -54,7 +54,7 @@
 
 
 class Nack(_Message, tag=4, frozen=True):
-    """Answers a PingRequest whose target has not answered yet, and so shows that the helper itself is alive."""
+    """Answers a PingRequest whose target has not answered yet; shows that the sender itself is alive."""
 
     probe_id: int
 
@@ -213,8 +213,8 @@
 class ReplayFilter:
     """Rejects datagrams of one sender process that were received before.
 
-    Stores the newest sequence number, and a bit for each of the REPLAY_WINDOW latest numbers that is set if it was
-    received; bit 0 is the newest.
+    Stores the newest sequence number and one bit for each of the REPLAY_WINDOW latest numbers. Bit 0 is for
+    the newest; a bit is set if the number was received.
     """
 
     def __init__(self) -> None:
