--- a/larkcrank/fleet/lists.py
+++ b/larkcrank/fleet/lists.py
@@ -79,7 +79,7 @@
 
     generation: int
     entries: tuple[ServerEntry, ...]
-    source: str  # name of the peer that it came from; empty: discovery
+    source: str  # name of the peer that sent it; empty: discovery
 
 
 @dataclass(slots=True)
@@ -97,13 +97,13 @@
 class _Transfer:
     """A list that is being received in chunks."""
 
-    peer: str
-    address: str
+    peer: str  # member name
+    address: str  # of the peer, host:port
     list_id: tuple[int, int, int]  # epoch, generation, hash
-    requested_at: float
-    reported_at: float
-    failed_attempts: int = 0
-    entries: list[ServerEntry] = field(default_factory=list)
+    requested_at: float  # when the latest chunk was requested
+    reported_at: float  # when discovery reported the list to the first member
+    failed_attempts: int = 0  # consecutive requests without an answer
+    entries: list[ServerEntry] = field(default_factory=list)  # received so far, sorted by name
 
 
 def list_hash(entries: Iterable[ServerEntry], with_addresses: bool) -> int:
@@ -236,9 +236,11 @@
         self._record_departed(by_name, complete)
         epoch = self._version.epoch + is_lower
         is_newer = (epoch, generation) != (self._version.epoch, self._version.generation)
-        before, shared = ({}, {}) if complete else (self.entries, self._shared_entries)
+        kept_entries, kept_shared_entries = ({}, {}) if complete else (self.entries, self._shared_entries)
         self._unconfirmed = self._transfer = self._lower_generation_list = self._lower_generation_since = None
-        self._replace_list(before | by_name, shared | by_name, _ListVersion(epoch, generation, now))
+        self._replace_list(
+            kept_entries | by_name, kept_shared_entries | by_name, _ListVersion(epoch, generation, now)
+        )
         if is_newer:
             self._announcement_due = True
         return accepted
@@ -307,6 +309,7 @@
     # Lists of peers
 
     def _handle_status(self, peer_name: str, address: str, message: ListStatus) -> list[OutgoingMessage]:
+        """Request the peer's list if it is newer, or answer with a status if it is older."""
         peer_rank = self._rank(message.age_ms, message.epoch, message.generation)
         reported_at = self._now - message.age_ms if message.age_ms >= 0.0 else -math.inf
         self.peer_started_at[peer_name] = self._now - message.uptime_ms
@@ -371,9 +374,11 @@
         return discovery_reports_lower or not self.is_reported or self._is_confirmed(list_id)
 
     def _is_confirmed(self, list_id: tuple[int, int, int]) -> bool:
+        """Return whether enough peers received the list with this ID (epoch, generation, hash) directly."""
         return len(self._confirmations.get(list_id, ())) >= REQUIRED_CONFIRMATIONS
 
     def _make_request(self, after_name: str) -> OutgoingMessage:
+        """Return a request for the chunk after this server name in the current transfer."""
         transfer = self._transfer
         assert transfer is not None
         transfer.requested_at = self._now
@@ -387,6 +392,7 @@
         )
 
     def _handle_request(self, peer_name: str, address: str, message: ListRequest) -> list[OutgoingMessage]:
+        """Answer with the next chunk of the list if the requested list is the one in use."""
         version = self._version
         if (message.epoch, message.generation) != (version.epoch, version.generation):
             return []
@@ -416,6 +422,7 @@
         return [OutgoingMessage(address, ListChunk(*header, last_name, entries))]
 
     def _handle_chunk(self, peer_name: str, address: str, message: ListChunk) -> list[OutgoingMessage]:
+        """Add a chunk to the current transfer; request the next chunk, or adopt the complete list."""
         transfer = self._transfer
         list_id = message.epoch, message.generation, message.list_hash
         if transfer is None or transfer.peer != peer_name or transfer.list_id != list_id:
@@ -573,6 +580,7 @@
     # Status messages
 
     def _send_status(self, count: int) -> list[OutgoingMessage]:
+        """Return status messages to up to `count` random live members."""
         if self._version.generation < 0 and not self._has_peers():
             return []
         other_members = [
@@ -584,6 +592,7 @@
         return [OutgoingMessage(record.address, self._make_status(record.name)) for record in recipients]
 
     def _make_status(self, peer_name: str) -> ListStatus:
+        """Return a status message for this peer, which offers the list in use or the last confirmed one."""
         direct_age = self._now - self._direct_report_at if self._direct_generation >= 0 else 0.0
         # An unconfirmed list is not offered. Peers with that list or a newer one answer the status, and the
         # answer confirms or replaces the list.
--- a/larkcrank/fleet/membership.py
+++ b/larkcrank/fleet/membership.py
@@ -100,7 +100,7 @@
 class _Probe:
     """The probe of the current period."""
 
-    target: str
+    target: str  # member name
     probe_id: int
     requests_sent: int = 0  # indirect probes requested from other members
     nacks_received: int = 0
@@ -111,13 +111,14 @@
 class _Suspicion:
     """A suspicion of a member, which is declared dead when it expires."""
 
-    started_at: float
-    incarnation: int
-    min_duration: float
-    max_duration: float
+    started_at: float  # shifted when this process stalls
+    incarnation: int  # of the suspected member
+    min_duration: float  # with FULL_CONFIRMATIONS
+    max_duration: float  # without confirmations
     confirmed_by: set[str] = field(default_factory=set)  # names of other members that suspect it too
 
     def is_new_confirmation(self, reporter: str) -> bool:
+        """Return whether a report by this member is a further confirmation that is to be counted."""
         return (
             bool(reporter)
             and reporter not in self.confirmed_by
@@ -136,10 +137,10 @@
 class _RelayedProbe:
     """A probe on behalf of another member, the requester."""
 
-    requester_probe_id: int
-    requester: str
+    requester_probe_id: int  # ID of the probe in the request
+    requester: str  # member name
     requester_address: str
-    nack_at: float
+    nack_at: float  # when to send a Nack if the target has not answered; infinite: already sent
     expires_at: float
 
 
@@ -209,6 +210,7 @@
     # Queries
 
     def live_records(self) -> list[MemberRecord]:
+        """Return the records of all live members, including this one."""
         return list(self.live_members.values())
 
     # Events
@@ -250,7 +252,11 @@
                     digest & 0xFFFFFFFF for digest in self.digest.buckets
                 ]  # 32 bits, as in the message
                 differing = [
-                    i for i, (a, b) in enumerate(zip(own_buckets, message.buckets, strict=False)) if a != b
+                    index
+                    for index, (own_digest, sender_digest) in enumerate(
+                        zip(own_buckets, message.buckets, strict=False)
+                    )
+                    if own_digest != sender_digest
                 ]
                 if differing:
                     outgoing.append(
@@ -396,6 +402,7 @@
             self._merge(msgspec.structs.replace(record, reported_by=self.local_record.name))
 
     def _probe_indirectly(self, probe: _Probe) -> list[OutgoingMessage]:
+        """Request some other live members to probe the target."""
         target = self.members.get(probe.target)
         other_members = [
             record
@@ -421,6 +428,7 @@
         ]
 
     def _relay_probe(self, address: str, requester: str, message: PingRequest) -> list[OutgoingMessage]:
+        """Ping a target on behalf of the requester at this address."""
         if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
             return []
         self._last_probe_id += 1
@@ -432,8 +440,8 @@
             self._now + NACK_SHARE * direct_wait,
             self._now + 4 * MIN_PROBE_PERIOD_MS,
         )
-        # The ping has no padding, so that it is no longer than the request: a forged request could otherwise
-        # amplify traffic to any address.
+        # The ping has no padding, so that it is never longer than the request. Otherwise, forged requests
+        # could amplify traffic to any address.
         return [
             OutgoingMessage(
                 message.target_address,
@@ -442,6 +450,7 @@
         ]
 
     def _check_relayed_probes(self) -> list[OutgoingMessage]:
+        """Send the Nacks that are due, and remove expired probes."""
         outgoing = []
         for probe_id, relayed in list(self._relayed_probes.items()):
             if self._now >= relayed.nack_at:
@@ -457,6 +466,7 @@
         return outgoing
 
     def _handle_ack(self, name: str, probe_id: int) -> list[OutgoingMessage]:
+        """Handle an Ack to a probe of this member, or forward one to the requester of a relayed probe."""
         sent_at = self._probe_sent_at.pop(probe_id, None)
         if sent_at is not None and self._now - sent_at <= MAX_RTT_SAMPLE_MS:
             self._update_rtt(self._now - sent_at)
@@ -570,10 +580,10 @@
 
     def _handle_own_name(self, record: MemberRecord) -> None:
         """Handle a record about this process or another process with the same name; refute it if needed."""
-        is_raised = record.incarnation >= self.local_record.incarnation and record.is_live
+        is_not_outranked = record.incarnation >= self.local_record.incarnation and record.is_live
         if (
             record.boot_id != self.local_record.boot_id
-            and is_raised
+            and is_not_outranked
             and record.incarnation > self._exceeded_incarnations.get(record.boot_id, -1)
         ):
             # A single such record may be an outdated update about a former process of this member. A process
@@ -634,6 +644,7 @@
         self.live_set_version += was_live is not (name in self.live_members)
 
     def _forget_dead_members(self) -> None:
+        """Remove the records of members that have been dead for FORGET_DEAD_MS."""
         for name, dead_since in list(self._dead_since.items()):
             if self._now >= dead_since + FORGET_DEAD_MS:
                 del self._dead_since[name]
@@ -675,7 +686,7 @@
     def _select_updates(
         self, name: str, sender: MemberRecord | None = None, max_bytes: int = MAX_UPDATE_BYTES
     ) -> list[MemberRecord]:
-        """Return the updates for one datagram to this member, those sent least often first.
+        """Return the updates for one datagram to the member `name`, those sent least often first.
 
         A record of the recipient itself goes first if it is suspect, dead or newer than the recipient's own,
         so that the recipient can refute it.
@@ -710,6 +721,7 @@
         return [self.members[name] for name in names]
 
     def _send_pages(self) -> list[OutgoingMessage]:
+        """Return the next pages of records for the member with which views are compared."""
         outgoing: list[OutgoingMessage] = []
         while self._pending_pages and self._pages_in_flight < MAX_PAGES_IN_FLIGHT:
             name, address, bucket, after_name = self._pending_pages.popleft()
@@ -740,6 +752,7 @@
         return outgoing
 
     def _make_bucket_reply(self, name: str, page: BucketPage) -> BucketReply:
+        """Apply the records of a page, and return those that the page lacks or has in an older version."""
         page_records = {record.name: record for record in page.records}
         bytes_left = (
             min(encoded_size(page), MAX_DATAGRAM_BYTES - MAC_BYTES - 1)
--- a/larkcrank/fleet/ranks.py
+++ b/larkcrank/fleet/ranks.py
@@ -51,7 +51,7 @@
 class _LostMember:
     """A member that is no longer live in the view."""
 
-    lost_at: float
+    lost_at: float  # when it was first missing from the live members
     counted_until: float  # until then it is included in the fleet's size
 
 
@@ -62,6 +62,7 @@
 
 
 def _sort_key(name: str) -> tuple[bytes, str]:
+    """Return the hash of the name, and the name itself in case two hashes are equal."""
     return blake2b(name.encode(), digest_size=8).digest(), name
 
 
