--- a/larkcrank/tiers/__init__.py
+++ b/larkcrank/tiers/__init__.py
@@ -1,1 +1,1 @@
-"""Tiers: processes between discovery and the sidecars that hold the list once and give each its part."""
+"""Tiers: processes that fetch the instance list from discovery and serve each sidecar its services."""
--- a/larkcrank/tiers/asking.py
+++ b/larkcrank/tiers/asking.py
@@ -9,7 +9,7 @@
 
 
 class CallError(Exception):
-    """A call failed; the message says why. `refused`: it was answered with a status other than 200."""
+    """A call failed; the message says why. `refused`: whether a status other than 200 was the answer."""
 
     def __init__(self, reason: str, refused: bool = False) -> None:
         super().__init__(reason)
@@ -17,6 +17,8 @@
 
 
 class KeepAliveClient:
+    """Makes one call at a time over one connection, which is opened on demand and kept."""
+
     def __init__(self, address: tuple[str, int], connect_timeout_s: float, max_body_bytes: int) -> None:
         self._address, self._connect_timeout_s, self._max_body_bytes = (
             address,
@@ -63,6 +65,7 @@
         return response.body
 
     async def _call(self, request: bytes, retry_if_closed: bool) -> http1.Response:
+        """Send a request on the kept connection, or on a new one. Raises `OSError` or `MessageError`."""
         if self._streams is not None:
             try:
                 return await self._exchange(request, reused=True)
@@ -78,7 +81,10 @@
         return await self._exchange(request, reused=False)
 
     async def _exchange(self, request: bytes, reused: bool) -> http1.Response:
-        """Send a request and read its response on the open connection."""
+        """Send a request and read its response on the open connection.
+
+        `reused`: whether the connection has been used for an earlier call.
+        """
         assert self._streams is not None
         reader, writer = self._streams
         writer.write(request)
@@ -101,10 +107,11 @@
         return parser.response()
 
     def close(self) -> None:
+        """Close the connection; the next call opens a new one."""
         if self._streams is not None:
             self._streams[1].transport.abort()
             self._streams = None
 
 
 class _ClosedBeforeResponseError(Exception):
-    """The server closed a kept connection before any byte of the response."""
+    """The server closed a reused connection before it sent any byte of the response."""
--- a/larkcrank/tiers/config.py
+++ b/larkcrank/tiers/config.py
@@ -24,45 +24,54 @@
 
 
 class _Source(msgspec.Struct, forbid_unknown_fields=True):
+    """A discovery service or child tier whose list this tier fetches."""
+
     discovery: str
     service: str = ""
     may_be_empty: bool = False
 
 
 class Settings(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """Limits and times with their defaults. Each field is a key of the configuration file."""
+    """Limits and times with their defaults. Each field is a key of `settings` in the configuration file."""
 
-    gather_ms: float = 100.0  # between two batches of changes at one listener
+    gather_ms: float = 100.0  # minimum time between two batches of changes at one listener
     wait_ms: int = 1000  # long-poll wait of calls to sources and parent tiers
     slack_ms: float = 700.0  # a long poll fails this long after its wait has passed
     whole_ms: float = 3000.0  # timeout of a call for a full list
     connect_ms: float = 500.0
-    fresh_ms: float = 6000.0  # with a source or parent silent for longer, new receivers get no full list
-    deaf_ms: float = (
-        3000.0  # a parent silent for longer makes a tier stale; without sources it ends its watches
+    fresh_ms: float = (
+        6000.0  # with a source or parent silent for longer, receivers with an unknown generation are refused
+    )
+    # With a parent silent for longer the tier is stale; without sources it also refuses waiting calls.
+    deaf_ms: float = 3000.0
+    patience_ms: float = (
+        30_000.0  # the tier stops waiting for sources that are silent for this long after its start
     )
-    patience_ms: float = 30_000.0  # a source silent for this long after the start is no longer waited for
-    wholes_per_s: float = 250.0  # full answers to sidecars, over all listeners
-    tier_wholes_per_s: float = 5.0  # full answers to tiers
+    wholes_per_s: float = 250.0  # maximum rate of full answers to sidecars, over all listeners
+    tier_wholes_per_s: float = 5.0  # maximum rate of full answers to tiers
     whole_wait_ms: float = 2000.0  # a request that would wait longer for its full answer is refused
     write_ms: float = 2000.0  # a connection whose peer has not read an answer by then is closed
     idle_ms: float = 10_000.0  # a connection without a call for this long is closed
     longest_wait_ms: int = 60_000  # maximum long-poll wait that a receiver may ask for
-    connections: int = 5000
+    connections: int = 5000  # maximum number of receivers connected
     answer_bytes: int = 4 << 20  # maximum size of an answer from a source or parent
     spread_ms: float = 500.0  # upper bound of the random delay before a call to another address
     back_min_ms: float = 20_000.0  # bounds of the random delay before the first address is tried again
     back_max_ms: float = 60_000.0
     again_max_ms: float = 2000.0  # longest mean delay between calls that fail
-    tombstones: int = 20_000
-    tombstone_ms: float = 7_200_000.0
+    tombstones: int = 20_000  # maximum number of tombstones
+    tombstone_ms: float = 7_200_000.0  # an older tombstone is removed
     snapshot_ms: float = 10_000.0  # between two snapshots, if anything has changed
     snapshot_age_ms: float = 3_600_000.0  # an older snapshot is not loaded
-    left_ms: float = 600_000.0  # how long a sidecar that was cut off while it lacked a change is reported
+    left_ms: float = (
+        600_000.0  # how long a sidecar is reported that was disconnected while it lacked a change
+    )
     held_ms: float = 3000.0  # a child's summary expires after this; a sidecar that lags for longer is logged
 
 
 class _File(msgspec.Struct, forbid_unknown_fields=True):
+    """The configuration file as written; addresses are host:port."""
+
     name: str
     listen: str  # for child tiers
     own: str = ""  # for the parent tier, which reads the records of this tier and those below it
@@ -77,22 +86,28 @@
 
 @dataclass(slots=True, frozen=True)
 class SidecarListenerConfig:
+    """The address of a listener for sidecars, and the services that it serves."""
+
     listen: HostPort
     services: tuple[str, ...] | None  # None: all
 
 
 @dataclass(slots=True, frozen=True)
 class SourceConfig:
+    """A discovery service or child tier whose list this tier fetches."""
+
     address: HostPort
     service: str  # of instances that name none; empty: each instance names its own
-    may_be_empty: bool
+    may_be_empty: bool  # whether an answer without live instances is accepted
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The checked configuration of a tier."""
+
     name: str
-    child_listen: HostPort
-    parent_listen: HostPort | None
+    child_listen: HostPort  # for child tiers
+    parent_listen: HostPort | None  # for the parent tier
     sidecar_listeners: tuple[SidecarListenerConfig, ...]
     sources: tuple[SourceConfig, ...]
     parents: tuple[HostPort, ...]  # alternatives; one is used at a time
@@ -103,7 +118,7 @@
 
 
 def load(path: Path) -> Config:
-    """Raises `ConfigError`."""
+    """Read and check a configuration file. Raises `ConfigError`."""
     try:
         text = path.read_bytes()
     except OSError as error:
@@ -112,7 +127,7 @@
 
 
 def parse(text: bytes) -> Config:
-    """Raises `ConfigError`."""
+    """Check the text of a configuration file. Raises `ConfigError`."""
     try:
         file = msgspec.json.decode(text, type=_File)
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -1,4 +1,4 @@
-"""The inputs of a tier: its discovery services, the tiers below it, and one of the tiers above it."""
+"""The inputs of a tier, called feeds: discovery services, child tiers, and one of its parent tiers."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -17,9 +17,11 @@
 
 
 class Feed:
-    """Watches the list of one service at one of its addresses at a time, and passes each answer on.
+    """Fetches the instance list of a discovery service or tier, and passes each answer to `on_answer`.
 
-    A failed call changes no records; the next call goes to the next address, or to the same one again.
+    The watch is a sequence of long polls of the current address. A probe is a call to another address while
+    the watch continues, and a catch-up call is an extra call to the current address. A failed call changes no
+    records; the next call goes to the next address, or to the same one again.
     """
 
     def __init__(
@@ -57,37 +59,38 @@
             address: KeepAliveClient(address, settings.connect_ms / 1000.0, settings.answer_bytes)
             for address in addresses
         }
-        self._last_generation: dict[HostPort, int] = {}  # each address has its own generations
+        self._last_generation: dict[HostPort, int] = {}  # by address, as each has its own generations
         self._has_one_address = len(addresses) == 1
-        self._last_error: dict[HostPort, str] = {}
+        self._last_error: dict[HostPort, str] = {}  # why the last call to the address failed, if it did
         self._rng = rng
-        self._stale_by_address: dict[HostPort, bool] = {}  # from the last answer of each address
-        self._probe_at: float | None = (
-            None  # when to probe another address; set while the current one is stale
-        )
+        self._stale_by_address: dict[HostPort, bool] = {}  # as reported in the last answer of the address
+        # The time of the next probe of another address; None unless the current address reports stale data.
+        self._probe_at: float | None = None
         self._probe_count = 0
         self._probe_task: asyncio.Task[None] | None = None
         self._probed_address: HostPort | None = None
         self._catch_up_task: asyncio.Task[None] | None = None
         self._catch_up_client: tuple[HostPort, KeepAliveClient] | None = None
         self._closed_client_bytes = (0, 0)  # sent and received by catch-up clients that were closed
-        self._last_answered: HostPort | None = None
-        self.is_tier: bool | None = None  # None: no answer yet
-        self.complete_answer_at: float | None = None  # the last answer that was not provisional
-        self.answered_at: float | None = None  # the last answer of any kind
-        self.is_excused = False  # the tier completes its start without this feed
-        self.may_be_empty = False  # a full answer without a live record is accepted
+        self._last_answered: HostPort | None = None  # the address of the last successful call of the watch
+        self.is_tier: bool | None = (
+            None  # whether a tier answers, not a discovery service; None: no answer yet
+        )
+        self.complete_answer_at: float | None = None  # time of the last answer that was not provisional
+        self.answered_at: float | None = None  # time of the last answer, provisional or not
+        self.is_excused = False  # whether the tier has stopped waiting for the first answer of this feed
+        self.may_be_empty = False  # whether a full answer without live instances is accepted
         self.calls = self.failures = self.full_requests = 0
 
     def record_answer(self, complete: bool = True) -> None:
-        """Note the time of an answer; it is complete unless the answering tier marked it provisional."""
+        """Record the time of an answer. It is complete unless the answering tier marked it provisional."""
         self.answered_at = asyncio.get_running_loop().time()
         if complete:
             self.complete_answer_at = self.answered_at
 
     @property
     def byte_counts(self) -> tuple[int, int]:
-        """Bytes sent and received."""
+        """Bytes sent and bytes received by all clients of this feed."""
         clients = [
             *self._clients.values(),
             *([self._catch_up_client[1]] if self._catch_up_client is not None else []),
@@ -97,6 +100,7 @@
 
     @property
     def current_address(self) -> str:
+        """The watched address as host:port."""
         return "{}:{}".format(*self.addresses.current)
 
     @property
@@ -131,7 +135,7 @@
                     self._probe_task = None
                 succeeded = await self._call(address)
                 if address != self.addresses.current:
-                    continue  # a probe has changed the current address meanwhile
+                    continue  # a probe changed the current address during the call
                 if succeeded:
                     self.addresses.record_success()
                     if self._last_answered not in (None, address):
@@ -150,9 +154,10 @@
                 client.close()
 
     def _address_to_probe(self, now: float) -> HostPort | None:
-        """The address to probe while the watch goes on.
+        """The address to probe now, if any.
 
-        That is the first one after a while away from it, or another one while the current one is stale.
+        That is the primary address if it is due for a check after a failover, or another address if the
+        current one reports stale data.
         """
         if self.addresses.should_check_primary(now):
             return self.addresses.primary
@@ -168,7 +173,8 @@
             self.addresses.primary if self.addresses.on_fallback else others[self._probe_count % len(others)]
         )
         self._probe_count += 1
-        # An address with a known generation answers with a delta, any other with the full list each time.
+        # An address with a known generation answers with a delta, so it is probed more often than another,
+        # which sends the full list each time.
         interval_ms = (
             (1000.0, 3000.0)
             if address in self._last_generation
@@ -178,10 +184,13 @@
         return address
 
     async def _probe_once(self, address: HostPort) -> None:
-        """Call this address while the watch goes on, and move the feed there if it is the better one."""
+        """Call this address once, and switch the watch to it if its data is not stale.
+
+        The primary address is also preferred if it is as stale as the current one.
+        """
         now = asyncio.get_running_loop().time()
         was_stale = self.is_stale
-        succeeded = await self._call(address, wait_ms=1)  # the watch's answers are still applied meanwhile
+        succeeded = await self._call(address, wait_ms=1)  # the watch continues during this call
         if succeeded and (
             not self._stale_by_address.get(address) or (address == self.addresses.primary and not was_stale)
         ):
@@ -191,15 +200,16 @@
         self._probe_task = None
 
     def start_catch_up(self) -> None:
-        """Fetch the pending changes of the current address while the watch goes on; one such call at a time.
+        """Start a catch-up call, unless one is running, to get changes that the watch has yet to deliver.
 
-        Only for a tier, whose answers may be applied in any order. A discovery answers its watch soon enough.
+        Only for a tier, as its answers may be applied in any order. A discovery service answers a watch
+        without such a delay.
         """
         if self.is_tier and (self._catch_up_task is None or self._catch_up_task.done()):
             self._catch_up_task = asyncio.get_running_loop().create_task(self._catch_up_once())
 
     async def _catch_up_once(self) -> None:
-        """Make one call over a second connection to the current address and apply its answer."""
+        """Make one catch-up call over a second connection to the current address."""
         address = self.addresses.current
         after = self._last_generation.get(address)
         if after is None:
@@ -225,10 +235,14 @@
             self._validate(answer, after)
             self._on_answer(self, address, answer)
         except (CallError, wire.AnswerError):
-            self.failures += 1  # the watch goes on and reports the error if it persists
+            self.failures += 1  # not logged: the watch reports an error that persists
 
     async def _call(self, address: HostPort, wait_ms: int | None = None) -> bool:
-        """Make one call and pass its answer on. Returns whether the feed may stay at this address."""
+        """Make one call and pass its answer to `on_answer`.
+
+        Returns whether it succeeded with an answer that is not provisional. With only one address, a
+        provisional answer counts as a success too.
+        """
         after, settings = self._last_generation.get(address), self._settings
         target, timeout_ms = LIST_TARGET, settings.whole_ms
         if after is not None:
@@ -246,9 +260,9 @@
             self._on_answer(self, address, answer)
         except (CallError, wire.AnswerError) as error:
             self.failures += 1
-            # Ask for the full list next if a delta may not be possible. After any failure of a discovery it
-            # may not be: the service may have restarted its generations, and reach the same generation with
-            # another list.
+            # Fetch the full list next if a delta may be wrong. From a discovery service it may be after any
+            # failure: it may have restarted with new generations, which can reach the old number with another
+            # list.
             if isinstance(error, wire.AnswerError) or error.refused or not self.is_tier:
                 self._last_generation.pop(address, None)
             self._record_error(address, str(error))
@@ -260,7 +274,10 @@
         return not (isinstance(answer, wire.TierAnswer) and answer.provisional) or self._has_one_address
 
     def _validate(self, answer: Answer, after: int | None) -> None:
-        """Raises `AnswerError` if the answer does not follow from generation `after`."""
+        """Check the kind of the answer, and that its generation follows `after`. Raises `AnswerError`.
+
+        The answer to a request for the full list (`after` is None) is marked as full.
+        """
         is_tier = isinstance(answer, wire.TierAnswer)
         if self.is_tier is None:
             self.is_tier = is_tier
@@ -274,7 +291,7 @@
                 raise wire.AnswerError(f"foreign: generation {answer.generation} after {after}")
 
     def _record_error(self, address: HostPort, reason: str) -> None:
-        """Log an error of this address unless its last call failed for the same reason."""
+        """Log the failure of a call to this address, unless the last one failed for the same reason."""
         if self._last_error.get(address) != reason:
             self._last_error[address] = reason
             self._log_event("tier_call_failed", feed=self.name, place="{}:{}".format(*address), reason=reason)
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -24,14 +24,14 @@
 from larkcrank.tiers.state import Changes, InstanceTable, new_generation_prefix
 
 LISTEN_BACKLOG = 4096
-RESERVED_DESCRIPTORS = 64  # of the process's limit: for calls, listeners, files
+RESERVED_DESCRIPTORS = 64  # of the process's file descriptors; kept free for calls, listeners and files
 CHECK_INTERVAL_S = 0.25  # between checks for timeouts, freshness and lag
 PARENT_FEED_NAME = "above"
-SUMMARY_HEADER = b"Held"  # a call's summary of what the sidecars below hold
-# Marks a tier's catch-up call, which carries no summary, so that the caller is not counted as a sidecar.
+SUMMARY_HEADER = b"Held"  # of a call to the parent: how many sidecars hold which generation
+# Marks a catch-up call of a tier, which has no summary, so that the parent does not count it as a sidecar.
 CATCH_UP_HEADER = b"Held-Aside"
-MAX_LOGGED_LAGGARDS = 5
-MAX_CUT_OFF_LAGGARDS = 20
+MAX_LOGGED_LAGGARDS = 5  # sidecars listed in a log event
+MAX_CUT_OFF_LAGGARDS = 20  # closed connections to lagging sidecars that are still reported
 OPS_MAX_LINE_BYTES = 128
 OPS_TIMEOUT_S = 2.0
 OPS_MAX_CONNECTIONS = 16
@@ -75,13 +75,14 @@
         self._tier_limiter = FullAnswerLimiter(settings.tier_wholes_per_s, settings.whole_wait_ms / 1000.0)
         self.max_wait_ms = settings.longest_wait_ms
         self.receivers: set[Receiver] = set()
-        self._blocked_until: dict[Receiver, float] = {}  # peers that do not read, and when they are cut off
-        # Receivers with another tier's list that wait until this tier is up to date, and when they called.
+        self._blocked_until: dict[Receiver, float] = {}  # end of the write timeout
+        # Receivers with a list of another tier, and the time of their call. They are answered once all feeds
+        # have answered after that time.
         self._deferred_receivers: dict[Receiver, float] = {}
-        # Peers that were cut off while they lacked a change, by listener and host: the sequence number that
-        # they held, the time of the first change that they lacked, and the address.
+        # Sidecars whose connection was closed while they lacked a change, by name of the listener and host.
+        # Each value: sequence number held, time of the first change that is lacking, address.
         self._cut_off_laggards: dict[tuple[str, str], tuple[int, float, str]] = {}
-        self._is_isolated = False  # the tier has no sources, and its parent is silent
+        self._is_isolated = False  # whether the tier has no sources and its parent is silent
         descriptor_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
         self._max_connections = max(min(settings.connections, descriptor_limit - RESERVED_DESCRIPTORS), 1)
         self.sources: list[Feed] = [self._create_source_feed(source) for source in config.sources]
@@ -101,9 +102,10 @@
             held.ChangeTimes(),
             held.ChildSummaries(max_lag_s),
         )
-        self._parent_generations_from: HostPort | None = None  # the parent that counts these generations
+        self._parent_generations_from: HostPort | None = None  # the parent whose generations these are
         self._propagation = held.PropagationMonitor(max_lag_s)
-        # Whether all sources have answered completely since the start, and whether the parent has as well.
+        # Whether all sources but excused ones, and for `is_complete` also the parent, have answered
+        # completely since the start.
         self.sources_complete = self.is_complete = False
         self._was_fresh = False
         self._saved_seq = 0  # the sequence number of the last snapshot
@@ -135,7 +137,7 @@
     # The snapshot.
 
     def _load_snapshot(self) -> None:
-        """Load what an earlier process saved. A file that cannot be used is logged."""
+        """Load the snapshot of an earlier process. If it cannot be used, log why and start without."""
         path, now_ms = self.config.snapshot_path, time.time() * 1000.0
         if path is None:
             return
@@ -152,7 +154,7 @@
         )
 
     async def _save_periodically(self) -> None:
-        """Save a snapshot at intervals. Until the table is complete, the old snapshot is the better one."""
+        """Save a snapshot at intervals, but not before the table is complete: the old file may have more."""
         path = self.config.snapshot_path
         while path is not None:
             await asyncio.sleep(self._settings.snapshot_ms / 1000.0)
@@ -174,7 +176,7 @@
     # Start and stop.
 
     async def start(self) -> None:
-        """Raises `OSError` if an address cannot be listened on."""
+        """Open the listeners and start the feeds. Raises `OSError` if an address is unavailable."""
         config = self.config
         await self._listen(self.child_listener, config.child_listen)
         if self.parent_listener is not None and config.parent_listen is not None:
@@ -217,6 +219,7 @@
         )
 
     async def stop(self) -> None:
+        """Close the listeners, stop all tasks, save a snapshot and close the connections."""
         for server in self._servers:
             server.close()
         for task in self._tasks:
@@ -241,7 +244,10 @@
     # Answers from sources and the parent.
 
     def _request_headers(self, feed: Feed, address: HostPort | None) -> Sequence[bytes]:
-        """Header lines of a call: to the parent, what the sidecars below hold, or the mark of a check."""
+        """Header lines of a call of this feed to `address`; None as the address: of a catch-up call.
+
+        A call to the parent has the summary of sidecars, a catch-up call to it the header that marks it.
+        """
         if feed is not self.parent:
             return ()
         if address is None:
@@ -252,7 +258,10 @@
         return (SUMMARY_HEADER + b": " + held.encode(summary),)
 
     def _apply_answer(self, feed: Feed, address: HostPort, answer: Answer) -> None:
-        """Raises `AnswerError` before anything is changed."""
+        """Apply an answer of a feed to the table, and schedule answers to the receivers.
+
+        Raises `AnswerError` if it cannot be used; the table is then unchanged.
+        """
         table, now_ms = self.table, time.time() * 1000.0
         is_empty = answer.full and not any(not record.gone for record in answer.records)
         if is_empty and not feed.may_be_empty:
@@ -288,7 +297,10 @@
         return new_generation_prefix(time.time(), self._rng.getrandbits(12))
 
     def _update_completeness(self) -> None:
-        """Check whether everything that this tier depends on has answered since the start."""
+        """Update whether the sources and the parent have answered since the start.
+
+        When that changes, generations sent so far become invalid, so that receivers get a full answer.
+        """
         table = self.table
         sources_complete = all(
             feed.complete_answer_at is not None or feed.is_excused for feed in self.sources
@@ -313,7 +325,7 @@
     def _announce_new_generation_prefix(self) -> None:
         """Send waiting tiers a full answer after the generation prefix was replaced.
 
-        Waiting sidecars lack nothing.
+        Sidecars need none: what they receive of a record has not changed.
         """
         self._announced_generation_prefix = self.table.generation_prefix
         for listener in (self.child_listener, self.parent_listener):
@@ -327,7 +339,7 @@
             return
         now, sequence = self._loop.time(), self.table.sequence
         if self.table.generation_prefix != self._announced_generation_prefix:
-            # The sequence number has wrapped around, so no change can be told from the old numbers.
+            # The sequence number has wrapped around, so the recorded sequence numbers are no longer valid.
             self._announce_new_generation_prefix()
             self._change_times.clear()
             self._propagation.clear()
@@ -356,7 +368,7 @@
                     self._loop.call_at(due_at, self._send_batch, listener)
 
     def _send_batch(self, listener: Listener) -> None:
-        """Send the gathered changes to all waiting receivers that lack one."""
+        """Send the batch of changes to each waiting receiver of this listener that lacks one."""
         listener.batcher.sent(self._loop.time())
         self._send_deltas(
             listener,
@@ -374,6 +386,7 @@
     # Receivers.
 
     def receiver_opened(self, receiver: Receiver) -> bool:
+        """Register a new connection; False if there are too many."""
         if len(self.receivers) >= self._max_connections:
             self.rejected_connections += 1
             return False
@@ -382,6 +395,7 @@
         return True
 
     def receiver_closed(self, receiver: Receiver) -> None:
+        """Remove a closed connection from all sets."""
         self.receivers.discard(receiver)
         receiver.listener.receivers.discard(receiver)
         receiver.listener.waiting.discard(receiver)
@@ -398,7 +412,7 @@
     def receiver_called(
         self, receiver: Receiver, after: int | None, wait_ms: int, fields: http1.Fields
     ) -> None:
-        """Answer a call now or later. `after` is the generation that the receiver holds; None: no list."""
+        """Answer a call now or later. `after` is the last generation that the receiver got; None: no list."""
         listener, table, now = receiver.listener, self.table, self._loop.time()
         self.calls += 1
         if self._cut_off_laggards:
@@ -430,7 +444,7 @@
         return self.sources_complete if listener.kind is ListenerKind.PARENT_TIER else self.is_complete
 
     def is_fresh(self, listener: Listener) -> bool:
-        """Whether every feed that this listener's content depends on has answered lately."""
+        """Whether all feeds that this listener's content depends on answered completely within `fresh_ms`."""
         if not self._is_complete_for(listener):
             return False
         feeds = [feed for feed in self.sources if not feed.is_excused]
@@ -440,9 +454,9 @@
         return all(feed.complete_answer_at is not None and feed.complete_answer_at >= since for feed in feeds)
 
     def _defer_answer(self, receiver: Receiver, now: float) -> None:
-        """Delay the answer to a receiver whose list came from another tier, and check all feeds first.
+        """Answer a receiver that has a list of another tier only after a catch-up call of each feed.
 
-        The other tier may have been ahead of this one, so that an answer now could undo changes.
+        The other tier may have had later changes than this one, so that an answer now could undo them.
         """
         self._deferred_receivers[receiver] = now
         receiver.start_timer(now + self._settings.whole_wait_ms / 1000.0, self._refuse)
@@ -450,7 +464,7 @@
             feed.start_catch_up()
 
     def _answer_deferred_receivers(self) -> None:
-        """Answer the deferred receivers after whose call every feed has answered."""
+        """Answer each deferred receiver if all feeds have answered since its call."""
         if not self._deferred_receivers:
             return
         answered_at = [feed.complete_answer_at for feed in self._feeds if not feed.is_excused]
@@ -481,6 +495,7 @@
 
     @property
     def _may_be_empty(self) -> bool:
+        """Whether all inputs are sources whose list may be empty."""
         return bool(self.sources) and self.parent is None and all(feed.may_be_empty for feed in self.sources)
 
     def _refuse(self, receiver: Receiver) -> None:
@@ -500,10 +515,10 @@
         listener.waiting.discard(receiver)
         receiver.send(listener.delta_response(receiver.sequence, not self._is_complete_for(listener)))
 
-    # Propagation: which generation the sidecars hold.
+    # Propagation: which generations the sidecars have received.
 
     def _read_summary(self, receiver: Receiver, fields: http1.Fields) -> None:
-        """Take the child's summary from the headers, and note whether the caller is a tier."""
+        """Store a child tier's summary from the headers of its call, and mark the receiver as a tier."""
         values = fields.get_all(SUMMARY_HEADER.lower())
         summary = held.decode(values[0]) if values else None
         if summary is not None:
@@ -514,7 +529,7 @@
         receiver.is_tier = receiver.is_tier or bool(fields.get_all(CATCH_UP_HEADER.lower()))
 
     def sidecar_progress(self) -> held.SidecarProgress:
-        """What the sidecars of this tier and of the tiers below hold, in this tier's sequence numbers."""
+        """How far each sidecar of this tier and of the tiers below is, in this tier's sequence numbers."""
         progress, table, now = held.SidecarProgress(), self.table, self._loop.time()
         for listener in (self.child_listener, *self.sidecar_listeners):
             for receiver in listener.receivers:
@@ -548,7 +563,10 @@
         return progress
 
     def propagation_report(self, generation: int | None) -> tuple[bool, str]:
-        """How many sidecars hold this generation (None: the latest): True and JSON, or False and an error."""
+        """The answer to the operators' call HELD: how many sidecars hold a generation (None: the latest).
+
+        Returns True and the report as JSON, or False and an error message.
+        """
         table = self.table
         sequence = table.sequence if generation is None else table.sequence_of(generation)
         if sequence is None:
@@ -571,12 +589,12 @@
     def _log_propagation(self, now: float) -> None:
         """Log when all sidecars hold a change, and when some have lacked one for too long."""
         progress = self.sidecar_progress()
-        news = self._propagation.check(progress.lowest, now)
-        if news is None:
+        finding = self._propagation.check(progress.lowest, now)
+        if finding is None:
             return
-        what, sequence, elapsed_s = news
+        status, sequence, elapsed_s = finding
         lag_fields: dict[str, Any] = {}
-        if what == "lagging":
+        if status == "lagging":
             lag_fields["not_held"] = progress.total - progress.holding(sequence)
             lag_fields["late"] = [
                 msgspec.structs.asdict(laggard)
@@ -584,7 +602,7 @@
             ]
         generation = self.table.generation - self.table.sequence + sequence
         self.log.event(
-            f"tier_{what}",
+            f"tier_{status}",
             generation=generation,
             sidecars=progress.total,
             after_s=round(elapsed_s, 3),
@@ -633,13 +651,16 @@
         is_fresh = self.is_fresh(self.child_listener)
         if is_fresh is not self._was_fresh:
             self._was_fresh = is_fresh
-            silent_feeds = [
+            stale_feeds = [
                 feed.name for feed in self._feeds if not feed.is_excused and not self._is_feed_fresh(feed)
             ]
-            self.log.event("tier_fresh" if is_fresh else "tier_stale", not_heard=silent_feeds)
+            self.log.event("tier_fresh" if is_fresh else "tier_stale", not_heard=stale_feeds)
 
     def _cut_connection(self, receiver: Receiver) -> None:
-        """Abort a blocked or idle connection. A sidecar that lacks a change is reported until it calls."""
+        """Abort a blocked or idle connection.
+
+        A sidecar that lacks a change is counted until it calls again, for at most `left_ms`.
+        """
         if receiver.has_called and not receiver.is_tier and receiver.listener is not self.parent_listener:
             sequence = receiver.listener.held_up_to(receiver.sequence)
             if sequence < self.table.sequence:
@@ -653,6 +674,7 @@
 
     @staticmethod
     def _laggard_key(receiver: Receiver) -> tuple[str, str]:
+        """The listener's name and the peer's host; the port changes with each connection."""
         return receiver.listener.name, receiver.peer.rpartition(":")[0]
 
     @property
@@ -711,7 +733,7 @@
     # Operators' calls.
 
     def operator_call(self, line: str) -> tuple[bool, str]:
-        """Carry out an operator's call. Returns whether it succeeded, and the answer."""
+        """Carry out an operator's call, which is one line. Returns whether it succeeded, and the answer."""
         command, _, argument = line.partition(" ")
         if command == "PING" and not argument:
             is_fresh = self.is_fresh(self.child_listener)
@@ -775,6 +797,7 @@
         }
 
     def operator_opened(self, operator: "OperatorConnection") -> bool:
+        """Register a new connection; False if there are too many."""
         if len(self._operators) >= OPS_MAX_CONNECTIONS:
             return False
         self._operators.add(operator)
@@ -846,6 +869,7 @@
 
 
 async def _run(config: Config, log: Log) -> None:
+    """Run a tier until SIGTERM or SIGINT."""
     loop, stop_requested = asyncio.get_running_loop(), asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop_requested.set)
@@ -861,7 +885,10 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Run until SIGTERM. Exit status 2: invalid configuration; 1: an address cannot be listened on."""
+    """Run until SIGTERM or SIGINT.
+
+    Returns the exit status: 2 if the configuration is invalid, 1 if an address cannot be listened on.
+    """
     if len(arguments) != 1:
         Log("tier").event("bad_configuration", message="one argument: the path of the configuration")
         return 2
--- a/larkcrank/tiers/receivers.py
+++ b/larkcrank/tiers/receivers.py
@@ -1,4 +1,4 @@
-"""The listeners of a tier, the answers that they share, and the HTTP connections of receivers."""
+"""The listeners of a tier, and the connections of their receivers: sidecars and other tiers."""
 
 import asyncio
 from collections.abc import Callable, Collection
@@ -10,21 +10,21 @@
 from larkcrank.tiers.gather import ChangeBatcher
 from larkcrank.tiers.state import InstanceTable
 
-BATCH_SIZE = 256  # receivers answered in one iteration of the event loop
-MAX_CACHED_ANSWERS = 64
+BATCH_SIZE = 256  # maximum number of receivers answered in one iteration of the event loop
+MAX_CACHED_ANSWERS = 64  # of one listener
 _CONTENT_TYPE = (b"Content-Type: application/json",)
 
 
 class ListenerKind(Enum):
     """Whom a listener serves. Each value is a key of the configuration file."""
 
-    SIDECARS = "door"  # published fields only
-    CHILD_TIERS = "listen"  # all records
-    PARENT_TIER = "own"  # the records that this tier and those below it own
+    SIDECARS = "door"  # answers have published fields only
+    CHILD_TIERS = "listen"  # answers have all records
+    PARENT_TIER = "own"  # answers have the records that this tier and the tiers below it own
 
 
 class Listener:
-    """One listening address with its open and waiting connections. Each answer is encoded once and shared."""
+    """One listening address and its connections. Each answer is encoded once for all its receivers."""
 
     def __init__(
         self,
@@ -36,15 +36,18 @@
     ) -> None:
         self.name, self.kind, self.services = name, kind, services
         self.batcher = ChangeBatcher(batch_interval_s)
-        self.changed_seq = 0  # sequence number of the last change of something that is served here
+        self.changed_seq = 0  # sequence number of the last change of a record that this listener serves
         self.receivers: set[Receiver] = set()  # all open connections
         self.waiting: set[Receiver] = set()  # those whose call waits for a change
         self.address: tuple[str, int] = ("", 0)
         self._table = table
         # What the cached responses depend on: generation prefix, sequence number, provisional, stale.
         self._cache_key = (-1, -1, False, False)
-        self.reports_stale = False  # in answers to tiers: this tier, or one above it, has lost its parent
-        self._cache: dict[int, bytes] = {}  # responses by the sequence number after which they start
+        # Whether answers to tiers report stale data: this tier, or one above it, has lost its parent.
+        self.reports_stale = False
+        self._cache: dict[
+            int, bytes
+        ] = {}  # by sequence number (-1: none): the response with all later changes
         self._batch: list[Receiver] = []
 
     @property
@@ -52,10 +55,11 @@
         return self.kind is ListenerKind.SIDECARS
 
     def delta_response(self, sequence: int, provisional: bool) -> bytes:
-        """The response for a receiver that holds everything up to `sequence`."""
+        """The response for a receiver that has received all changes up to `sequence`."""
         return self._cached_response(sequence, provisional)
 
     def full_response(self, provisional: bool) -> bytes:
+        """The response with all records."""
         return self._cached_response(-1, provisional)
 
     @property
@@ -64,9 +68,9 @@
         return self._table.subtree_owners if self.kind is ListenerKind.PARENT_TIER else None
 
     def held_up_to(self, sequence: int) -> int:
-        """Up to which sequence number a receiver holds everything that is served here.
+        """The sequence number up to which a receiver of this listener lacks no change; -1: unknown.
 
-        `sequence` is the one of its last answer. Changes that are not served here do not count as missing.
+        `sequence` is that of its last answer. Changes that this listener does not serve are ignored.
         """
         if sequence < 0 or sequence >= self.changed_seq:
             return self._table.sequence if sequence >= 0 else -1
@@ -81,6 +85,7 @@
 
     @property
     def is_empty(self) -> bool:
+        """Whether a full answer would have no live instance."""
         if self.is_for_sidecars:
             return not self._table.live_records(self.services)
         owners = self.owners
@@ -123,7 +128,7 @@
 
 
 class ReceiverHandler(Protocol):
-    """The callbacks and counters of the tier that a receiver's connection uses."""
+    """What a receiver's connection uses of the tier: its callbacks, its wait limit and a byte counter."""
 
     def receiver_opened(self, receiver: "Receiver") -> bool: ...
     def receiver_called(
@@ -137,7 +142,7 @@
 
 
 class Receiver(asyncio.Protocol):
-    """A connection of a sidecar or tier that reads the list, and what that peer is known to hold."""
+    """A connection of a sidecar or tier that fetches the list, and the sequence number that it holds."""
 
     __slots__ = (
         "_handler",
@@ -157,14 +162,16 @@
         self._handler, self.listener, self._loop = handler, listener, loop
         self._parser: http1.RequestParser | None = None
         self.transport: asyncio.Transport | None = None
-        self.is_calling = self.has_called = False  # a call awaits its response; there has been a call
-        self.sequence = -1  # the peer holds everything up to this sequence number; -1: unknown
-        self.is_tier = False  # the peer is a tier, not a sidecar
-        self.idle_since = loop.time()  # the last call or response
+        # Whether a call awaits its response, and whether there has been any call.
+        self.is_calling = self.has_called = False
+        self.sequence = -1  # the peer has received all changes up to this one; -1: unknown
+        self.is_tier = False  # whether the peer is a tier, not a sidecar
+        self.idle_since = loop.time()  # time of the last call or response
         self.timer: asyncio.TimerHandle | None = None
 
     @property
     def peer(self) -> str:
+        """The peer's address as host:port; `?` if it is not connected."""
         address = self.transport.get_extra_info("peername") if self.transport is not None else None
         return "{}:{}".format(*address[:2]) if address else "?"
 
@@ -222,11 +229,13 @@
             self.transport.close()
 
     def send_error(self, status: int, close: bool = False) -> None:
+        """Answer the current call with an error status and no body."""
         self.listener.waiting.discard(self)
         header_lines = (b"Retry-After: 1",) if status == 503 else ()
         self.send(http1.encode_response(status, header_lines, b"", close=close), close)
 
     def abort(self) -> None:
+        """Close the connection at once, without sending what is buffered."""
         if self.transport is not None:
             self.transport.abort()
 
--- a/larkcrank/tiers/snapshot.py
+++ b/larkcrank/tiers/snapshot.py
@@ -1,9 +1,9 @@
-"""A tier's instance records in a file, which is replaced atomically and read when the tier starts.
+"""Saves a tier's instance records to a file, and reads them when the tier starts.
 
 The file is one line of JSON with the format and a checksum of the rest, followed by msgpack. The records
 carry their owners' versions, so a record from the file, however old, never outranks one that is received
-later. Until the tier has received current records, it serves those of the file only to receivers without any
-list.
+later. Until the tier has received current records, it serves those of the file only to receivers that have no
+list yet.
 """
 
 import zlib
@@ -30,6 +30,8 @@
 
 
 class _Head(msgspec.Struct, forbid_unknown_fields=True):
+    """The first line of the file."""
+
     format: str
     version: int
     length: int  # bytes of the body
@@ -37,6 +39,8 @@
 
 
 class _StoredRecord(msgspec.Struct, array_like=True):
+    """An `InstanceRecord` without its sequence numbers and the tombstone's time."""
+
     instance_id: str
     service: str
     owner: str
@@ -47,6 +51,8 @@
 
 
 class _Body(msgspec.Struct):
+    """The rest of the file."""
+
     tier: str
     saved_at_ms: float
     known: dict[str, tuple[int, int]]  # known versions by owner
@@ -80,7 +86,7 @@
 
 
 def decode(data: bytes, tier: str, now_ms: float, max_age_ms: float) -> Snapshot:
-    """Raises SnapshotError."""
+    """Decode the content of a file that `tier` saved at most `max_age_ms` ago. Raises SnapshotError."""
     first_line, newline, body = data.partition(b"\n")
     try:
         head = msgspec.json.decode(first_line, type=_Head)
@@ -119,7 +125,7 @@
 
 
 def read(path: Path, tier: str, now_ms: float, max_age_ms: float) -> Snapshot:
-    """Raises SnapshotError."""
+    """Read a file that `tier` saved at most `max_age_ms` ago. Raises SnapshotError."""
     try:
         with path.open("rb") as file:
             data = file.read(MAX_FILE_BYTES + 1)
--- a/larkcrank/tiers/state.py
+++ b/larkcrank/tiers/state.py
@@ -1,10 +1,13 @@
-"""A tier's copy of the instance list: merged by version and served by generation. No I/O.
+"""A tier's table of instance records: merged by version and served by generation. No I/O.
 
 Each instance record has one owner, the tier that watches the discovery service that lists the instance, and a
 version that this owner assigned. Of two records of one instance the greater version wins, so the result does
 not depend on the order, the repetition or the route of messages. `known_versions` holds for each owner the
 version up to which every record has been merged: a record within that range that is not in the table has been
 removed, even if its tombstone has been pruned since.
+
+A generation is a number that a tier gives its receivers: a prefix that is new in each process, and in its low
+bits the table's sequence number. A receiver names its generation in the next call and gets what has changed.
 """
 
 from collections.abc import Collection, Iterable, Iterator
@@ -12,28 +15,30 @@
 from itertools import islice
 from typing import TypeVar
 
-SEQUENCE_BITS = 20  # low bits of a generation; the rest is the generation prefix
-_RANDOM_BITS, _SECONDS_BITS = 12, 31  # of the generation prefix
+SEQUENCE_BITS = 20  # low bits of a generation, for the sequence number; the bits above are its prefix
+# The generation prefix consists of the start time in seconds and, in its low bits, a random number.
+_RANDOM_BITS, _SECONDS_BITS = 12, 31
 
-Version = tuple[int, int]  # epoch, counter
+# Epoch, which is greater in each later process of the owner, and a counter within the epoch.
+Version = tuple[int, int]
 NO_VERSION: Version = (-1, 0)  # below every version
 _Key = TypeVar("_Key")
 
 
 @dataclass(slots=True)
 class InstanceRecord:
-    """One instance. `body` is its published JSON object; the `_seq` fields are table sequence numbers."""
+    """One instance as a tier stores it. The `_seq` fields are sequence numbers of the table."""
 
     instance_id: str
     service: str
     owner: str
     version: Version
-    gone: bool  # the record is a tombstone
-    body: bytes
+    gone: bool  # whether the record is a tombstone, which marks a removed instance
+    body: bytes  # the published fields as a JSON object
     source: str = ""  # the discovery service that reported it; set only at the owner
-    changed_seq: int = 0  # when the record last changed, if only in its version
-    content_changed_seq: int = 0  # when the content that sidecars receive last changed
-    gone_since_ms: float = 0.0  # when a tombstone was created
+    changed_seq: int = 0  # the last change of anything in the record, its version included
+    content_changed_seq: int = 0  # the last change of something that sidecars receive
+    gone_since_ms: float = 0.0  # system time at which the tombstone was created
 
     @property
     def precedence(self) -> tuple[Version, str, bool]:
@@ -47,12 +52,12 @@
 
     instance_id: str
     service: str
-    gone: bool
-    body: bytes
+    gone: bool  # whether the service reports that the instance was removed
+    body: bytes  # the published fields as a JSON object
 
 
 def new_generation_prefix(now_s: float, random_value: int) -> int:
-    """The high bits of a process's generations: its start time in seconds and 12 random bits."""
+    """Return a prefix for generations: the system time in seconds, then 12 bits of `random_value`."""
     return (int(now_s) & ((1 << _SECONDS_BITS) - 1)) << _RANDOM_BITS | random_value & (
         (1 << _RANDOM_BITS) - 1
     )
@@ -60,20 +65,20 @@
 
 @dataclass(slots=True)
 class Changes:
-    """The services and owners that an update of the table affected."""
+    """The services and owners whose records an update of the table changed."""
 
-    services: set[str]  # services whose content for sidecars changed
-    owners: set[str]  # owners of which at least one record changed
+    services: set[str]  # those with a change in what sidecars receive
+    owners: set[str]  # those with any change, if only of a version
 
     def __bool__(self) -> bool:
         return bool(self.owners)
 
 
 class InstanceTable:
-    """The instance records that one tier holds.
+    """The instance records of one tier, with tombstones of removed instances.
 
-    `max_tombstones` and `tombstone_ttl_ms` bound the tombstones that are kept. A receiver that missed a
-    pruned tombstone gets a full answer.
+    At most `max_tombstones` are kept, each for `tombstone_ttl_ms`; older ones are pruned. A receiver that may
+    have missed a pruned tombstone gets a full answer.
     """
 
     def __init__(
@@ -86,26 +91,27 @@
     ) -> None:
         self.name = name
         self.epoch = epoch
-        self.version_counter = 0  # of versions that this tier has assigned
+        self.version_counter = 0  # the counter of the last version that this tier assigned
         self.generation_prefix = generation_prefix
         self.sequence = 0  # incremented by each update that changes the table
-        self.known_versions: dict[str, Version] = {}  # by owner, without this tier
-        self.own_records_complete = False  # every discovery service of this tier has answered since the start
-        self._restored_own_version: Version | None = (
-            None  # an earlier process's known version of its own records
-        )
+        self.known_versions: dict[str, Version] = {}  # by owner; this tier has no entry
+        self.own_records_complete = False  # whether all sources of this tier have answered since the start
+        # The version up to which an earlier process had published its own records; None: not restored.
+        self._restored_own_version: Version | None = None
         self.subtree_owners = {name}  # this tier and the owners below it
         self._max_tombstones, self._tombstone_ttl_ms = max_tombstones, tombstone_ttl_ms
-        self._records: dict[str, InstanceRecord] = {}  # by instance; ordered by `changed_seq`
-        # By service and instance; ordered by `content_changed_seq`.
+        self._records: dict[str, InstanceRecord] = {}  # by instance id; ordered by `changed_seq`
+        # By service, then by instance id; ordered by `content_changed_seq`. An instance that moved to another
+        # service has a tombstone under the old one.
         self._by_service: dict[str, dict[str, InstanceRecord]] = {}
-        # What this tier's discovery services report: by instance, the source and its record.
+        # What this tier's discovery services report: by instance id, the name of the service and its record.
         self._own_records: dict[str, tuple[str, DiscoveryRecord]] = {}
-        self._gone_since: dict[str, float] = {}  # creation times of tombstones in ms, the oldest first
-        # When an instance moved away from a service, by service and instance, in ms, the oldest first.
+        self._gone_since: dict[str, float] = {}  # creation times of tombstones, in ms; oldest first
+        # When an instance moved from one service to another, in ms; oldest first.
+        # The key is the old service and the instance id.
         self._moved_since: dict[tuple[str, str], float] = {}
-        self._pruned_seq = 0  # the latest sequence number of a pruned tombstone
-        self._full_merge_seq = 0  # of the latest full answer that raised a known version
+        self._pruned_seq = 0  # the highest sequence number of a pruned tombstone
+        self._full_merge_seq = 0  # sequence number of the last full answer that raised a known version
         self.live_count = 0  # records that are not tombstones
 
     # Generations.
@@ -115,7 +121,7 @@
         return self.generation_prefix << SEQUENCE_BITS | self.sequence
 
     def sequence_of(self, generation: int) -> int | None:
-        """The sequence number in `generation`, or None if the generation has another prefix or lies ahead."""
+        """The sequence number in `generation`; None if the prefix differs or the number is not yet in use."""
         sequence = generation & ((1 << SEQUENCE_BITS) - 1)
         if (
             generation < 0
@@ -126,16 +132,16 @@
         return sequence
 
     def can_answer_since(self, sequence: int, for_tier: bool) -> bool:
-        """Whether a delta is enough for a receiver that holds everything up to `sequence`.
+        """Whether a delta is enough for a receiver that has received all changes up to `sequence`.
 
-        A delta is not enough if a tombstone of a later change has been pruned, nor for a tier if a full
-        answer has been merged since: records that were missing from that answer are gone, but may have no
-        tombstone here.
+        It is not if the tombstone of a later change has been pruned. For a tier it is not either if a full
+        answer was merged later: records that were missing from that answer are removed, but this table may
+        have no tombstones of them to send.
         """
         return sequence >= self._pruned_seq and not (for_tier and sequence < self._full_merge_seq)
 
     def replace_generation_prefix(self, generation_prefix: int) -> None:
-        """Invalidate all generations handed out so far, so that each receiver gets a full answer next."""
+        """Invalidate all generations sent so far, so that each receiver gets a full answer next."""
         if generation_prefix == self.generation_prefix:
             generation_prefix ^= 1
         self.generation_prefix = generation_prefix
@@ -158,34 +164,34 @@
     def merge(
         self, records: Iterable[InstanceRecord], known_versions: dict[str, Version], full: bool, now_ms: float
     ) -> Changes:
-        """Merge another tier's answer. `known_versions` are the versions that the answering tier knows.
+        """Merge another tier's answer; `known_versions` has its known version of each owner.
 
-        Records that this tier owns are not accepted from others. If the answer is `full`, a held record that
-        `known_versions` covers and that the answer does not contain is gone.
+        Records that this tier owns are not accepted from others. A `full` answer also removes each record
+        that it does not contain and whose version is not above the known version of its owner.
         """
         changes, sequence, seen_ids = Changes(set(), set()), 0, set()
         for record in records:
             seen_ids.add(record.instance_id)
             if record.owner == self.name:
                 continue
-            held = self._records.get(record.instance_id)
-            if held is None:
+            current = self._records.get(record.instance_id)
+            if current is None:
                 if record.version <= self.known_versions.get(record.owner, NO_VERSION):
-                    continue  # it was held before and has been removed
-            elif record.precedence <= held.precedence:
+                    continue  # the record was in this table before and has been removed
+            elif record.precedence <= current.precedence:
                 continue
             sequence = sequence or self._next_sequence()
             self._store(record, sequence, now_ms, changes)
             if record.gone and record.instance_id in self._own_records:
                 self._publish_own(record.instance_id, sequence, now_ms, changes)
-        for held in list(self._records.values()) if full else ():
-            if held.gone or held.instance_id in seen_ids or held.owner == self.name:
+        for current in list(self._records.values()) if full else ():
+            if current.gone or current.instance_id in seen_ids or current.owner == self.name:
                 continue
-            if held.version <= known_versions.get(held.owner, NO_VERSION):
+            if current.version <= known_versions.get(current.owner, NO_VERSION):
                 sequence = sequence or self._next_sequence()
-                self._store(_tombstone(held), sequence, now_ms, changes)
-                if held.instance_id in self._own_records:
-                    self._publish_own(held.instance_id, sequence, now_ms, changes)
+                self._store(_tombstone(current), sequence, now_ms, changes)
+                if current.instance_id in self._own_records:
+                    self._publish_own(current.instance_id, sequence, now_ms, changes)
         for owner, version in known_versions.items():
             if owner != self.name and version > self.known_versions.get(owner, NO_VERSION):
                 self.known_versions[owner] = version
@@ -198,16 +204,19 @@
     def apply_discovery(
         self, source: str, reports: Iterable[DiscoveryRecord], full: bool, now_ms: float
     ) -> Changes:
-        """Apply an answer of a discovery service of this tier. A full answer lists all its instances."""
+        """Apply an answer of `source`, a discovery service of this tier.
+
+        A `full` answer lists all its instances, so that those it does not list are removed.
+        """
         changes, sequence, seen_ids = Changes(set(), set()), 0, set()
         for report in reports:
             seen_ids.add(report.instance_id)
-            own, held = self._own_records.get(report.instance_id), self._records.get(report.instance_id)
+            own, current = self._own_records.get(report.instance_id), self._records.get(report.instance_id)
             if report.gone:
                 if own is not None and own[0] == source:
                     sequence = sequence or self._next_sequence()
                     self._remove_own(report.instance_id, sequence, now_ms, changes)
-            elif own != (source, report) or held is None or held.gone:
+            elif own != (source, report) or current is None or current.gone:
                 sequence = sequence or self._next_sequence()
                 self._own_records[report.instance_id] = (source, report)
                 self._publish_own(report.instance_id, sequence, now_ms, changes)
@@ -223,7 +232,7 @@
         return changes
 
     def remove_other_sources(self, kept_sources: Collection[str], now_ms: float) -> Changes:
-        """Remove the own records of discovery services that this tier no longer watches."""
+        """Remove own records whose discovery service is not among `kept_sources`."""
         changes, sequence = Changes(set(), set()), 0
         for instance_id, (source, _) in list(self._own_records.items()):
             if source not in kept_sources:
@@ -232,7 +241,11 @@
         return changes
 
     def supersede_version(self, known_version: Version, generation_prefix: int, now_ms: float) -> Changes:
-        """Republish all own records above `known_version`, if an earlier process of this tier got further."""
+        """Republish all own records with versions above `known_version`, unless this process has reached it.
+
+        `known_version` is another tier's known version of this one. It is above this process's versions if an
+        earlier process of this tier assigned greater ones.
+        """
         changes = Changes(set(), set())
         if known_version <= (self.epoch, self.version_counter):
             return changes
@@ -266,7 +279,7 @@
             self.epoch = max(self.epoch, self._restored_own_version[0] + 1)
 
     def _publish_own(self, instance_id: str, sequence: int, now_ms: float, changes: Changes) -> None:
-        """Store an own record with a version above the one that is held."""
+        """Store what a discovery service reports of this instance, as an own record with a new version."""
         source, report = self._own_records[instance_id]
         record = InstanceRecord(
             instance_id,
@@ -280,67 +293,70 @@
         self._store(record, sequence, now_ms, changes)
 
     def _remove_own(self, instance_id: str, sequence: int, now_ms: float, changes: Changes) -> None:
-        """Replace an own record with a tombstone."""
+        """Remove the discovery service's report of this instance, and make its record a tombstone."""
         self._own_records.pop(instance_id, None)
-        held = self._records.get(instance_id)
-        if held is not None and not held.gone and held.owner == self.name:
-            self._store(_tombstone(held, self._next_version(instance_id)), sequence, now_ms, changes)
+        current = self._records.get(instance_id)
+        if current is not None and not current.gone and current.owner == self.name:
+            self._store(_tombstone(current, self._next_version(instance_id)), sequence, now_ms, changes)
 
     def _next_version(self, instance_id: str) -> Version:
-        """The next version of this tier, above the one that is held for this instance."""
-        held = self._records.get(instance_id)
-        if held is not None and held.version[0] > self.epoch:
-            self.epoch = held.version[0] + 1
+        """Assign the next version of this tier; it is above that of the stored record of this instance."""
+        current = self._records.get(instance_id)
+        if current is not None and current.version[0] > self.epoch:
+            self.epoch = current.version[0] + 1
         self.version_counter += 1
         return (self.epoch, self.version_counter)
 
     def _store(self, record: InstanceRecord, sequence: int, now_ms: float, changes: Changes) -> None:
-        """Store a record, its position in the orders of change, and what it changes for receivers."""
-        held = self._records.pop(record.instance_id, None)
+        """Store a record as the latest change, and add its services and owners to `changes`.
+
+        A record whose content for sidecars is the same keeps its `content_changed_seq`.
+        """
+        current = self._records.pop(record.instance_id, None)
         same_content = (
-            held is not None
-            and held.gone == record.gone
-            and held.service == record.service
-            and (record.gone or held.body == record.body)
+            current is not None
+            and current.gone == record.gone
+            and current.service == record.service
+            and (record.gone or current.body == record.body)
         )
         record.changed_seq = sequence
         record.content_changed_seq = (
-            held.content_changed_seq if held is not None and same_content else sequence
+            current.content_changed_seq if current is not None and same_content else sequence
         )
         self._records[record.instance_id] = record
         changes.owners.add(record.owner)
-        if held is not None:
-            changes.owners.add(held.owner)
-            self.live_count -= not held.gone
+        if current is not None:
+            changes.owners.add(current.owner)
+            self.live_count -= not current.gone
         self.live_count += not record.gone
         if record.gone:
-            if held is None or not held.gone:
+            if current is None or not current.gone:
                 self._gone_since.pop(record.instance_id, None)
                 record.gone_since_ms = self._gone_since[record.instance_id] = now_ms
             else:
-                record.gone_since_ms = held.gone_since_ms
+                record.gone_since_ms = current.gone_since_ms
         else:
             self._gone_since.pop(record.instance_id, None)
         service_records = self._by_service.setdefault(record.service, {})
-        if held is not None and same_content:
-            service_records[record.instance_id] = record  # keeps its position in the order of content changes
+        if current is not None and same_content:
+            service_records[record.instance_id] = record  # stays where it is in the order of content changes
             return
         changes.services.add(record.service)
-        if held is not None and held.service != record.service:
-            old_service_records = self._by_service[held.service]
-            old_service_records.pop(held.instance_id, None)
-            moved_away = _tombstone(held)
+        if current is not None and current.service != record.service:
+            old_service_records = self._by_service[current.service]
+            old_service_records.pop(current.instance_id, None)
+            moved_away = _tombstone(current)
             moved_away.changed_seq = moved_away.content_changed_seq = sequence
-            old_service_records[held.instance_id] = moved_away
-            self._moved_since.pop((held.service, held.instance_id), None)
-            self._moved_since[held.service, held.instance_id] = now_ms
-            changes.services.add(held.service)
+            old_service_records[current.instance_id] = moved_away
+            self._moved_since.pop((current.service, current.instance_id), None)
+            self._moved_since[current.service, current.instance_id] = now_ms
+            changes.services.add(current.service)
         self._moved_since.pop((record.service, record.instance_id), None)
         service_records.pop(record.instance_id, None)
         service_records[record.instance_id] = record
 
     def _prune(self, now_ms: float) -> None:
-        """Remove the tombstones that are too many or too old."""
+        """Remove tombstones over the maximum number, the oldest first, and those that have expired."""
         for instance_id in self._expired(self._gone_since, now_ms):
             del self._gone_since[instance_id]
             record = self._records.pop(instance_id)
@@ -354,7 +370,10 @@
             self._remove_from_service(service, instance_id)
 
     def _expired(self, created_at_ms: dict[_Key, float], now_ms: float) -> list[_Key]:
-        """The keys of tombstones over the limit of number or age. `created_at_ms` has the oldest first."""
+        """The keys of tombstones above the maximum number or age.
+
+        `created_at_ms` has the creation time of each tombstone, the oldest first.
+        """
         if not created_at_ms:
             return []
         excess = len(created_at_ms) - self._max_tombstones
@@ -366,7 +385,7 @@
         return expired
 
     def _remove_from_service(self, service: str, instance_id: str) -> None:
-        """Remove a tombstone from the records of a service."""
+        """Remove the tombstone of this instance from the records of a service."""
         service_records = self._by_service[service]
         service_records.pop(instance_id, None)
         if not service_records:
@@ -375,11 +394,14 @@
     # Queries.
 
     def records(self) -> Iterator[InstanceRecord]:
-        """All records, with tombstones."""
+        """All records, tombstones included."""
         return iter(self._records.values())
 
     def changes_for_tier(self, sequence: int, owners: Collection[str] | None = None) -> list[InstanceRecord]:
-        """Records that changed after `sequence`, the latest first; -1: all records, with tombstones."""
+        """Records of these owners (None: of all) that changed after `sequence`, the latest change first.
+
+        -1 as `sequence` returns all their records, tombstones included.
+        """
         found = []
         for record in reversed(self._records.values()):
             if record.changed_seq <= sequence:
@@ -389,7 +411,10 @@
         return found
 
     def changes_for_sidecar(self, services: Collection[str] | None, sequence: int) -> list[InstanceRecord]:
-        """Records of these services (None: of all) whose content changed after `sequence`."""
+        """Records of these services (None: of all) whose content changed after `sequence`, with tombstones.
+
+        Of an instance that moved between two of the services, the current record is returned.
+        """
         found: dict[str, InstanceRecord] = {}
         for service in self._by_service if services is None else services:
             for record in reversed(self._by_service.get(service, {}).values()):
@@ -401,7 +426,7 @@
         return list(found.values())
 
     def live_records(self, services: Collection[str] | None) -> list[InstanceRecord]:
-        """The records of these services (None: of all) without tombstones."""
+        """The records of these services (None: of all) that are not tombstones."""
         if services is None:
             return [record for record in self._records.values() if not record.gone]
         return [
@@ -420,7 +445,7 @@
         return last
 
     def known_versions_of(self, owners: Collection[str] | None = None) -> dict[str, Version]:
-        """For each of these owners (None: for all) the version up to which the table holds everything."""
+        """The known version of each of these owners (None: of all), this tier included."""
         known_versions = dict(self.known_versions)
         own_version = (
             (self.epoch, self.version_counter) if self.own_records_complete else self._restored_own_version
@@ -439,7 +464,10 @@
 
 
 def _tombstone(record: InstanceRecord, version: Version | None = None) -> InstanceRecord:
-    """A tombstone of this record. With the record's own version it outranks just that record."""
+    """A tombstone of this record, with its own version by default.
+
+    Such a tombstone takes precedence over the record itself, but not over any greater version.
+    """
     return InstanceRecord(
         record.instance_id, record.service, record.owner, version or record.version, True, record.body
     )
--- a/larkcrank/tiers/wire.py
+++ b/larkcrank/tiers/wire.py
@@ -1,7 +1,8 @@
 """Decodes and encodes the answers of discovery services and tiers.
 
 Between tiers an instance carries `service`, `owner` and `version` beside its published fields, and an answer
-carries `owners`, the known version of each owner. A sidecar ignores these fields.
+carries `owners`: by owner, the version up to which the answering tier has merged every record (the known
+version). A sidecar ignores these fields.
 """
 
 from collections.abc import Collection, Iterable
@@ -12,7 +13,7 @@
 from larkcrank.protocol.discovery import LIST_TARGET
 from larkcrank.tiers.state import DiscoveryRecord, InstanceRecord, Version
 
-MAX_RECORD_BYTES = 4096  # of one instance's published fields
+MAX_RECORD_BYTES = 4096  # of the encoded published fields of one instance
 MAX_NAME_CHARS = 256
 _TIER_FIELDS = ("service", "owner", "version")
 
@@ -22,6 +23,8 @@
 
 
 class _Instance(msgspec.Struct, rename="camel"):
+    """One instance in an answer. Only tiers send `owner` and `version`, which is an epoch and a counter."""
+
     instance_id: str
     lifecycle: str
     host_port: str = ""
@@ -36,9 +39,11 @@
 
 
 class _Answer(msgspec.Struct):
+    """An answer of a discovery service or a tier."""
+
     generation: int
     instances: list[_Instance]
-    reset: bool = False  # the answer is full
+    reset: bool = False  # whether the answer is a full list, not a delta
     owners: dict[str, tuple[int, int]] | None = None  # known versions by owner; None: a discovery's answer
     provisional: bool = False
     stale: bool = False
@@ -52,19 +57,23 @@
 
 @dataclass(slots=True)
 class DiscoveryAnswer:
+    """A decoded answer of a discovery service."""
+
     generation: int
-    full: bool
+    full: bool  # whether it lists all instances; otherwise it has the changes only
     records: list[DiscoveryRecord]
 
 
 @dataclass(slots=True)
 class TierAnswer:
+    """A decoded answer of a tier."""
+
     generation: int
-    full: bool
+    full: bool  # whether it lists all records; otherwise it has the changes only
     records: list[InstanceRecord]
-    known_versions: dict[str, Version]
-    provisional: bool  # not everything that the tier depends on has answered since its start
-    stale: bool = False  # the tier, or one above it, has had no recent answer from its parent
+    known_versions: dict[str, Version]  # by owner
+    provisional: bool  # whether an input of the tier has not answered since its start
+    stale: bool = False  # whether the tier, or one above it, has no recent answer from its parent
 
 
 _answer_decoder = msgspec.json.Decoder(_Answer)
@@ -155,6 +164,7 @@
 
 
 def encode_for_sidecar(records: Iterable[InstanceRecord], generation: int, full: bool) -> bytes:
+    """An answer with the published fields of these records."""
     instances = b",".join([_gone_body(record) if record.gone else record.body for record in records])
     return b'{"generation":%d,"reset":%s,"instances":[%s]}' % (generation, _json_bool(full), instances)
 
@@ -167,6 +177,7 @@
     provisional: bool,
     stale: bool = False,
 ) -> bytes:
+    """An answer with these records and the fields that only tiers use."""
     encoded_names: dict[tuple[str, str], bytes] = {}
     instances = []
     for record in records:
@@ -193,7 +204,10 @@
 
 
 def parse_list_target(target: bytes, max_wait_ms: int) -> tuple[int | None, int] | None:
-    """`after` (None: the full list) and the wait in ms; None if the target is no valid list request."""
+    """Parse the target of a list request: `after` (None: the full list) and the wait in ms.
+
+    None if the target is not a valid list request. A wait above `max_wait_ms` is lowered to it.
+    """
     path, _, query = target.partition(b"?")
     if path != LIST_TARGET:
         return None
