--- a/larkcrank/tiers/config.py
+++ b/larkcrank/tiers/config.py
@@ -36,36 +36,33 @@
 
     gather_ms: float = 100.0  # minimum time between two batches of changes at one listener
     wait_ms: int = 1000  # long-poll wait of calls to sources and parent tiers
-    slack_ms: float = 700.0  # a long poll fails this long after its wait has passed
+    slack_ms: float = 700.0  # a long poll without an answer fails this long after its wait has ended
     whole_ms: float = 3000.0  # timeout of a call for a full list
-    connect_ms: float = 500.0
-    fresh_ms: float = (
-        6000.0  # with a source or parent silent for longer, receivers with an unknown generation are refused
-    )
+    connect_ms: float = 500.0  # timeout of connecting to a source or parent
+    # With a source or parent silent for longer, receivers with an unknown generation are refused.
+    fresh_ms: float = 6000.0
     # With a parent silent for longer the tier is stale; without sources it also refuses waiting calls.
     deaf_ms: float = 3000.0
-    patience_ms: float = (
-        30_000.0  # the tier stops waiting for sources that are silent for this long after its start
-    )
+    # The tier stops waiting for a source that has not answered within this time after the start.
+    patience_ms: float = 30_000.0
     wholes_per_s: float = 250.0  # maximum rate of full answers to sidecars, over all listeners
     tier_wholes_per_s: float = 5.0  # maximum rate of full answers to tiers
-    whole_wait_ms: float = 2000.0  # a request that would wait longer for its full answer is refused
+    whole_wait_ms: float = 2000.0  # a call that would wait longer for a full answer is refused
     write_ms: float = 2000.0  # a connection whose peer has not read an answer by then is closed
     idle_ms: float = 10_000.0  # a connection without a call for this long is closed
-    longest_wait_ms: int = 60_000  # maximum long-poll wait that a receiver may ask for
+    longest_wait_ms: int = 60_000  # maximum long-poll wait; longer requested waits are lowered to it
     connections: int = 5000  # maximum number of receivers connected
     answer_bytes: int = 4 << 20  # maximum size of an answer from a source or parent
     spread_ms: float = 500.0  # upper bound of the random delay before a call to another address
     back_min_ms: float = 20_000.0  # bounds of the random delay before the first address is tried again
     back_max_ms: float = 60_000.0
-    again_max_ms: float = 2000.0  # longest mean delay between calls that fail
+    again_max_ms: float = 2000.0  # upper bound of the mean delay between failed calls
     tombstones: int = 20_000  # maximum number of tombstones
     tombstone_ms: float = 7_200_000.0  # an older tombstone is removed
-    snapshot_ms: float = 10_000.0  # between two snapshots, if anything has changed
+    snapshot_ms: float = 10_000.0  # interval of snapshots; skipped if nothing has changed
     snapshot_age_ms: float = 3_600_000.0  # an older snapshot is not loaded
-    left_ms: float = (
-        600_000.0  # how long a sidecar is reported that was disconnected while it lacked a change
-    )
+    # A sidecar that was disconnected while it lacked a change is reported for this long.
+    left_ms: float = 600_000.0
     held_ms: float = 3000.0  # a child's summary expires after this; a sidecar that lags for longer is logged
 
 
--- a/larkcrank/tiers/feeds.py
+++ b/larkcrank/tiers/feeds.py
@@ -73,9 +73,8 @@
         self._catch_up_client: tuple[HostPort, KeepAliveClient] | None = None
         self._closed_client_bytes = (0, 0)  # sent and received by catch-up clients that were closed
         self._last_answered: HostPort | None = None  # the address of the last successful call of the watch
-        self.is_tier: bool | None = (
-            None  # whether a tier answers, not a discovery service; None: no answer yet
-        )
+        # Whether a tier answers, not a discovery service; None: no answer yet.
+        self.is_tier: bool | None = None
         self.complete_answer_at: float | None = None  # time of the last answer that was not provisional
         self.answered_at: float | None = None  # time of the last answer, provisional or not
         self.is_excused = False  # whether the tier has stopped waiting for the first answer of this feed
--- a/larkcrank/tiers/program.py
+++ b/larkcrank/tiers/program.py
@@ -38,7 +38,11 @@
 
 
 class Tier:
-    """One tier on the running event loop. `start` opens its listeners and feeds; `stop` closes them."""
+    """One tier on the running event loop.
+
+    Its feeds are calls to its inputs: sources, which are discovery services or child tiers, and one parent
+    tier. Its listeners serve receivers: sidecars, child tiers and a parent tier.
+    """
 
     def __init__(self, config: Config, log: Log, rng: Random | None = None) -> None:
         self.config, self.log = config, log
@@ -64,6 +68,7 @@
             Listener(f"doors[{i}]", ListenerKind.SIDECARS, listener.services, self.table, batch_interval_s)
             for i, listener in enumerate(config.sidecar_listeners)
         ]
+        # The sidecar listeners that serve only listed services, and those that serve all services.
         self._listeners_by_service: dict[str, list[Listener]] = {}
         self._all_services_listeners: list[Listener] = []
         for listener in self.sidecar_listeners:
@@ -93,8 +98,9 @@
         self._tasks: list[asyncio.Task[None]] = []
         self._servers: list[asyncio.Server] = []
         self.ops_address: tuple[str, int] | None = None
-        self._operators: set[OperatorConnection] = set()
+        self._operators: set[OperatorConnection] = set()  # open connections
         self._started_at = self._loop.time()
+        # The generation prefix for which the waiting tiers were last sent full answers.
         self._announced_generation_prefix = self.table.generation_prefix
         max_lag_s = settings.held_ms / 1000.0
         self._parent_generations, self._change_times, self._child_summaries = (
@@ -107,8 +113,8 @@
         # Whether all sources but excused ones, and for `is_complete` also the parent, have answered
         # completely since the start.
         self.sources_complete = self.is_complete = False
-        self._was_fresh = False
-        self._saved_seq = 0  # the sequence number of the last snapshot
+        self._was_fresh = False  # the result of the last check of `is_fresh` for child tiers
+        self._saved_seq = 0  # the sequence number that the last snapshot has
         self._load_snapshot()
         self.refused_calls = self.full_answers = self.delta_answers = self.rejected_connections = (
             self.cut_connections
@@ -327,6 +333,7 @@
 
         Sidecars need none: what they receive of a record has not changed.
         """
+        # The generation prefix for which the waiting tiers were last sent full answers.
         self._announced_generation_prefix = self.table.generation_prefix
         for listener in (self.child_listener, self.parent_listener):
             if listener is not None:
@@ -470,7 +477,9 @@
         answered_at = [feed.complete_answer_at for feed in self._feeds if not feed.is_excused]
         all_answered_at = min((at or 0.0 for at in answered_at), default=0.0)
         for receiver in [
-            connection for connection, at in self._deferred_receivers.items() if at <= all_answered_at
+            connection
+            for connection, called_at in self._deferred_receivers.items()
+            if called_at <= all_answered_at
         ]:
             del self._deferred_receivers[receiver]
             self._schedule_full_answer(receiver)
@@ -543,14 +552,14 @@
                     generation = 0 if sequence < 0 else table.generation - table.sequence + sequence
                     laggard = held.Laggard(self.config.name, listener.name, receiver.peer, generation, lag_s)
                     progress.laggards.append((sequence, laggard))
-        for (listener_name, _), (sequence, at, peer) in list(self._cut_off_laggards.items()):
-            if now - at > self._settings.left_ms / 1000.0:
+        for (listener_name, _), (sequence, lacking_since, peer) in list(self._cut_off_laggards.items()):
+            if now - lacking_since > self._settings.left_ms / 1000.0:
                 del self._cut_off_laggards[listener_name, peer.rpartition(":")[0]]
                 continue
             progress.add(sequence)
             generation = 0 if sequence < 0 else table.generation - table.sequence + sequence
             cut_off_laggard = held.Laggard(
-                self.config.name, f"{listener_name} (left)", peer, generation, round(now - at, 3)
+                self.config.name, f"{listener_name} (left)", peer, generation, round(now - lacking_since, 3)
             )
             progress.laggards.append((sequence, cut_off_laggard))
         for summary in self._child_summaries.valid(now):
@@ -581,7 +590,8 @@
                 msgspec.structs.asdict(laggard) for _, laggard in progress.longest_lagging(sequence=sequence)
             ],
             "silent": {
-                tier: round(s, 3) for tier, s in self._child_summaries.silent(self._loop.time()).items()
+                tier: round(silent_s, 3)
+                for tier, silent_s in self._child_summaries.silent(self._loop.time()).items()
             },
         }
         return True, msgspec.json.encode(report).decode()
@@ -623,7 +633,9 @@
         """Apply timeouts, and update and log completeness, propagation, isolation and freshness."""
         now = self._loop.time()
         self.child_listener.reports_stale = self.is_stale
-        for receiver in [connection for connection, until in self._blocked_until.items() if until <= now]:
+        for receiver in [
+            connection for connection, timeout_at in self._blocked_until.items() if timeout_at <= now
+        ]:
             self.cut_connections += 1
             self._cut_connection(receiver)
         idle_limit = now - self._settings.idle_ms / 1000.0
@@ -665,9 +677,9 @@
             sequence = receiver.listener.held_up_to(receiver.sequence)
             if sequence < self.table.sequence:
                 since = receiver.idle_since if sequence < 0 else self._change_times.first_after(sequence)
-                at = self._loop.time() if since is None else since
+                lacking_since = self._loop.time() if since is None else since
                 self._cut_off_laggards.pop(self._laggard_key(receiver), None)
-                self._cut_off_laggards[self._laggard_key(receiver)] = (sequence, at, receiver.peer)
+                self._cut_off_laggards[self._laggard_key(receiver)] = (sequence, lacking_since, receiver.peer)
                 if len(self._cut_off_laggards) > MAX_CUT_OFF_LAGGARDS:
                     del self._cut_off_laggards[next(iter(self._cut_off_laggards))]
         receiver.abort()
@@ -682,8 +694,10 @@
         """Whether this tier, or one above it, has had no complete answer from its parent for `deaf_ms`."""
         if self.parent is None:
             return False
-        at = self.parent.complete_answer_at
-        is_silent = at is None or self._loop.time() - at > self._settings.deaf_ms / 1000.0
+        last_answer_at = self.parent.complete_answer_at
+        is_silent = (
+            last_answer_at is None or self._loop.time() - last_answer_at > self._settings.deaf_ms / 1000.0
+        )
         return is_silent or self.parent.is_stale
 
     @property
--- a/larkcrank/tiers/state.py
+++ b/larkcrank/tiers/state.py
@@ -77,6 +77,8 @@
 class InstanceTable:
     """The instance records of one tier, with tombstones of removed instances.
 
+    The records that this tier owns are its own records: those its discovery services report.
+
     At most `max_tombstones` are kept, each for `tombstone_ttl_ms`; older ones are pruned. A receiver that may
     have missed a pruned tombstone gets a full answer.
     """
@@ -98,7 +100,7 @@
         self.own_records_complete = False  # whether all sources of this tier have answered since the start
         # The version up to which an earlier process had published its own records; None: not restored.
         self._restored_own_version: Version | None = None
-        self.subtree_owners = {name}  # this tier and the owners below it
+        self.subtree_owners = {name}  # this tier and the tiers below it
         self._max_tombstones, self._tombstone_ttl_ms = max_tombstones, tombstone_ttl_ms
         self._records: dict[str, InstanceRecord] = {}  # by instance id; ordered by `changed_seq`
         # By service, then by instance id; ordered by `content_changed_seq`. An instance that moved to another
@@ -118,6 +120,7 @@
 
     @property
     def generation(self) -> int:
+        """The current generation: the prefix, then the sequence number."""
         return self.generation_prefix << SEQUENCE_BITS | self.sequence
 
     def sequence_of(self, generation: int) -> int | None:
@@ -460,6 +463,7 @@
 
     @property
     def tombstone_count(self) -> int:
+        """The number of tombstones of removed instances; moves between services do not count."""
         return len(self._gone_since)
 
 
