--- a/larkcrank/lab/scale/stamped.py
+++ b/larkcrank/lab/scale/stamped.py
@@ -99,7 +99,9 @@
     _wrap_method(
         AttemptExecutor, "start_attempt", lambda _, exchange, *rest: _record(exchange.call_info.id, "decided")
     )
-    _wrap_method(platform, "request_to_endpoint", lambda request, wait: _record(request_id(request), "going"))
+    _wrap_method(
+        platform, "encode_endpoint_request", lambda request, wait: _record(request_id(request), "going")
+    )
     _wrap_method(
         AttemptExecutor, "_mark_written", lambda attempt: _record(attempt.exchange.call_info.id, "written")
     )
