--- a/larkcrank/program/handover.py
+++ b/larkcrank/program/handover.py
@@ -58,7 +58,7 @@
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise HandoverError(f"damaged: {error}") from None
     if (message.sidecar, message.settings) != (sidecar, settings):
-        raise HandoverError("message of another sidecar, or of one with other settings")
+        raise HandoverError("of another sidecar, or with other settings")
     return message
 
 
